--- a/src/entry/entry.ts
+++ b/src/entry/entry.ts
@@ -163,7 +163,7 @@
     random: host.random,
     onStart(prompt, upstream, readingTokens) {
       load.beginReading(upstream, readingTokens);
-      load.noteBegun(prompt.team, prompt.size);
+      load.noteBegun(prompt.team, prompt.serviceTokens);
     },
   });
   const crashes = createCrashWatch({
--- a/src/forwarding/pick_upstream.ts
+++ b/src/forwarding/pick_upstream.ts
@@ -14,7 +14,11 @@
   rankByAffinity,
   rankByLoad,
 } from "../placement/mod.ts";
-import type { Choice, PromptRefusal, WaitingPrompt } from "../queue/mod.ts";
+import type {
+  PromptRefusal,
+  RankedUpstream,
+  WaitingPrompt,
+} from "../queue/mod.ts";
 import { hasLeft } from "../requests/caller.ts";
 import { type Call, type ForwardHost, getLeftMs } from "./call.ts";
 import { createNotRun, Rejected } from "./replies.ts";
@@ -109,10 +113,10 @@
       targetMs: Math.min(call.route.targetMs, getLeftMs(host, call)),
       service: call.service,
       route: call.route.name,
-      size,
+      serviceTokens: size,
       workTokens,
-      getChoices: keepChoices(host, call, prompt),
-      isWanted: () => !hasLeft(call.res),
+      getUpstreams: keepChoices(host, call, prompt),
+      isCallerConnected: () => !hasLeft(call.res),
       start(id, { readingTokens, queuedTokens }) {
         const upstream = host.directory.getReady(call.service)
           .find((each) => each.id === id)!;
@@ -146,8 +150,8 @@
   host: ForwardHost,
   call: Call,
   prompt: Prompt,
-): () => readonly Choice[] {
-  let choices: readonly Choice[] = [];
+): () => readonly RankedUpstream[] {
+  let choices: readonly RankedUpstream[] = [];
   let ready: readonly UpstreamEntry[] | undefined;
   let atMs = -Infinity;
   return () => {
@@ -167,7 +171,7 @@
   host: ForwardHost,
   call: Call,
   prompt: Prompt,
-): readonly Choice[] {
+): readonly RankedUpstream[] {
   const key = getAffinityKey(prompt.model, prompt.parts);
   const candidates = getCandidates(host, call);
   const ranked = rankByAffinity(key, candidates);
--- a/src/measure/prompt_world.ts
+++ b/src/measure/prompt_world.ts
@@ -20,10 +20,10 @@
 import { getReadingTokens } from "../placement/mod.ts";
 import {
   createPromptQueue,
+  type PrefillTokens,
   type PromptQueue,
   type PromptQueueOptions,
   type PromptRefusal,
-  type StartedReading,
 } from "../queue/mod.ts";
 import {
   createEmulatedEngine,
@@ -171,7 +171,7 @@
       onStart(prompt, engine, readingTokens) {
         view.beginReading(engine, readingTokens);
         view.begin(engine);
-        view.noteBegun(prompt.team, prompt.size);
+        view.noteBegun(prompt.team, prompt.serviceTokens);
       },
     }, options.queue);
   }
@@ -221,10 +221,10 @@
       targetMs: kind.targetMs,
       service: SERVICE,
       route: kind.name,
-      size,
+      serviceTokens: size,
       workTokens,
-      getChoices: () => choices,
-      isWanted: () => true,
+      getUpstreams: () => choices,
+      isCallerConnected: () => true,
       start: (engine, reading) => run(req, host, engine, reading),
       refuse: (refusal) => comeBack(req, refusal),
     });
@@ -239,7 +239,7 @@
     req: Meant,
     { view, pacing }: Host,
     engine: string,
-    { readingTokens, queuedTokens }: StartedReading,
+    { readingTokens, queuedTokens }: PrefillTokens,
   ): void {
     const { kind } = req;
     const startedMs = nowMs();
--- a/src/queue/common_room_test.ts
+++ b/src/queue/common_room_test.ts
@@ -104,7 +104,7 @@
       random,
       onStart(prompt, upstream, readingTokens) {
         view.beginReading(upstream, readingTokens);
-        view.noteBegun(prompt.team, prompt.size);
+        view.noteBegun(prompt.team, prompt.serviceTokens);
       },
     });
 
@@ -135,10 +135,10 @@
         route: "drafts",
         arrivedMs: clock.monotonicMs(),
         targetMs: TARGET_MS,
-        size: promptTokens,
+        serviceTokens: promptTokens,
         workTokens: promptTokens,
-        isWanted: () => true,
-        getChoices: () => [{
+        isCallerConnected: () => true,
+        getUpstreams: () => [{
           upstream: UPSTREAMS[first]!,
           readingTokens: promptTokens,
         }],
--- a/src/queue/prompt_queue.ts
+++ b/src/queue/prompt_queue.ts
@@ -34,12 +34,12 @@
 import { FREE_TOKENS } from "../placement/mod.ts";
 import { createBacklogs, isInVain } from "./backlog.ts";
 import type {
-  Choice,
   NewPrompt,
   PromptQueue,
   PromptQueueHost,
   PromptQueueOptions,
   PromptRefusal,
+  RankedUpstream,
   UpstreamLoad,
   WaitingPrompt,
 } from "./types.ts";
@@ -134,13 +134,13 @@
   function tryPlace(
     { prompt, yields, isLast }: Ranked,
     nowMs: number,
-  ): Choice | undefined {
+  ): RankedUpstream | undefined {
     const limit = limits[yields];
     const limitTokens = host.getLimitTokens(prompt.service);
     const largestTokens = limitTokens * options.largestShare;
     const givesWay = options.givesWay && isLast &&
       !host.isUnderserved(prompt.team);
-    const hasRoom = ({ upstream, readingTokens }: Choice) =>
+    const hasRoom = ({ upstream, readingTokens }: RankedUpstream) =>
       decideRoom(getLoad(upstream), {
         readingTokens: Math.min(readingTokens, largestTokens),
         slotShare: limit.slotShare,
@@ -148,7 +148,7 @@
         fullTokens: limitTokens,
         givesWay,
       });
-    const choices = prompt.getChoices();
+    const choices = prompt.getUpstreams();
     const [first] = choices;
     if (first === undefined) return undefined;
     const like = choices.slice(0, MAX_LIKE).filter((each) =>
@@ -164,7 +164,7 @@
   }
 
   /** Whether reading a shared part again there holds up nothing. */
-  function isIdle({ upstream }: Choice): boolean {
+  function isIdle({ upstream }: RankedUpstream): boolean {
     const { inFlight, readingTokens } = getLoad(upstream);
     return readingTokens <= 0 && inFlight <= 0;
   }
@@ -176,7 +176,7 @@
     return true;
   }
 
-  function start(prompt: WaitingPrompt, choice: Choice): void {
+  function start(prompt: WaitingPrompt, choice: RankedUpstream): void {
     takeOut(prompt, true);
     const { upstream, readingTokens } = choice;
     const queuedTokens = getLoad(upstream).readingTokens + readingTokens;
@@ -208,7 +208,7 @@
     const nowMs = host.nowMs();
     seen.clear();
     for (const ranked of getInOrder()) {
-      if (!ranked.prompt.isWanted()) continue;
+      if (!ranked.prompt.isCallerConnected()) continue;
       const choice = tryPlace(ranked, nowMs);
       if (choice !== undefined) start(ranked.prompt, choice);
     }
@@ -218,7 +218,7 @@
   function tellUnderserved(): void {
     const prompts = new Map<string, number>();
     for (const prompt of waiting) {
-      const first = prompt.getChoices()[0]?.upstream;
+      const first = prompt.getUpstreams()[0]?.upstream;
       if (first === undefined || !host.isUnderserved(prompt.team)) continue;
       prompts.set(first, (prompts.get(first) ?? 0) + 1);
     }
@@ -226,7 +226,7 @@
   }
 
   function getRefusalInputs(prompt: WaitingPrompt): QueueInputs {
-    const upstream = prompt.getChoices()[0]?.upstream;
+    const upstream = prompt.getUpstreams()[0]?.upstream;
     return {
       waitedMs: Math.round(host.nowMs() - prompt.arrivedMs),
       waiting: waiting.size,
@@ -279,7 +279,7 @@
     const nowMs = host.nowMs();
     for (const prompt of [...waiting]) {
       const limitMs = prompt.targetMs * options.refuseShare;
-      if (prompt.getChoices().length === 0) refuse(prompt, "no-upstream");
+      if (prompt.getUpstreams().length === 0) refuse(prompt, "no-upstream");
       else if (nowMs - prompt.arrivedMs >= limitMs) refuse(prompt, "late");
     }
   }
@@ -292,7 +292,7 @@
       backlogs.noteAdded(prompt);
       if (isFirst) startAll();
       // Known to be unservable: nothing is gained by keeping it.
-      if (waiting.has(prompt) && prompt.getChoices().length === 0) {
+      if (waiting.has(prompt) && prompt.getUpstreams().length === 0) {
         refuse(prompt, "no-upstream");
       }
     },
@@ -308,10 +308,10 @@
 }
 
 function getLeastBusy(
-  choices: readonly Choice[],
+  choices: readonly RankedUpstream[],
   getLoad: (upstream: string) => UpstreamLoad,
-): Choice {
-  const getBusy = ({ upstream }: Choice) => getLoad(upstream).inFlight;
+): RankedUpstream {
+  const getBusy = ({ upstream }: RankedUpstream) => getLoad(upstream).inFlight;
   // Of equals the first, so that shared parts stay where they are.
   return choices.reduce((least, each) =>
     getBusy(each) < getBusy(least) ? each : least
@@ -326,10 +326,10 @@
  * time of one.
  */
 export function isSparse(
-  prompt: Pick<WaitingPrompt, "size" | "workTokens">,
+  prompt: Pick<WaitingPrompt, "serviceTokens" | "workTokens">,
   meanYield: number,
 ): boolean {
-  return prompt.size / prompt.workTokens < meanYield * SPARSE_SHARE;
+  return prompt.serviceTokens / prompt.workTokens < meanYield * SPARSE_SHARE;
 }
 
 /** What room is asked for. */
--- a/src/queue/prompt_queue_test.ts
+++ b/src/queue/prompt_queue_test.ts
@@ -79,11 +79,11 @@
       route: "drafts",
       arrivedMs: nowMs,
       targetMs: 800,
-      size: workTokens * serviceYield,
+      serviceTokens: workTokens * serviceYield,
       workTokens,
-      isWanted: () => !gone.has(request),
+      isCallerConnected: () => !gone.has(request),
       // All but the first have a shared part of 13,300 tokens to read as well.
-      getChoices: () =>
+      getUpstreams: () =>
         ranked.map((upstream, at) => ({
           upstream,
           readingTokens: at === 0
--- a/src/queue/types.ts
+++ b/src/queue/types.ts
@@ -19,15 +19,15 @@
   /** Time to the first event that is on time, in ms. */
   readonly targetMs: number;
   /** Service that it takes, by which teams share. */
-  readonly size: number;
+  readonly serviceTokens: number;
   /** What an upstream does for it, in tokens, with its shared parts kept. */
   readonly workTokens: number;
   /** Upstreams that may be asked, the best first; asked anew at each look. */
-  getChoices(): readonly Choice[];
+  getUpstreams(): readonly RankedUpstream[];
   /** Whether its caller still waits; asked before a start. */
-  isWanted(): boolean;
+  isCallerConnected(): boolean;
   /** Called once, after it has left the queue. */
-  start(upstream: string, reading: StartedReading): void;
+  start(upstream: string, prefill: PrefillTokens): void;
   /** Called once, after it has left the queue; it has not run. */
   refuse(refusal: PromptRefusal): void;
 }
@@ -36,7 +36,7 @@
 export type NewPrompt = Pick<WaitingPrompt, "team" | "route" | "targetMs">;
 
 /** What an upstream reads from the start of a prompt on, in tokens. */
-export interface StartedReading {
+export interface PrefillTokens {
   /** Of the prompt itself. */
   readonly readingTokens: number;
   /** Before the prompt's first event, its own included. */
@@ -44,7 +44,7 @@
 }
 
 /** An upstream that a prompt may be sent to. */
-export interface Choice {
+export interface RankedUpstream {
   readonly upstream: string;
   /** Tokens that it has to read of the prompt, as far as this host knows. */
   readonly readingTokens: number;
