--- a/src/measure/prompt_load.ts
+++ b/src/measure/prompt_load.ts
@@ -48,12 +48,12 @@
 /** A prompt counts for all that it has to read. */
 const countedWhole: PromptQueueOptions = {
   ...defaultPromptQueueOptions,
-  largestShare: Infinity,
+  maxCountedShare: Infinity,
 };
 
 /** Counts ms of reading, by the sheet of one deployment's engines. */
 const countedByOneSheet: PromptPolicy = {
-  queue: { ...countedWhole, freeTokens: 15 },
+  queue: { ...countedWhole, negligibleTokens: 15 },
   isLoadShared: true,
   limitTokens: 150,
   getReading: (tokens, keptTokens) =>
@@ -65,9 +65,9 @@
   ...countedByOneSheet,
   queue: {
     ...countedByOneSheet.queue,
-    spillShare: 0.25,
+    spilloverShare: 0.25,
     refusesEarly: false,
-    givesWay: false,
+    yieldsToUnderserved: false,
     compare: compareOldestFirst,
   },
   limitTokens: 300,
@@ -95,12 +95,12 @@
     ...ours,
     queue: {
       ...defaultPromptQueueOptions,
-      yieldingLimit: defaultPromptQueueOptions.limit,
+      inefficientLimit: defaultPromptQueueOptions.limit,
     },
   },
   never_elsewhere: {
     ...ours,
-    queue: { ...defaultPromptQueueOptions, spillShare: Infinity },
+    queue: { ...defaultPromptQueueOptions, spilloverShare: Infinity },
   },
   never_refused_early: {
     ...ours,
@@ -108,7 +108,7 @@
   },
   nothing_left_to_underserved: {
     ...ours,
-    queue: { ...defaultPromptQueueOptions, givesWay: false },
+    queue: { ...defaultPromptQueueOptions, yieldsToUnderserved: false },
   },
   all_slots: {
     ...ours,
--- a/src/queue/prompt_queue.ts
+++ b/src/queue/prompt_queue.ts
@@ -71,15 +71,15 @@
  */
 export const defaultPromptQueueOptions: PromptQueueOptions = {
   limit: { slotShare: 0.6, readingShare: 1 },
-  yieldingLimit: { slotShare: 0.45, readingShare: 0.5 },
+  inefficientLimit: { slotShare: 0.45, readingShare: 0.5 },
   overShareLimit: { slotShare: 0.45, readingShare: 0.5 },
-  freeTokens: FREE_TOKENS,
-  largestShare: 0.75,
-  spillShare: 0.55,
-  refuseShare: 0.6,
+  negligibleTokens: FREE_TOKENS,
+  maxCountedShare: 0.75,
+  spilloverShare: 0.55,
+  maxWaitShare: 0.6,
   retryAfterMs: 1_000,
   refusesEarly: true,
-  givesWay: true,
+  yieldsToUnderserved: true,
   compare: compareNewestFirst,
 };
 
@@ -124,7 +124,7 @@
   const seen = new Map<string, UpstreamLoad>();
   const limits = [
     options.limit,
-    options.yieldingLimit,
+    options.inefficientLimit,
     options.overShareLimit,
   ] as const;
 
@@ -137,8 +137,8 @@
   ): RankedUpstream | undefined {
     const limit = limits[yields];
     const limitTokens = host.getLimitTokens(prompt.service);
-    const largestTokens = limitTokens * options.largestShare;
-    const givesWay = options.givesWay && isLast &&
+    const largestTokens = limitTokens * options.maxCountedShare;
+    const givesWay = options.yieldsToUnderserved && isLast &&
       !host.isUnderserved(prompt.team);
     const hasRoom = ({ upstream, readingTokens }: RankedUpstream) =>
       decideRoom(getLoad(upstream), {
@@ -152,14 +152,14 @@
     const [first] = choices;
     if (first === undefined) return undefined;
     const like = choices.slice(0, MAX_LIKE).filter((each) =>
-      each.readingTokens - first.readingTokens <= options.freeTokens
+      each.readingTokens - first.readingTokens <= options.negligibleTokens
     );
     for (let at = 0; at < like.length; at += LIKE_GROUP) {
       const withRoom = like.slice(at, at + LIKE_GROUP).filter(hasRoom);
       if (withRoom.length > 0) return getLeastBusy(withRoom, getLoad);
     }
     const waitedMs = nowMs - prompt.arrivedMs;
-    if (waitedMs < prompt.targetMs * options.spillShare) return undefined;
+    if (waitedMs < prompt.targetMs * options.spilloverShare) return undefined;
     return choices.find((each) => !like.includes(each) && isIdle(each));
   }
 
@@ -255,7 +255,7 @@
     const shareUsed = host.getShareUsed(team);
     if (shareUsed <= 1) return undefined;
     const backlog = backlogs.getBacklog(prompt);
-    if (!isInVain(backlog, targetMs * options.refuseShare)) return undefined;
+    if (!isInVain(backlog, targetMs * options.maxWaitShare)) return undefined;
     return {
       reason: "in-vain",
       retryAfterMs: getRetryAfterMs(),
@@ -278,7 +278,7 @@
   function refuseLate(): void {
     const nowMs = host.nowMs();
     for (const prompt of [...waiting]) {
-      const limitMs = prompt.targetMs * options.refuseShare;
+      const limitMs = prompt.targetMs * options.maxWaitShare;
       if (prompt.getUpstreams().length === 0) refuse(prompt, "no-upstream");
       else if (nowMs - prompt.arrivedMs >= limitMs) refuse(prompt, "late");
     }
--- a/src/queue/prompt_queue_test.ts
+++ b/src/queue/prompt_queue_test.ts
@@ -9,7 +9,8 @@
 } from "./prompt_queue.ts";
 import type { WaitingPrompt } from "./types.ts";
 
-const { overShareLimit, yieldingLimit } = defaultPromptQueueOptions;
+const { overShareLimit, inefficientLimit: inefficientLimit } =
+  defaultPromptQueueOptions;
 
 /** What an upstream may have to read at once. */
 const LIMIT_TOKENS = 15_000;
@@ -353,7 +354,7 @@
     fixture.add(chat);
     fixture.getUse("a").readingTokens = 0;
   }
-  ok(fixture.getUse("a").inFlight >= 48 * yieldingLimit.slotShare);
+  ok(fixture.getUse("a").inFlight >= 48 * inefficientLimit.slotShare);
   fixture.add({ ranked: ["a"] });
   strictEqual(fixture.log.at(-1), "calm-49 to a");
   fixture.add(chat);
--- a/src/queue/types.ts
+++ b/src/queue/types.ts
@@ -96,25 +96,25 @@
   /** Shares of an upstream's slots, and of what it may have to read. */
   readonly limit: RoomLimit;
   /** The same for sparse prompts, see `isSparse`. */
-  readonly yieldingLimit: RoomLimit;
+  readonly inefficientLimit: RoomLimit;
   /** The same for prompts of teams over their share. */
   readonly overShareLimit: RoomLimit;
   /**
    * Reading so many tokens again costs less than a wait; the least busy gets the
    * prompt.
    */
-  readonly freeTokens: number;
+  readonly negligibleTokens: number;
   /** A prompt counts for no more than this share of the limit on reading. */
-  readonly largestShare: number;
+  readonly maxCountedShare: number;
   /** A prompt waits this share of its target for the best upstreams alone. */
-  readonly spillShare: number;
+  readonly spilloverShare: number;
   /** And is refused after this share of it. */
-  readonly refuseShare: number;
+  readonly maxWaitShare: number;
   readonly retryAfterMs: number;
   /** Whether prompts of teams over their share that wait in vain are refused. */
   readonly refusesEarly: boolean;
   /** Whether teams over their share leave upstreams to underserved teams. */
-  readonly givesWay: boolean;
+  readonly yieldsToUnderserved: boolean;
   /** Order of those that yield alike. */
   readonly compare: (a: WaitingPrompt, b: WaitingPrompt) => number;
 }
