--- a/src/entry/entry.ts
+++ b/src/entry/entry.ts
@@ -155,10 +155,10 @@
       underservedElsewhere: load.getUnderservedElsewhere(upstream),
     }),
     getShareUsed: load.getShareUsed,
-    isAhead: load.isAhead,
+    isOverserved: load.isAhead,
     isUnderserved: load.isUnderserved,
     onUnderservedWaiting: load.setUnderserved,
-    getMeanYield: load.getMeanYield,
+    getMeanEfficiency: load.getMeanYield,
     getLimitTokens,
     random: host.random,
     onStart(prompt, upstream, readingTokens) {
--- a/src/measure/prompt_world.ts
+++ b/src/measure/prompt_world.ts
@@ -161,10 +161,10 @@
         underservedElsewhere: view.getUnderservedElsewhere(engine),
       }),
       getShareUsed: view.getShareUsed,
-      isAhead: view.isAhead,
+      isOverserved: view.isAhead,
       isUnderserved: view.isUnderserved,
       onUnderservedWaiting: view.setUnderserved,
-      getMeanYield: view.getMeanYield,
+      getMeanEfficiency: view.getMeanYield,
       getLimitTokens: () =>
         options.limitTokens ?? pacing.getLimitTokens(TIGHTEST_TARGET_MS),
       random,
--- a/src/queue/common_room_test.ts
+++ b/src/queue/common_room_test.ts
@@ -96,10 +96,10 @@
         underservedElsewhere: view.getUnderservedElsewhere(upstream),
       }),
       getShareUsed: view.getShareUsed,
-      isAhead: view.isAhead,
+      isOverserved: view.isAhead,
       isUnderserved: view.isUnderserved,
       onUnderservedWaiting: view.setUnderserved,
-      getMeanYield: view.getMeanYield,
+      getMeanEfficiency: view.getMeanYield,
       getLimitTokens: () => pacing.getLimitTokens(TARGET_MS),
       random,
       onStart(prompt, upstream, readingTokens) {
--- a/src/queue/prompt_queue.ts
+++ b/src/queue/prompt_queue.ts
@@ -87,7 +87,7 @@
  * Below this share of the mean yield a prompt is sparse. Prompts of one kind
  * differ by their answers' lengths; kinds differ by ten times.
  */
-const SPARSE_SHARE = 1 / 3;
+const INEFFICIENT_SHARE = 1 / 3;
 
 /**
  * Upstreams among which the least busy gets a prompt with little to share; the
@@ -188,14 +188,14 @@
   /** 0 for a prompt that yields to none, 2 for one that yields to all. */
   function getYield(prompt: WaitingPrompt): 0 | 1 | 2 {
     if (host.getShareUsed(prompt.team) > 1) return 2;
-    return isSparse(prompt, host.getMeanYield()) ? 1 : 0;
+    return isInefficient(prompt, host.getMeanEfficiency()) ? 1 : 0;
   }
 
   /** Those that yield least first. */
   function getInOrder(): readonly Ranked[] {
     const ranked = [...waiting].map((prompt) => {
       const yields = getYield(prompt);
-      const isLast = yields === 2 || host.isAhead(prompt.team);
+      const isLast = yields === 2 || host.isOverserved(prompt.team);
       return { prompt, yields, isLast };
     });
     return ranked.sort((a, b) =>
@@ -325,11 +325,12 @@
  * prompts whose large shared parts are kept, of which ten are served in the
  * time of one.
  */
-export function isSparse(
+export function isInefficient(
   prompt: Pick<WaitingPrompt, "serviceTokens" | "workTokens">,
-  meanYield: number,
+  meanEfficiency: number,
 ): boolean {
-  return prompt.serviceTokens / prompt.workTokens < meanYield * SPARSE_SHARE;
+  return prompt.serviceTokens / prompt.workTokens <
+    meanEfficiency * INEFFICIENT_SHARE;
 }
 
 /** What room is asked for. */
--- a/src/queue/prompt_queue_test.ts
+++ b/src/queue/prompt_queue_test.ts
@@ -53,12 +53,12 @@
       const underservedElsewhere = underserved.get(upstream) ?? 0;
       return { slots: 48, ...getUse(upstream), underservedElsewhere };
     },
-    isAhead: (team) => ahead.has(team),
+    isOverserved: (team) => ahead.has(team),
     isUnderserved: (team) => underservedTeams.has(team),
     onUnderservedWaiting: (prompts) =>
       void told.push(Object.fromEntries(prompts)),
     getShareUsed: (team) => overShare.has(team) ? 2 : 0.5,
-    getMeanYield: () => 60,
+    getMeanEfficiency: () => 60,
     getLimitTokens: () => LIMIT_TOKENS,
     random: () => randoms.shift() ?? 0.5,
     onStart(_prompt, upstream, readingTokens) {
--- a/src/queue/types.ts
+++ b/src/queue/types.ts
@@ -65,13 +65,13 @@
   /** What the team was given of late, over its fair share; 1 is the share. */
   getShareUsed(team: string): number;
   /** Whether the team is given more than an even part of what is short. */
-  isAhead(team: string): boolean;
+  isOverserved(team: string): boolean;
   /** Whether the team is given far less than others, and asks for more. */
   isUnderserved(team: string): boolean;
   /** Told at each look, by the upstream that they wait for. */
   onUnderservedWaiting(prompts: ReadonlyMap<string, number>): void;
   /** Service for a token of work, over all prompts of late. */
-  getMeanYield(): number;
+  getMeanEfficiency(): number;
   /** Tokens that an upstream of the service may have to read at once. */
   getLimitTokens(service: string): number;
   /** From 0 up to 1. */
--- a/src/testing/forward_fixture.ts
+++ b/src/testing/forward_fixture.ts
@@ -264,10 +264,10 @@
         underservedElsewhere: 0,
       }),
       getShareUsed: () => parts.delay.shareUsed,
-      isAhead: () => false,
+      isOverserved: () => false,
       isUnderserved: () => false,
       onUnderservedWaiting: () => {},
-      getMeanYield: () => 0,
+      getMeanEfficiency: () => 0,
       getLimitTokens: () => LIMIT_TOKENS,
       random: () => 0.5,
       onStart: (_prompt, upstream, readingTokens) =>
