--- a/src/queue/backlog.ts
+++ b/src/queue/backlog.ts
@@ -18,15 +18,15 @@
 }
 
 /** The prompts that wait at one host, by team and route. */
-export interface Backlogs {
-  noteAdded(key: BacklogKey): void;
+export interface PromptBacklogTracker {
+  recordAdded(key: BacklogKey): void;
   /** It has left the queue, started or not. */
-  noteLeft(key: BacklogKey, isStarted: boolean): void;
-  getBacklog(key: BacklogKey): Backlog;
+  recordRemoved(key: BacklogKey, isStarted: boolean): void;
+  getBacklog(key: BacklogKey): PromptBacklog;
 }
 
 /** What waits, and how fast it starts. */
-export interface Backlog {
+export interface PromptBacklog {
   readonly waiting: number;
   readonly startedPerSecond: number;
 }
@@ -35,42 +35,48 @@
 const HALF_LIFE_MS = 1_000;
 
 /** So many may always wait: whether they start at all must be found out. */
-const LEAST_WAITING = 4;
+const MIN_ALLOWED_WAITING = 4;
 
 /** So many times as many may wait as would start: room may appear. */
-const SPARE = 1.5;
+const HEADROOM_FACTOR = 1.5;
 
-interface Line {
+interface TrackedBacklog {
   waiting: number;
   readonly started: Rate;
 }
 
 /** Makes the counts of a host where nothing waits. */
-export function createBacklogs(nowMs: () => number): Backlogs {
-  const lines = new Map<string, Line>();
-  const getLine = ({ team, route }: BacklogKey) =>
+export function createPromptBacklogTracker(
+  nowMs: () => number,
+): PromptBacklogTracker {
+  const tracked = new Map<string, TrackedBacklog>();
+  const getTracked = ({ team, route }: BacklogKey) =>
     getOrCreate(
-      lines,
+      tracked,
       `${team}\n${route}`,
       () => ({ waiting: 0, started: createRate(HALF_LIFE_MS) }),
     );
 
   return {
-    noteAdded: (key) => void getLine(key).waiting++,
-    noteLeft(key, isStarted) {
-      const line = getLine(key);
-      line.waiting--;
-      if (isStarted) line.started.add(1, nowMs());
+    recordAdded: (key) => void getTracked(key).waiting++,
+    recordRemoved(key, isStarted) {
+      const entry = getTracked(key);
+      entry.waiting--;
+      if (isStarted) entry.started.add(1, nowMs());
     },
     getBacklog(key) {
-      const { waiting, started } = getLine(key);
+      const { waiting, started } = getTracked(key);
       return { waiting, startedPerSecond: started.get(nowMs()) };
     },
   };
 }
 
 /** Whether more wait than can start within the wait given, in ms. */
-export function isInVain(backlog: Backlog, longestWaitMs: number): boolean {
-  const starting = backlog.startedPerSecond * longestWaitMs / 1_000;
-  return backlog.waiting >= Math.max(LEAST_WAITING, starting * SPARE);
+export function isTooLong(
+  backlog: PromptBacklog,
+  maxWaitMs: number,
+): boolean {
+  const expectedStarts = backlog.startedPerSecond * maxWaitMs / 1_000;
+  return backlog.waiting >=
+    Math.max(MIN_ALLOWED_WAITING, expectedStarts * HEADROOM_FACTOR);
 }
--- a/src/queue/prompt_queue.ts
+++ b/src/queue/prompt_queue.ts
@@ -32,7 +32,7 @@
 import { getOrCreate } from "../core/mod.ts";
 import type { QueueInputs } from "../diagnostics/mod.ts";
 import { FREE_TOKENS } from "../placement/mod.ts";
-import { createBacklogs, isInVain } from "./backlog.ts";
+import { createPromptBacklogTracker, isTooLong } from "./backlog.ts";
 import type {
   NewPrompt,
   PromptQueue,
@@ -119,7 +119,7 @@
   options: PromptQueueOptions = defaultPromptQueueOptions,
 ): PromptQueue {
   const waiting = new Set<WaitingPrompt>();
-  const backlogs = createBacklogs(host.nowMs);
+  const backlogTracker = createPromptBacklogTracker(host.nowMs);
   /** Loads seen in the present look; asked once each, not by every prompt. */
   const seen = new Map<string, UpstreamLoad>();
   const limits = [
@@ -172,7 +172,7 @@
   /** Takes a prompt out; false when it had left already. */
   function takeOut(prompt: WaitingPrompt, isStarted: boolean): boolean {
     if (!waiting.delete(prompt)) return false;
-    backlogs.noteLeft(prompt, isStarted);
+    backlogTracker.recordRemoved(prompt, isStarted);
     return true;
   }
 
@@ -254,8 +254,8 @@
     const { team, targetMs } = prompt;
     const shareUsed = host.getShareUsed(team);
     if (shareUsed <= 1) return undefined;
-    const backlog = backlogs.getBacklog(prompt);
-    if (!isInVain(backlog, targetMs * options.maxWaitShare)) return undefined;
+    const backlog = backlogTracker.getBacklog(prompt);
+    if (!isTooLong(backlog, targetMs * options.maxWaitShare)) return undefined;
     return {
       reason: "in-vain",
       retryAfterMs: getRetryAfterMs(),
@@ -289,7 +289,7 @@
       // Behind others it takes its turn at the next look.
       const isFirst = waiting.size === 0;
       waiting.add(prompt);
-      backlogs.noteAdded(prompt);
+      backlogTracker.recordAdded(prompt);
       if (isFirst) startAll();
       // Known to be unservable: nothing is gained by keeping it.
       if (waiting.has(prompt) && prompt.getUpstreams().length === 0) {
