--- a/src/queue/prompt_queue.ts
+++ b/src/queue/prompt_queue.ts
@@ -95,10 +95,10 @@
  * more keeps a copy of the shared parts, which together push longer ones out of
  * memory.
  */
-const LIKE_GROUP = 2;
+const SIMILAR_GROUP_SIZE = 2;
 
 /** Upstreams looked at for one; a look at sixty costs seven times as much. */
-const MAX_LIKE = 8;
+const MAX_SIMILAR = 8;
 
 /**
  * Callers that are refused together come back over half of the time that they
@@ -106,11 +106,11 @@
  */
 const RETRY_SPREAD = 0.5;
 
-interface Ranked {
+interface PrioritisedPrompt {
   readonly prompt: WaitingPrompt;
   readonly yields: 0 | 1 | 2;
   /** Its team has had more than others that wait. */
-  readonly isLast: boolean;
+  readonly isDeprioritised: boolean;
 }
 
 /** Makes an empty queue. */
@@ -121,7 +121,7 @@
   const waiting = new Set<WaitingPrompt>();
   const backlogTracker = createPromptBacklogTracker(host.nowMs);
   /** Loads seen in the present look; asked once each, not by every prompt. */
-  const seen = new Map<string, UpstreamLoad>();
+  const loadCache = new Map<string, UpstreamLoad>();
   const limits = [
     options.limit,
     options.inefficientLimit,
@@ -129,38 +129,41 @@
   ] as const;
 
   const getLoad = (upstream: string) =>
-    getOrCreate(seen, upstream, () => host.getLoad(upstream));
+    getOrCreate(loadCache, upstream, () => host.getLoad(upstream));
 
-  function tryPlace(
-    { prompt, yields, isLast }: Ranked,
+  function tryChooseUpstream(
+    { prompt, yields, isDeprioritised }: PrioritisedPrompt,
     nowMs: number,
   ): RankedUpstream | undefined {
     const limit = limits[yields];
     const limitTokens = host.getLimitTokens(prompt.service);
-    const largestTokens = limitTokens * options.maxCountedShare;
-    const givesWay = options.yieldsToUnderserved && isLast &&
+    const maxCountedTokens = limitTokens * options.maxCountedShare;
+    const yieldsToUnderserved = options.yieldsToUnderserved &&
+      isDeprioritised &&
       !host.isUnderserved(prompt.team);
-    const hasRoom = ({ upstream, readingTokens }: RankedUpstream) =>
-      decideRoom(getLoad(upstream), {
-        readingTokens: Math.min(readingTokens, largestTokens),
+    const fitsUpstream = ({ upstream, readingTokens }: RankedUpstream) =>
+      hasRoom(getLoad(upstream), {
+        readingTokens: Math.min(readingTokens, maxCountedTokens),
         slotShare: limit.slotShare,
         limitTokens: limitTokens * limit.readingShare,
-        fullTokens: limitTokens,
-        givesWay,
+        fullLimitTokens: limitTokens,
+        yieldsToUnderserved,
       });
-    const choices = prompt.getUpstreams();
-    const [first] = choices;
+    const upstreams = prompt.getUpstreams();
+    const [first] = upstreams;
     if (first === undefined) return undefined;
-    const like = choices.slice(0, MAX_LIKE).filter((each) =>
+    const similar = upstreams.slice(0, MAX_SIMILAR).filter((each) =>
       each.readingTokens - first.readingTokens <= options.negligibleTokens
     );
-    for (let at = 0; at < like.length; at += LIKE_GROUP) {
-      const withRoom = like.slice(at, at + LIKE_GROUP).filter(hasRoom);
+    for (let at = 0; at < similar.length; at += SIMILAR_GROUP_SIZE) {
+      const withRoom = similar.slice(at, at + SIMILAR_GROUP_SIZE).filter(
+        fitsUpstream,
+      );
       if (withRoom.length > 0) return getLeastBusy(withRoom, getLoad);
     }
     const waitedMs = nowMs - prompt.arrivedMs;
     if (waitedMs < prompt.targetMs * options.spilloverShare) return undefined;
-    return choices.find((each) => !like.includes(each) && isIdle(each));
+    return upstreams.find((each) => !similar.includes(each) && isIdle(each));
   }
 
   /** Whether reading a shared part again there holds up nothing. */
@@ -170,52 +173,53 @@
   }
 
   /** Takes a prompt out; false when it had left already. */
-  function takeOut(prompt: WaitingPrompt, isStarted: boolean): boolean {
+  function removeWaiting(prompt: WaitingPrompt, isStarted: boolean): boolean {
     if (!waiting.delete(prompt)) return false;
     backlogTracker.recordRemoved(prompt, isStarted);
     return true;
   }
 
-  function start(prompt: WaitingPrompt, choice: RankedUpstream): void {
-    takeOut(prompt, true);
-    const { upstream, readingTokens } = choice;
+  function start(prompt: WaitingPrompt, chosen: RankedUpstream): void {
+    removeWaiting(prompt, true);
+    const { upstream, readingTokens } = chosen;
     const queuedTokens = getLoad(upstream).readingTokens + readingTokens;
     host.onStart(prompt, upstream, readingTokens);
-    seen.delete(upstream);
+    loadCache.delete(upstream);
     prompt.start(upstream, { readingTokens, queuedTokens });
   }
 
   /** 0 for a prompt that yields to none, 2 for one that yields to all. */
-  function getYield(prompt: WaitingPrompt): 0 | 1 | 2 {
+  function getYieldLevel(prompt: WaitingPrompt): 0 | 1 | 2 {
     if (host.getShareUsed(prompt.team) > 1) return 2;
     return isInefficient(prompt, host.getMeanEfficiency()) ? 1 : 0;
   }
 
   /** Those that yield least first. */
-  function getInOrder(): readonly Ranked[] {
-    const ranked = [...waiting].map((prompt) => {
-      const yields = getYield(prompt);
-      const isLast = yields === 2 || host.isOverserved(prompt.team);
-      return { prompt, yields, isLast };
+  function getInPriorityOrder(): readonly PrioritisedPrompt[] {
+    const prompts = [...waiting].map((prompt) => {
+      const yields = getYieldLevel(prompt);
+      const isDeprioritised = yields === 2 || host.isOverserved(prompt.team);
+      return { prompt, yields, isDeprioritised };
     });
-    return ranked.sort((a, b) =>
-      Number(a.isLast) - Number(b.isLast) || a.yields - b.yields ||
+    return prompts.sort((a, b) =>
+      Number(a.isDeprioritised) - Number(b.isDeprioritised) ||
+      a.yields - b.yields ||
       options.compare(a.prompt, b.prompt)
     );
   }
 
-  function startAll(): void {
+  function startWaiting(): void {
     const nowMs = host.nowMs();
-    seen.clear();
-    for (const ranked of getInOrder()) {
-      if (!ranked.prompt.isCallerConnected()) continue;
-      const choice = tryPlace(ranked, nowMs);
-      if (choice !== undefined) start(ranked.prompt, choice);
+    loadCache.clear();
+    for (const next of getInPriorityOrder()) {
+      if (!next.prompt.isCallerConnected()) continue;
+      const chosen = tryChooseUpstream(next, nowMs);
+      if (chosen !== undefined) start(next.prompt, chosen);
     }
   }
 
   /** Other hosts leave the upstreams to these. */
-  function tellUnderserved(): void {
+  function reportUnderserved(): void {
     const prompts = new Map<string, number>();
     for (const prompt of waiting) {
       const first = prompt.getUpstreams()[0]?.upstream;
@@ -230,7 +234,7 @@
     return {
       waitedMs: Math.round(host.nowMs() - prompt.arrivedMs),
       waiting: waiting.size,
-      yields: getYield(prompt),
+      yields: getYieldLevel(prompt),
       shareUsed: Number(host.getShareUsed(prompt.team).toFixed(2)),
       limitTokens: Math.round(host.getLimitTokens(prompt.service)),
       upstream,
@@ -240,7 +244,7 @@
 
   function refuse(prompt: WaitingPrompt, reason: PromptRefusal["reason"]) {
     const inputs = getRefusalInputs(prompt);
-    takeOut(prompt, false);
+    removeWaiting(prompt, false);
     prompt.refuse({ reason, retryAfterMs: getRetryAfterMs(), inputs });
   }
 
@@ -278,43 +282,44 @@
   function refuseLate(): void {
     const nowMs = host.nowMs();
     for (const prompt of [...waiting]) {
-      const limitMs = prompt.targetMs * options.maxWaitShare;
+      const maxWaitMs = prompt.targetMs * options.maxWaitShare;
       if (prompt.getUpstreams().length === 0) refuse(prompt, "no-upstream");
-      else if (nowMs - prompt.arrivedMs >= limitMs) refuse(prompt, "late");
+      else if (nowMs - prompt.arrivedMs >= maxWaitMs) refuse(prompt, "late");
     }
   }
 
   return {
     add(prompt) {
       // Behind others it takes its turn at the next look.
-      const isFirst = waiting.size === 0;
+      const wasEmpty = waiting.size === 0;
       waiting.add(prompt);
       backlogTracker.recordAdded(prompt);
-      if (isFirst) startAll();
+      if (wasEmpty) startWaiting();
       // Known to be unservable: nothing is gained by keeping it.
       if (waiting.has(prompt) && prompt.getUpstreams().length === 0) {
         refuse(prompt, "no-upstream");
       }
     },
-    remove: (prompt) => takeOut(prompt, false),
+    remove: (prompt) => removeWaiting(prompt, false),
     tryRefuseEarly,
     tick() {
       refuseLate();
-      startAll();
-      tellUnderserved();
+      startWaiting();
+      reportUnderserved();
     },
     getCount: () => waiting.size,
   };
 }
 
 function getLeastBusy(
-  choices: readonly RankedUpstream[],
+  upstreams: readonly RankedUpstream[],
   getLoad: (upstream: string) => UpstreamLoad,
 ): RankedUpstream {
-  const getBusy = ({ upstream }: RankedUpstream) => getLoad(upstream).inFlight;
+  const getInFlight = ({ upstream }: RankedUpstream) =>
+    getLoad(upstream).inFlight;
   // Of equals the first, so that shared parts stay where they are.
-  return choices.reduce((least, each) =>
-    getBusy(each) < getBusy(least) ? each : least
+  return upstreams.reduce((least, each) =>
+    getInFlight(each) < getInFlight(least) ? each : least
   );
 }
 
@@ -334,7 +339,7 @@
 }
 
 /** What room is asked for. */
-export interface Need {
+export interface RoomRequest {
   /** What the prompt counts for. */
   readonly readingTokens: number;
   /** Share of the slots that may be in use. */
@@ -342,18 +347,20 @@
   /** What may be read at the upstream at once. */
   readonly limitTokens: number;
   /** What prompts that don't yield may have read there at once. */
-  readonly fullTokens: number;
+  readonly fullLimitTokens: number;
   /** It leaves the upstream to prompts of underserved teams. */
-  readonly givesWay: boolean;
+  readonly yieldsToUnderserved: boolean;
 }
 
 /** Whether an upstream has room for a prompt. */
-export function decideRoom(load: UpstreamLoad, need: Need): boolean {
-  if (load.inFlight >= load.slots * need.slotShare) return false;
-  const readingTokens = load.readingTokens + need.readingTokens;
-  const isBeside = readingTokens <= need.limitTokens;
+export function hasRoom(load: UpstreamLoad, request: RoomRequest): boolean {
+  if (load.inFlight >= load.slots * request.slotShare) return false;
+  const readingTokens = load.readingTokens + request.readingTokens;
+  const isWithinLimit = readingTokens <= request.limitTokens;
   // A prompt that counts for more than the limit starts where nothing is read.
-  if (!isBeside && load.readingTokens > 0) return false;
-  const leavesRoom = readingTokens + need.readingTokens <= need.fullTokens;
-  return leavesRoom || !need.givesWay || load.underservedElsewhere === 0;
+  if (!isWithinLimit && load.readingTokens > 0) return false;
+  const leavesRoomForNext =
+    readingTokens + request.readingTokens <= request.fullLimitTokens;
+  return leavesRoomForNext || !request.yieldsToUnderserved ||
+    load.underservedElsewhere === 0;
 }
--- a/src/queue/prompt_queue_test.ts
+++ b/src/queue/prompt_queue_test.ts
@@ -4,13 +4,12 @@
 import type { QueueInputs } from "../diagnostics/mod.ts";
 import {
   createPromptQueue,
-  decideRoom,
   defaultPromptQueueOptions,
+  hasRoom,
 } from "./prompt_queue.ts";
 import type { WaitingPrompt } from "./types.ts";
 
-const { overShareLimit, inefficientLimit: inefficientLimit } =
-  defaultPromptQueueOptions;
+const { overShareLimit, inefficientLimit } = defaultPromptQueueOptions;
 
 /** What an upstream may have to read at once. */
 const LIMIT_TOKENS = 15_000;
@@ -22,7 +21,7 @@
   readonly sharedTokens?: number;
   readonly workTokens?: number;
   /** Service for a token of work; 60 is the mean. */
-  readonly serviceYield?: number;
+  readonly efficiency?: number;
   readonly ranked?: readonly string[];
 }
 
@@ -30,17 +29,17 @@
 function createFixture() {
   let nowMs = 0;
   let prompts = 0;
-  let looks = 0;
+  let loadReads = 0;
   const loads = new Map<string, { inFlight: number; readingTokens: number }>();
   const overShare = new Set<string>();
-  const ahead = new Set<string>();
+  const overserved = new Set<string>();
   const underservedTeams = new Set<string>();
   /** Prompts of underserved teams at other hosts, by upstream. */
   const underserved = new Map<string, number>();
-  const told: Readonly<Record<string, number>>[] = [];
+  const underservedReports: Readonly<Record<string, number>>[] = [];
   const log: string[] = [];
   /** Requests whose callers have left. */
-  const gone = new Set<string>();
+  const disconnected = new Set<string>();
   const randoms: number[] = [];
   const retryAfterMs: number[] = [];
   const refusals: QueueInputs[] = [];
@@ -49,14 +48,14 @@
   const queue = createPromptQueue({
     nowMs: () => nowMs,
     getLoad(upstream) {
-      looks++;
+      loadReads++;
       const underservedElsewhere = underserved.get(upstream) ?? 0;
       return { slots: 48, ...getUse(upstream), underservedElsewhere };
     },
-    isOverserved: (team) => ahead.has(team),
+    isOverserved: (team) => overserved.has(team),
     isUnderserved: (team) => underservedTeams.has(team),
     onUnderservedWaiting: (prompts) =>
-      void told.push(Object.fromEntries(prompts)),
+      void underservedReports.push(Object.fromEntries(prompts)),
     getShareUsed: (team) => overShare.has(team) ? 2 : 0.5,
     getMeanEfficiency: () => 60,
     getLimitTokens: () => LIMIT_TOKENS,
@@ -70,8 +69,11 @@
   function add(options: PromptOptions = {}): WaitingPrompt {
     const { team = "calm", readingTokens = 6_000, ranked = ["a", "b"] } =
       options;
-    const { sharedTokens = 18_000, workTokens = 200, serviceYield = 60 } =
-      options;
+    const {
+      sharedTokens = 18_000,
+      workTokens = 200,
+      efficiency = 60,
+    } = options;
     const request = `${team}-${++prompts}`;
     const prompt: WaitingPrompt = {
       request,
@@ -80,9 +82,9 @@
       route: "drafts",
       arrivedMs: nowMs,
       targetMs: 800,
-      serviceTokens: workTokens * serviceYield,
+      serviceTokens: workTokens * efficiency,
       workTokens,
-      isCallerConnected: () => !gone.has(request),
+      isCallerConnected: () => !disconnected.has(request),
       // All but the first have a shared part of 13,300 tokens to read as well.
       getUpstreams: () =>
         ranked.map((upstream, at) => ({
@@ -107,18 +109,18 @@
     queue,
     log,
     add,
-    gone,
+    disconnected,
     overShare,
-    ahead,
+    overserved,
     underservedTeams,
     underserved,
-    told,
+    underservedReports,
     randoms,
     retryAfterMs,
     refusals,
     getUse,
-    getLooks: () => looks,
-    resetLooks: () => looks = 0,
+    getLoadReads: () => loadReads,
+    resetLoadReads: () => loadReads = 0,
     advance(ms: number) {
       nowMs += ms;
       queue.tick();
@@ -140,7 +142,7 @@
   // Guards against a flood that starts before calm teams, and against upstreams
   // that idle beside it.
   const fixture = createFixture();
-  fixture.ahead.add("flood");
+  fixture.overserved.add("flood");
   fixture.getUse("a").readingTokens = LIMIT_TOKENS;
   fixture.add({ ranked: ["a"] });
   fixture.add({ team: "flood", ranked: ["a"] });
@@ -152,7 +154,7 @@
 test("a team that is ahead fills no upstream for which an underserved one waits", () => {
   // Guards against teams that get less the fewer hosts their callers use.
   const fixture = createFixture();
-  fixture.ahead.add("flood");
+  fixture.overserved.add("flood");
   fixture.underserved.set("a", 1);
   fixture.add({ team: "flood", ranked: ["a"], readingTokens: 9_000 });
   deepStrictEqual(fixture.log, []);
@@ -168,7 +170,7 @@
   fixture.add({ ranked: ["a"] });
   fixture.add({ ranked: ["a"] });
   fixture.getUse("a").inFlight = 0;
-  fixture.gone.add("calm-2");
+  fixture.disconnected.add("calm-2");
   fixture.advance(100);
   deepStrictEqual(fixture.log, ["calm-1 to a"]);
 });
@@ -372,13 +374,13 @@
     readingTokens: 100_000,
     slotShare: 0.6,
     limitTokens: 15_000,
-    fullTokens: LIMIT_TOKENS,
-    givesWay: false,
+    fullLimitTokens: LIMIT_TOKENS,
+    yieldsToUnderserved: false,
   };
-  strictEqual(decideRoom(idle, need), true);
-  strictEqual(decideRoom({ ...idle, readingTokens: 1_200 }, need), false);
+  strictEqual(hasRoom(idle, need), true);
+  strictEqual(hasRoom({ ...idle, readingTokens: 1_200 }, need), false);
   const busy = { ...idle, readingTokens: 15_000 };
-  strictEqual(decideRoom(busy, { ...need, readingTokens: 1_200 }), false);
+  strictEqual(hasRoom(busy, { ...need, readingTokens: 1_200 }), false);
 });
 
 test("the longest prompts start though their upstream never stops reading", () => {
@@ -436,10 +438,10 @@
   fixture.add({ team: "poor", ranked: ["a"] });
   fixture.add({ team: "poor", ranked: ["a"] });
   fixture.add({ ranked: ["a"] });
-  deepStrictEqual(fixture.told.at(-1), { a: 2 });
+  deepStrictEqual(fixture.underservedReports.at(-1), { a: 2 });
   fixture.getUse("a").inFlight = 0;
   fixture.advance(0);
-  deepStrictEqual(fixture.told.at(-1), {});
+  deepStrictEqual(fixture.underservedReports.at(-1), {});
 });
 
 test("a team over its share is refused at once what would wait in vain", () => {
@@ -483,9 +485,9 @@
   }
   for (const waitedMs of [0, 400]) {
     fixture.advance(waitedMs);
-    fixture.resetLooks();
+    fixture.resetLoadReads();
     fixture.queue.tick();
     strictEqual(fixture.queue.getCount(), 50);
-    ok(fixture.getLooks() <= 60);
+    ok(fixture.getLoadReads() <= 60);
   }
 });
