--- a/src/queue/prompt_load_test.ts
+++ b/src/queue/prompt_load_test.ts
@@ -19,7 +19,7 @@
 const FACTORS = [0.4, 0.7, 1, 1.3];
 
 /** Of the share on time, over the factors. */
-const LEAST_MEAN_GAIN = 0.024;
+const MIN_MEAN_GAIN = 0.024;
 
 /** Engines, and the longest pause of their answers that is on time, in ms. */
 interface Engines {
@@ -30,13 +30,13 @@
 const wide: Engines = { engine: wideEngine, pauseTargetMs: 400 };
 const narrow: Engines = { engine: narrowEngine, pauseTargetMs: 300 };
 
-const ours: PromptPolicy = {
+const currentPolicy: PromptPolicy = {
   queue: defaultPromptQueueOptions,
   isLoadShared: true,
 };
 
 /** Means over the seeds, of seven hosts and a tenth of the load from one team. */
-function playAll(
+function simulateAll(
   policy: PromptPolicy,
   factor: number,
   engines: Engines = wide,
@@ -53,7 +53,9 @@
   ));
 }
 
-const now = FACTORS.map((factor) => playAll(ours, factor));
+const currentResults = FACTORS.map((factor) =>
+  simulateAll(currentPolicy, factor)
+);
 
 test("on busy days more answers are on time when less is read at once", () => {
   // Prompts are read beside the answers, whose pauses grow past their target:
@@ -62,13 +64,16 @@
   // Share on time before and now, over ten seeds: calm 0.899 and 0.911, busy 0.762
   // and 0.775, heavy 0.545 and 0.585, three times the calm load 0.332 and 0.374.
   const gains = FACTORS.map((factor, at) => {
-    const before = playAll(earlierPolicy, factor).onTime;
-    const gain = now[at]!.onTime - before;
-    ok(gain > 0, `${now[at]!.onTime}, before ${before} at ${factor}`);
+    const before = simulateAll(earlierPolicy, factor).onTime;
+    const gain = currentResults[at]!.onTime - before;
+    ok(
+      gain > 0,
+      `${currentResults[at]!.onTime}, before ${before} at ${factor}`,
+    );
     return gain;
   });
   const mean = gains.reduce((sum, each) => sum + each, 0) / gains.length;
-  ok(mean > LEAST_MEAN_GAIN, `${gains}`);
+  ok(mean > MIN_MEAN_GAIN, `${gains}`);
 });
 
 test("whatever the engines, the learned limit comes near the best fixed one", () => {
@@ -80,9 +85,9 @@
   const limits = [7_000, 14_000, 28_000, 56_000, 112_000];
   for (const engines of [wide, narrow]) {
     for (const factor of [0.4, 0.7]) {
-      const learned = playAll(ours, factor, engines).onTime;
+      const learned = simulateAll(currentPolicy, factor, engines).onTime;
       const fixed = limits.map((limitTokens) =>
-        playAll({ ...ours, limitTokens }, factor, engines).onTime
+        simulateAll({ ...currentPolicy, limitTokens }, factor, engines).onTime
       );
       const best = Math.max(...fixed);
       ok(learned > best - 0.03, `${learned} of ${fixed} at ${factor}`);
@@ -97,8 +102,8 @@
   // 0.69, the engines that the limit was made for 0.41 and 0.58 when overloaded.
   const loads = [[0.7, narrow], [1.3, wide]] as const;
   for (const [factor, engines] of loads) {
-    const before = playAll(fixedPolicy, factor, engines).longServed;
-    const after = playAll(ours, factor, engines).longServed;
+    const before = simulateAll(fixedPolicy, factor, engines).longServed;
+    const after = simulateAll(currentPolicy, factor, engines).longServed;
     ok(after > before + 0.05, `${after}, before ${before}`);
   }
 });
@@ -108,7 +113,7 @@
   // not be what pays for everybody else's answers: it carries the longest
   // histories.
   FACTORS.forEach((factor, at) => {
-    const { served, longServed } = now[at]!;
+    const { served, longServed } = currentResults[at]!;
     ok(longServed > served / 2, `${longServed} of ${served} at ${factor}`);
   });
 });
--- a/src/queue/shared_capacity_test.ts
+++ b/src/queue/shared_capacity_test.ts
@@ -14,30 +14,30 @@
 const LINK_MS = 8;
 const REPORT_MS = 100;
 const TICK_MS = 10;
-const PLAYED_MS = 20_000;
+const SIMULATED_MS = 20_000;
 
 /** A team; without a weight it asks for as many tokens as each other. */
-interface PlayedTeam {
+interface SimulatedTeam {
   /** Hosts that its callers use in turn. */
   readonly hosts: readonly number[];
   /** What it asks for, over an even part of the demand. */
   readonly weight?: number;
 }
 
-interface PlayOptions {
+interface SimulationOptions {
   /** Tokens that the teams ask for together, over what upstreams read. */
-  readonly demand: number;
+  readonly demandFactor: number;
   /** Of each prompt; nothing of it is shared. */
   readonly promptTokens: number;
-  readonly teams: readonly PlayedTeam[];
+  readonly teams: readonly SimulatedTeam[];
   /** Of each host's answers, those that pause past their target. */
   readonly lateShares: readonly number[];
   /** What operators state that upstreams do, over what they read. */
-  readonly statedFactor?: number;
+  readonly statedCapacityFactor?: number;
 }
 
 /** What a team asked for and got, in prompts. */
-interface Served {
+interface PromptCounts {
   readonly asked: number;
   readonly begun: number;
   /** The part of what it asked for that it got. */
@@ -48,7 +48,7 @@
  * Hosts before two upstreams that read one prompt after the other; gives what
  * each team got.
  */
-function play(options: PlayOptions): readonly Served[] {
+function simulate(options: SimulationOptions): readonly PromptCounts[] {
   const { promptTokens } = options;
   const agenda = createAgenda();
   const { clock } = agenda;
@@ -68,7 +68,8 @@
       getDigest: getNameDigest,
       isAlive: () => true,
       getStatedCapacity: () =>
-        TOKENS_PER_MS * UPSTREAMS.length * 1_000 * (options.statedFactor ?? 1),
+        TOKENS_PER_MS * UPSTREAMS.length * 1_000 *
+        (options.statedCapacityFactor ?? 1),
       getLearned: () => [{
         ...pacing.getEvidence(),
         service: getNameDigest(SERVICE),
@@ -122,7 +123,7 @@
       });
     }
 
-    function ask(teamAt: number): void {
+    function submit(teamAt: number): void {
       const first = Math.floor(random() * UPSTREAMS.length);
       const team = `team-${teamAt}`;
       asked[teamAt]!++;
@@ -150,10 +151,10 @@
       });
     }
 
-    return { sums, queue, ask };
+    return { sums, queue, ask: submit };
   });
 
-  const perMs = options.demand * TOKENS_PER_MS * UPSTREAMS.length;
+  const perMs = options.demandFactor * TOKENS_PER_MS * UPSTREAMS.length;
   const periodMs = promptTokens * options.teams.length / perMs;
   options.teams.forEach(({ hosts: used, weight = 1 }, at) => {
     agenda.every(periodMs / weight, () => {
@@ -174,7 +175,7 @@
       }
     }
   });
-  agenda.runUntil(PLAYED_MS);
+  agenda.runUntil(SIMULATED_MS);
   return options.teams.map((_, at) => ({
     asked: asked[at]!,
     begun: begun[at]!,
@@ -182,7 +183,7 @@
   }));
 }
 
-function getShares(teams: readonly Served[]): readonly number[] {
+function getShares(teams: readonly PromptCounts[]): readonly number[] {
   return teams.map((each) => each.share);
 }
 
@@ -194,8 +195,8 @@
   // Hosts that learn the limit of reading alone differ by far; the room at an
   // upstream is common, and the widest takes all of it.
   for (const demand of [1.2, 2]) {
-    const shares = getShares(play({
-      demand,
+    const shares = getShares(simulate({
+      demandFactor: demand,
       promptTokens: 2_800,
       teams: [{ hosts: [0] }, { hosts: [1] }],
       lateShares: [0.2, 0],
@@ -209,8 +210,8 @@
   // upstream that has read all; six win six times of seven, whoever their team is.
   for (const promptTokens of [2_800, 8_000, 17_000]) {
     for (const demand of [2, 4]) {
-      const shares = getShares(play({
-        demand,
+      const shares = getShares(simulate({
+        demandFactor: demand,
         promptTokens,
         teams: [{ hosts: [0] }, { hosts: [1, 2, 3, 4, 5, 6] }],
         lateShares: Array.from({ length: 7 }, () => 0.3),
@@ -226,21 +227,21 @@
   // such a share, so the team with the most hosts takes what there is.
   for (const promptTokens of [2_800, 8_000, 17_000]) {
     for (const statedFactor of [1, 3, 10]) {
-      const [calm, flood] = play({
-        demand: 3,
+      const [steady, overloading] = simulate({
+        demandFactor: 3,
         promptTokens,
         teams: [
           { hosts: [0, 1], weight: 0.3 },
           { hosts: [0, 1, 2, 3, 4, 5, 6], weight: 1.7 },
         ],
         lateShares: Array.from({ length: 7 }, () => 0.3),
-        statedFactor,
+        statedCapacityFactor: statedFactor,
       });
-      const due = Math.min(calm!.asked, flood!.begun) / 2;
-      const what = `${calm!.begun} of ${due} due, ${
-        flood!.begun
+      const due = Math.min(steady!.asked, overloading!.begun) / 2;
+      const what = `${steady!.begun} of ${due} due, ${
+        overloading!.begun
       } for the flood`;
-      ok(calm!.begun >= due, `${what}; ${promptTokens}, ${statedFactor}`);
+      ok(steady!.begun >= due, `${what}; ${promptTokens}, ${statedFactor}`);
     }
   }
 });
