--- a/src/queue/backlog.ts
+++ b/src/queue/backlog.ts
@@ -1,9 +1,11 @@
 /**
- * Decides whether one more prompt of a team would wait in vain.
+ * Tracks how many prompts of each team and route wait at this host and how fast
+ * they start, to decide whether one more prompt could still start in time.
  *
  * Load: a team sends many times its share. Harm prevented: each of its prompts
- * waits for half a second and is refused then, which its caller could have been
- * told at once; hundreds that wait cost the host the time that others need.
+ * waits for half a second before it is refused, although its caller could have
+ * been told at once, and hundreds of waiting prompts take processing time that
+ * the host needs for other teams.
  *
  * @module
  */
@@ -11,33 +13,41 @@
 import { getOrCreate } from "../core/mod.ts";
 import { createRate, type Rate } from "../load/mod.ts";
 
-/** Prompts that are alike in what they wait for. */
+/** Groups prompts that wait for the same upstreams. */
 export interface BacklogKey {
   readonly team: string;
   readonly route: string;
 }
 
-/** The prompts that wait at one host, by team and route. */
+/** Waiting prompts of one host, by team and route. */
 export interface PromptBacklogTracker {
   recordAdded(key: BacklogKey): void;
-  /** It has left the queue, started or not. */
+  /**
+   * Records that a prompt has left the queue, whether or not it was started.
+   */
   recordRemoved(key: BacklogKey, isStarted: boolean): void;
   getBacklog(key: BacklogKey): PromptBacklog;
 }
 
-/** What waits, and how fast it starts. */
+/** Number of waiting prompts of one group, and their recent start rate. */
 export interface PromptBacklog {
   readonly waiting: number;
   readonly startedPerSecond: number;
 }
 
-/** How fast prompts start fades to a half in so long, in ms. */
+/** Half-life of the decaying start rate. */
 const HALF_LIFE_MS = 1_000;
 
-/** So many may always wait: whether they start at all must be found out. */
+/**
+ * This many prompts of a group may always wait. Without them the start rate
+ * would stay unknown.
+ */
 const MIN_ALLOWED_WAITING = 4;
 
-/** So many times as many may wait as would start: room may appear. */
+/**
+ * Prompts that may wait, relative to the number expected to start in time. The
+ * margin allows for upstreams that become free.
+ */
 const HEADROOM_FACTOR = 1.5;
 
 interface TrackedBacklog {
@@ -45,7 +55,7 @@
   readonly started: Rate;
 }
 
-/** Makes the counts of a host where nothing waits. */
+/** Creates a tracker for a host with an empty queue. */
 export function createPromptBacklogTracker(
   nowMs: () => number,
 ): PromptBacklogTracker {
@@ -71,7 +81,9 @@
   };
 }
 
-/** Whether more wait than can start within the wait given, in ms. */
+/**
+ * Whether more prompts wait than are expected to start within the time given.
+ */
 export function isTooLong(
   backlog: PromptBacklog,
   maxWaitMs: number,
--- a/src/queue/mod.ts
+++ b/src/queue/mod.ts
@@ -1,5 +1,5 @@
 /**
- * Where admitted requests wait for a slot.
+ * Queues of admitted requests that wait for an upstream.
  *
  * @module
  */
--- a/src/queue/prompt_load_test.ts
+++ b/src/queue/prompt_load_test.ts
@@ -14,14 +14,15 @@
 } from "../testing/emulated_engine.ts";
 import { defaultPromptQueueOptions } from "./prompt_queue.ts";
 
-/** With four of them a single factor's figure differs by 0.03 by chance. */
+/** With only four seeds the result at a single factor varies by 0.03. */
 const SEEDS = Array.from({ length: 10 }, (_, at) => at + 1);
+/** Loads, relative to a heavy day. */
 const FACTORS = [0.4, 0.7, 1, 1.3];
 
-/** Of the share on time, over the factors. */
+/** Least mean gain in the share of answers on time, over all factors. */
 const MIN_MEAN_GAIN = 0.024;
 
-/** Engines, and the longest pause of their answers that is on time, in ms. */
+/** Engine figures, and the target for pauses within their answers, in ms. */
 interface Engines {
   readonly engine: EngineFigures;
   readonly pauseTargetMs: number;
@@ -35,7 +36,10 @@
   isLoadShared: true,
 };
 
-/** Means over the seeds, of seven hosts and a tenth of the load from one team. */
+/**
+ * Simulates seven hosts, with a tenth of the load from one team. Returns means
+ * over the seeds.
+ */
 function simulateAll(
   policy: PromptPolicy,
   factor: number,
@@ -57,12 +61,14 @@
   simulateAll(currentPolicy, factor)
 );
 
-test("on busy days more answers are on time when less is read at once", () => {
-  // Prompts are read beside the answers, whose pauses grow past their target:
-  // callers see half an answer, then nothing for half a second. And the queue
-  // serves what has waited longest, so that it is late by the time it starts.
-  // Share on time before and now, over ten seeds: calm 0.899 and 0.911, busy 0.762
-  // and 0.775, heavy 0.545 and 0.585, three times the calm load 0.332 and 0.374.
+test("limiting concurrent prefill puts more answers on time on busy days", () => {
+  // Guards against two failures. An upstream that prefills much at once delays
+  // the answers that it generates: callers see half an answer, then nothing for
+  // half a second. And a queue that serves the oldest prompts first starts each
+  // one when it is already late. Share on time over ten seeds, with
+  // `earlierPolicy` and with the default one: calm 0.899 and 0.911, busy 0.762
+  // and 0.775, heavy 0.545 and 0.585, three times the calm load 0.332 and
+  // 0.374.
   const gains = FACTORS.map((factor, at) => {
     const before = simulateAll(earlierPolicy, factor).onTime;
     const gain = currentResults[at]!.onTime - before;
@@ -76,12 +82,13 @@
   ok(mean > MIN_MEAN_GAIN, `${gains}`);
 });
 
-test("whatever the engines, the learned limit comes near the best fixed one", () => {
-  // With the limit that is right for engines that read 4,096 tokens between two
-  // steps, engines that read half as fast and an eighth at once are given more
-  // than they read in time, and the other way round: the answers come late, or
-  // prompts are refused while engines could read. No deployment's figure may
-  // stand in the code. Allowed loss against the best of five fixed limits: 0.03.
+test("the learned limit is close to the best fixed limit with any engines", () => {
+  // Guards against a limit that fits the engines of one deployment only. The
+  // right limit for engines that prefill 4,096 tokens between two steps is more
+  // than engines with half the speed and an eighth of the step size can prefill
+  // in time, so that answers are late. The other way round, prompts are refused
+  // although the engines have capacity. The loss against the best of five fixed
+  // limits may be at most 0.03.
   const limits = [7_000, 14_000, 28_000, 56_000, 112_000];
   for (const engines of [wide, narrow]) {
     for (const factor of [0.4, 0.7]) {
@@ -96,10 +103,11 @@
 });
 
 test("the longest prompts are served where a fixed limit refuses them", () => {
-  // A limit fixed for other engines, below which the longest prompts start only
-  // where nothing is being read, leaves them waiting while others pass.
-  // Of the longest served before and now, over ten seeds: slow engines 0.56 and
-  // 0.69, the engines that the limit was made for 0.41 and 0.58 when overloaded.
+  // Guards against a fixed limit that is smaller than the longest prompts. They
+  // start only at an upstream that prefills nothing, and wait while others
+  // start. Share of the longest prompts served over ten seeds, with the fixed
+  // limit and with the learned one: slow engines 0.56 and 0.69; the engines for
+  // which the limit was fixed, under overload, 0.41 and 0.58.
   const loads = [[0.7, narrow], [1.3, wide]] as const;
   for (const [factor, engines] of loads) {
     const before = simulateAll(fixedPolicy, factor, engines).longServed;
@@ -108,10 +116,10 @@
   }
 });
 
-test("prompts that take longest are served more than half as often as all", () => {
-  // What takes longest to read waits for an upstream that reads nothing. It must
-  // not be what pays for everybody else's answers: it carries the longest
-  // histories.
+test("the longest prompts are served more than half as often as all prompts", () => {
+  // Guards against a policy that serves the other prompts at the expense of the
+  // longest ones, which wait for an upstream that prefills nothing. They carry
+  // the longest histories.
   FACTORS.forEach((factor, at) => {
     const { served, longServed } = currentResults[at]!;
     ok(longServed > served / 2, `${longServed} of ${served} at ${factor}`);
--- a/src/queue/prompt_queue.ts
+++ b/src/queue/prompt_queue.ts
@@ -1,30 +1,34 @@
 /**
- * Decides which waiting prompt is sent next, to which upstream, and which is
- * refused.
+ * Decides which waiting prompt is sent next and to which upstream, and which
+ * prompts are refused.
  *
- * Load: more prompts than the upstreams read in time, from teams of which some
- * send seven times their share. Harm prevented:
- * - Prompts that are read at the same time delay each other and every answer
- *   beside them, and what waits inside an upstream can neither be refused nor
- *   put in a fair order. So all hosts together give an upstream a bounded number
- *   of tokens to read, learned while serving (`pacing/`), and no more requests
- *   than a share of its slots; the rest waits here.
- * - A team that floods would stand before all others. So a team that has had
- *   more than its share goes last, and leaves a part of each upstream free.
- * - Where one prompt fills an upstream, hosts take turns there and not teams, so
- *   that a team with few hosts gets the least. So a team over its share, or ahead
- *   of others while upstreams give less than is asked, starts nothing that fills
- *   an upstream for which an underserved team's prompt waits.
- * - Operators may state more than upstreams do. Nobody is over a share of that, so
- *   teams that are ahead go last, too; they keep the room that nobody waits for.
- * - A request that waits past its use holds the place of one that could still
- *   be on time. So the newest go first, and one is refused as soon as it is too
- *   late, with when to come back.
- * - After a long turn of the event loop much of what waits is late. So what is too
- *   late is refused before anything starts, and nothing starts for a caller that
- *   has left.
- * - A shared part that is read at a second upstream takes that one's time from all
- *   others. So a prompt leaves its own upstream only for one that idles.
+ * Load: more prompts than the upstreams can prefill in time, from teams of
+ * which some send seven times their share. Harm prevented:
+ * - Prompts that an upstream prefills at the same time delay each other and
+ *   every answer that it generates meanwhile, and a request that waits inside
+ *   an upstream can neither be refused nor be put in a fair order. All hosts
+ *   together therefore give an upstream a limited number of tokens to prefill,
+ *   learned at run time (`pacing/`), and requests for no more than a share of
+ *   its slots. All other prompts wait here.
+ * - A team that sends far more than its share would delay all others. Teams
+ *   over their share therefore go last and leave a part of each upstream free.
+ * - Where one prompt uses up the prefill limit of an upstream, hosts take turns
+ *   at it rather than teams, and the team with the fewest hosts gets the least.
+ *   A team over its share, or overserved while capacity is short, therefore
+ *   starts no prompt that would fill an upstream for which an underserved
+ *   team's prompt waits.
+ * - Operators may state more capacity than the upstreams have. No team exceeds
+ *   its share of that, so overserved teams go last as well. They may use all
+ *   room for which no other team's prompt waits.
+ * - A prompt that has waited too long takes the place of one that could still
+ *   meet its target. The newest therefore go first, and a prompt is refused as
+ *   soon as it is too late, with the time after which to retry.
+ * - After a long event-loop iteration many waiting prompts are late. Late
+ *   prompts are therefore refused before any prompt starts, and no prompt
+ *   starts for a caller that has disconnected.
+ * - Prefilling a shared prefix at a second upstream takes prefill time from all
+ *   other prompts there. A prompt therefore leaves the upstreams chosen by its
+ *   prefix only for an idle one.
  *
  * @module
  */
@@ -45,29 +49,35 @@
 } from "./types.ts";
 
 /**
- * The newest first. Under overload the oldest are those that will be late anyhow;
- * served first, they make all that come after them late as well.
+ * Sorts the newest prompts first. Under overload the oldest will miss their
+ * targets in any case; served first, they would make all later prompts late as
+ * well.
  */
 export function compareNewestFirst(a: WaitingPrompt, b: WaitingPrompt): number {
   return b.arrivedMs - a.arrivedMs;
 }
 
 /**
- * - A part of the slots stays free: with more in flight each answer takes longer,
- *   and hosts send for a tenth of a second before they know of each other.
- * - Prompts that yield (of a team over its share, or sparse) leave a quarter of
- *   the slots, and half of the reading, to the others. With no reading beside
- *   others, short prompts of teams over their share would starve.
- * - A prompt with little to share goes to the less busy of two upstreams, or of
- *   the next two.
- * - Counted whole, prompts larger than the limit would start only where nothing is
- *   read, which under load is nowhere; counted for less than three quarters they
- *   displace too many others.
- * - A prompt goes elsewhere right before its refusal, and only to an upstream that
- *   has nothing at all to do: a shared part that is read again there makes every
- *   answer beside it pause.
- * - The rest of the target leaves an upstream the time to read the prompt.
- * - After a second a queue of so short waits holds others.
+ * The default policy:
+ * - `limit`: some slots stay free. With more requests in flight each answer
+ *   takes longer, and hosts start prompts for a tenth of a second before they
+ *   learn of each other's requests.
+ * - `inefficientLimit`, `overShareLimit`: prompts that yield (inefficient ones,
+ *   and those of teams over their share) leave a quarter of the slots, and half
+ *   of the prefill limit, to the others. If they could not prefill beside
+ *   others at all, short prompts of teams over their share would starve.
+ * - `negligibleTokens`: a prompt with a short shared prefix goes to the less
+ *   busy of two upstreams, or of the next two.
+ * - `maxCountedShare`: counted in full, prompts larger than the limit would
+ *   start only at an upstream that prefills nothing, which is rare under load.
+ *   Counted for less than three quarters of the limit, they displace too many
+ *   others.
+ * - `spilloverShare`: a prompt goes to another upstream only shortly before it
+ *   would be refused, and only to an idle one. Prefilling its shared prefix
+ *   again at a busy upstream delays every answer there.
+ * - `maxWaitShare`: the rest of the target time is left for the prefill.
+ * - `retryAfterMs`: with waits this short, the queue has been replaced after a
+ *   second.
  */
 export const defaultPromptQueueOptions: PromptQueueOptions = {
   limit: { slotShare: 0.6, readingShare: 1 },
@@ -84,43 +94,51 @@
 };
 
 /**
- * Below this share of the mean yield a prompt is sparse. Prompts of one kind
- * differ by their answers' lengths; kinds differ by ten times.
+ * A prompt whose efficiency is below this share of the mean is inefficient.
+ * Prompts of one kind differ only by the lengths of their answers, but kinds of
+ * prompts differ by a factor of ten.
  */
 const INEFFICIENT_SHARE = 1 / 3;
 
 /**
- * Upstreams among which the least busy gets a prompt with little to share; the
- * next so many where none of these has room. Of two one is little busy, and each
- * more keeps a copy of the shared parts, which together push longer ones out of
- * memory.
+ * Number of upstreams among which the least busy gets a prompt with a short
+ * shared prefix; if none has room, the next group is tried. Of two upstreams
+ * one usually has little load. Each further upstream caches a copy of the short
+ * prefixes, which together evict longer ones.
  */
 const SIMILAR_GROUP_SIZE = 2;
 
-/** Upstreams looked at for one; a look at sixty costs seven times as much. */
+/**
+ * Upstreams considered for a prompt with a short shared prefix; considering
+ * sixty costs seven times as much.
+ */
 const MAX_SIMILAR = 8;
 
 /**
- * Callers that are refused together come back over half of the time that they
- * are told on average: at one moment they would be a burst again.
+ * Retry times are spread over this share of their mean. Callers that were
+ * refused together would otherwise return together as another burst.
  */
 const RETRY_SPREAD = 0.5;
 
+/** A waiting prompt with its priority in the present pass. */
 interface PrioritisedPrompt {
   readonly prompt: WaitingPrompt;
   readonly yields: 0 | 1 | 2;
-  /** Its team has had more than others that wait. */
+  /** Whether its team is over its share or overserved, and so goes last. */
   readonly isDeprioritised: boolean;
 }
 
-/** Makes an empty queue. */
+/** Creates an empty queue. */
 export function createPromptQueue(
   host: PromptQueueHost,
   options: PromptQueueOptions = defaultPromptQueueOptions,
 ): PromptQueue {
   const waiting = new Set<WaitingPrompt>();
   const backlogTracker = createPromptBacklogTracker(host.nowMs);
-  /** Loads seen in the present look; asked once each, not by every prompt. */
+  /**
+   * Loads of the upstreams in the present pass. Each is computed once, not for
+   * every prompt.
+   */
   const loadCache = new Map<string, UpstreamLoad>();
   const limits = [
     options.limit,
@@ -166,13 +184,13 @@
     return upstreams.find((each) => !similar.includes(each) && isIdle(each));
   }
 
-  /** Whether reading a shared part again there holds up nothing. */
+  /** Whether prefilling a shared prefix again there would delay nothing. */
   function isIdle({ upstream }: RankedUpstream): boolean {
     const { inFlight, readingTokens } = getLoad(upstream);
     return readingTokens <= 0 && inFlight <= 0;
   }
 
-  /** Takes a prompt out; false when it had left already. */
+  /** Removes a prompt; false when it was no longer in the queue. */
   function removeWaiting(prompt: WaitingPrompt, isStarted: boolean): boolean {
     if (!waiting.delete(prompt)) return false;
     backlogTracker.recordRemoved(prompt, isStarted);
@@ -188,13 +206,16 @@
     prompt.start(upstream, { readingTokens, queuedTokens });
   }
 
-  /** 0 for a prompt that yields to none, 2 for one that yields to all. */
+  /**
+   * 0: yields to no others. 1: inefficient, yields to those of level 0. 2: of a
+   * team over its share, yields to all others.
+   */
   function getYieldLevel(prompt: WaitingPrompt): 0 | 1 | 2 {
     if (host.getShareUsed(prompt.team) > 1) return 2;
     return isInefficient(prompt, host.getMeanEfficiency()) ? 1 : 0;
   }
 
-  /** Those that yield least first. */
+  /** Sorts the waiting prompts by priority, the highest first. */
   function getInPriorityOrder(): readonly PrioritisedPrompt[] {
     const prompts = [...waiting].map((prompt) => {
       const yields = getYieldLevel(prompt);
@@ -218,7 +239,10 @@
     }
   }
 
-  /** Other hosts leave the upstreams to these. */
+  /**
+   * Reports the waiting prompts of underserved teams, for which overserved
+   * teams at other hosts leave room.
+   */
   function reportUnderserved(): void {
     const prompts = new Map<string, number>();
     for (const prompt of waiting) {
@@ -252,7 +276,9 @@
     return options.retryAfterMs * (1 + RETRY_SPREAD * (host.random() - 0.5));
   }
 
-  /** Only for teams over their share: what others ask for is owed to them. */
+  /**
+   * Applies only to teams over their share; others are entitled to their share.
+   */
   function tryRefuseEarly(prompt: NewPrompt): PromptRefusal | undefined {
     if (!options.refusesEarly) return undefined;
     const { team, targetMs } = prompt;
@@ -290,12 +316,12 @@
 
   return {
     add(prompt) {
-      // Behind others it takes its turn at the next look.
+      // A prompt behind others waits for the next scheduling pass.
       const wasEmpty = waiting.size === 0;
       waiting.add(prompt);
       backlogTracker.recordAdded(prompt);
       if (wasEmpty) startWaiting();
-      // Known to be unservable: nothing is gained by keeping it.
+      // No upstream can serve the prompt, so waiting would gain nothing.
       if (waiting.has(prompt) && prompt.getUpstreams().length === 0) {
         refuse(prompt, "no-upstream");
       }
@@ -317,18 +343,18 @@
 ): RankedUpstream {
   const getInFlight = ({ upstream }: RankedUpstream) =>
     getLoad(upstream).inFlight;
-  // Of equals the first, so that shared parts stay where they are.
+  // The first of equally busy upstreams, so that shared prefixes stay in place.
   return upstreams.reduce((least, each) =>
     getInFlight(each) < getInFlight(least) ? each : least
   );
 }
 
 /**
- * Whether a prompt gives far less service for an upstream's time than others:
- * long answers to short prompts, which hold a place for seconds. While there is
- * room for all it makes no difference; under load they leave some of it to
- * prompts whose large shared parts are kept, of which ten are served in the
- * time of one.
+ * Whether a prompt yields far less service for an upstream's time than the
+ * mean, such as a short prompt with a long answer, which occupies a slot for
+ * seconds. This makes no difference while there is room for all. Under load
+ * such prompts leave some room to prompts whose long shared prefixes are
+ * cached, of which ten are served in the time of one.
  */
 export function isInefficient(
   prompt: Pick<WaitingPrompt, "serviceTokens" | "workTokens">,
@@ -338,17 +364,21 @@
     meanEfficiency * INEFFICIENT_SHARE;
 }
 
-/** What room is asked for. */
+/**
+ * The room that a prompt needs at an upstream, and the limits that apply to it.
+ */
 export interface RoomRequest {
-  /** What the prompt counts for. */
+  /** Tokens for which the prompt counts. */
   readonly readingTokens: number;
-  /** Share of the slots that may be in use. */
+  /** Share of the upstream's slots that may be in use. */
   readonly slotShare: number;
-  /** What may be read at the upstream at once. */
+  /** Tokens that the upstream may be prefilling, with this prompt. */
   readonly limitTokens: number;
-  /** What prompts that don't yield may have read there at once. */
+  /** The same limit for prompts that yield to no others. */
   readonly fullLimitTokens: number;
-  /** It leaves the upstream to prompts of underserved teams. */
+  /**
+   * Whether the prompt leaves the last room to prompts of underserved teams.
+   */
   readonly yieldsToUnderserved: boolean;
 }
 
@@ -357,7 +387,7 @@
   if (load.inFlight >= load.slots * request.slotShare) return false;
   const readingTokens = load.readingTokens + request.readingTokens;
   const isWithinLimit = readingTokens <= request.limitTokens;
-  // A prompt that counts for more than the limit starts where nothing is read.
+  // A prompt above the limit may start only where nothing is being prefilled.
   if (!isWithinLimit && load.readingTokens > 0) return false;
   const leavesRoomForNext =
     readingTokens + request.readingTokens <= request.fullLimitTokens;
--- a/src/queue/prompt_queue_test.ts
+++ b/src/queue/prompt_queue_test.ts
@@ -11,21 +11,21 @@
 
 const { overShareLimit, inefficientLimit } = defaultPromptQueueOptions;
 
-/** What an upstream may have to read at once. */
+/** Tokens that an upstream may be prefilling. */
 const LIMIT_TOKENS = 15_000;
 
 interface PromptOptions {
   readonly team?: string;
   readonly readingTokens?: number;
-  /** To read the shared part again. */
+  /** Tokens to prefill when the shared prefix is not cached. */
   readonly sharedTokens?: number;
   readonly workTokens?: number;
-  /** Service for a token of work; 60 is the mean. */
+  /** Service tokens per token of upstream work; the mean is 60. */
   readonly efficiency?: number;
   readonly ranked?: readonly string[];
 }
 
-/** A queue before upstreams of 48 slots, of which nothing is in use. */
+/** Creates a queue for idle upstreams with 48 slots each. */
 function createFixture() {
   let nowMs = 0;
   let prompts = 0;
@@ -38,7 +38,7 @@
   const underserved = new Map<string, number>();
   const underservedReports: Readonly<Record<string, number>>[] = [];
   const log: string[] = [];
-  /** Requests whose callers have left. */
+  /** Requests whose callers have disconnected. */
   const disconnected = new Set<string>();
   const randoms: number[] = [];
   const retryAfterMs: number[] = [];
@@ -85,7 +85,7 @@
       serviceTokens: workTokens * efficiency,
       workTokens,
       isCallerConnected: () => !disconnected.has(request),
-      // All but the first have a shared part of 13,300 tokens to read as well.
+      // Only the first has cached the shared prefix, of 13,300 tokens.
       getUpstreams: () =>
         ranked.map((upstream, at) => ({
           upstream,
@@ -128,8 +128,9 @@
   };
 }
 
-test("a prompt that is found late is refused, though there is room for it", () => {
-  // Guards against starts, after a long turn, of what can't be on time.
+test("a late prompt is refused even if an upstream has room for it", () => {
+  // Guards against starting prompts that can no longer be on time, after a long
+  // event-loop iteration.
   const fixture = createFixture();
   fixture.getUse("a").inFlight = 48;
   fixture.add({ ranked: ["a"] });
@@ -138,9 +139,9 @@
   deepStrictEqual(fixture.log, ["calm-1 late"]);
 });
 
-test("a team that is ahead goes last, and gets the room that nobody waits for", () => {
-  // Guards against a flood that starts before calm teams, and against upstreams
-  // that idle beside it.
+test("an overserved team goes last but may use room that no other team needs", () => {
+  // Guards against an overserved team that starts before the others, and
+  // against upstreams that stay idle while it waits.
   const fixture = createFixture();
   fixture.overserved.add("flood");
   fixture.getUse("a").readingTokens = LIMIT_TOKENS;
@@ -151,8 +152,8 @@
   deepStrictEqual(fixture.log, ["calm-1 to a", "flood-2 to a"]);
 });
 
-test("a team that is ahead fills no upstream for which an underserved one waits", () => {
-  // Guards against teams that get less the fewer hosts their callers use.
+test("an overserved team fills no upstream for which an underserved team waits", () => {
+  // Guards against teams that get less because their callers use fewer hosts.
   const fixture = createFixture();
   fixture.overserved.add("flood");
   fixture.underserved.set("a", 1);
@@ -163,8 +164,8 @@
   deepStrictEqual(fixture.log, ["flood-1 to a"]);
 });
 
-test("nothing is started for a caller that has left", () => {
-  // Guards against upstreams that work for nobody.
+test("no prompt is started for a caller that has disconnected", () => {
+  // Guards against upstreams that work for disconnected callers.
   const fixture = createFixture();
   fixture.getUse("a").inFlight = 48;
   fixture.add({ ranked: ["a"] });
@@ -175,9 +176,9 @@
   deepStrictEqual(fixture.log, ["calm-1 to a"]);
 });
 
-test("an upstream whose slots are in use is sent nothing more", () => {
-  // Bursts on nine hosts: with 48 slots in use a request waits inside the
-  // upstream for 0.9 s (median, measured), where it can't be refused in time.
+test("no prompt is sent to an upstream whose share of slots is in use", () => {
+  // With bursts on nine hosts and all 48 slots in use, a request waits inside
+  // the upstream for 0.9 s (median), where it can't be refused in time.
   const fixture = createFixture();
   fixture.getUse("a").inFlight = 29;
   fixture.add({ ranked: ["a"] });
@@ -187,7 +188,7 @@
   deepStrictEqual(fixture.log, ["calm-1 to a"]);
 });
 
-test("a prompt keeps to the upstream that has its shared part for a while", () => {
+test("a prompt waits for the upstream with its shared prefix at first", () => {
   const fixture = createFixture();
   fixture.getUse("a").readingTokens = LIMIT_TOKENS;
   fixture.add();
@@ -197,9 +198,10 @@
   deepStrictEqual(fixture.log, ["calm-1 to b"]);
 });
 
-test("a prompt leaves its shared part behind only for an upstream that idles", () => {
-  // Prompts that could not start at once were sent where there was room for them.
-  // The shared part was read again there, and the answers beside it paused.
+test("a prompt leaves the upstream with its shared prefix only for an idle one", () => {
+  // Guards against sending prompts that cannot start at once to any upstream
+  // with room. Their shared prefix is prefilled again there, which makes the
+  // other answers of that upstream pause.
   const fixture = createFixture();
   fixture.getUse("a").readingTokens = LIMIT_TOKENS;
   fixture.getUse("b").inFlight = 1;
@@ -211,16 +213,17 @@
   deepStrictEqual(fixture.log, ["calm-1 to b"]);
 });
 
-test("a prompt with little to share goes where least is in flight", () => {
+test("a prompt with a short shared prefix goes to the less busy upstream", () => {
   const fixture = createFixture();
   fixture.getUse("a").inFlight = 20;
   fixture.add({ readingTokens: 1_200, sharedTokens: 400 });
   deepStrictEqual(fixture.log, ["calm-1 to b"]);
 });
 
-test("with little to share a prompt goes to the next two where two are full", () => {
-  // Sent wherever least is in flight, every upstream keeps a copy of every small
-  // part; together they push the long ones out of memory, which are read again.
+test("a prompt with a short shared prefix tries upstreams in groups of two", () => {
+  // If prompts went to the least busy of all upstreams, every upstream would
+  // cache a copy of every short prefix. These evict long prefixes, which are
+  // then prefilled again.
   const fixture = createFixture();
   const chat = { readingTokens: 1_200, sharedTokens: 400 };
   const ranked = ["a", "b", "c", "d"];
@@ -237,7 +240,7 @@
   );
 });
 
-test("what can't be on time is refused, not held to its deadline", () => {
+test("a prompt that can't be on time is refused before its target has passed", () => {
   const fixture = createFixture();
   fixture.getUse("a").inFlight = 48;
   fixture.add({ ranked: ["a"] });
@@ -247,9 +250,9 @@
   deepStrictEqual(fixture.log, ["calm-1 late"]);
 });
 
-test("of prompts that wait the newest starts first", () => {
-  // More prompts come than are read in time. In the order of arrival each would
-  // start when half of its target is over, and all would be late.
+test("the newest waiting prompt starts first", () => {
+  // Under overload, serving in the order of arrival would start each prompt
+  // when half of its target time has passed, and all would be late.
   const fixture = createFixture();
   fixture.getUse("a").inFlight = 48;
   fixture.add({ ranked: ["a"], readingTokens: 15_000 });
@@ -262,9 +265,10 @@
   deepStrictEqual(fixture.log, ["calm-2 to a", "calm-1 late"]);
 });
 
-test("callers that are refused together are told to come back one by one", () => {
-  // A hundred callers refused in the same look came back a second later in the
-  // same 20 ms, found the upstreams full and were refused for good.
+test("callers that are refused together get different retry times", () => {
+  // Guards against callers that are refused in the same pass and return
+  // together: a hundred of them came back within 20 ms, a second later, found
+  // the upstreams full and were refused for good.
   const fixture = createFixture();
   fixture.getUse("a").inFlight = 48;
   for (let at = 0; at < 5; at++) fixture.add({ ranked: ["a"] });
@@ -273,9 +277,9 @@
   deepStrictEqual(fixture.retryAfterMs, [750, 875, 1_000, 1_125, 1_250]);
 });
 
-test("a refusal tells what it was decided from", () => {
-  // A caller complains of a 503; whether its team had had too much or everything
-  // was full must stand in the line of that very request.
+test("a refusal contains the inputs of its decision", () => {
+  // The log line of a request that got a 503 must show whether its team was
+  // over its share or the upstreams were full.
   const fixture = createFixture();
   fixture.overShare.add("flood");
   Object.assign(fixture.getUse("a"), { inFlight: 30, readingTokens: 14_000 });
@@ -299,13 +303,13 @@
   ]);
 });
 
-test("with no upstream a prompt is refused at once", () => {
+test("a prompt without eligible upstreams is refused at once", () => {
   const fixture = createFixture();
   fixture.add({ ranked: [] });
   deepStrictEqual(fixture.log, ["calm-1 no-upstream"]);
 });
 
-test("a caller that leaves leaves no place behind", () => {
+test("a prompt whose caller disconnects is removed from the queue", () => {
   const fixture = createFixture();
   fixture.getUse("a").inFlight = 48;
   const prompt = fixture.add({ ranked: ["a"] });
@@ -316,7 +320,7 @@
   strictEqual(fixture.queue.getCount(), 0);
 });
 
-test("a team over its share goes behind the others", () => {
+test("prompts of a team over its share start after all others", () => {
   const fixture = createFixture();
   fixture.getUse("a").inFlight = 48;
   fixture.overShare.add("flood");
@@ -327,9 +331,10 @@
   strictEqual(fixture.log[0], "calm-21 to a");
 });
 
-test("a flood leaves room for the teams that are under their share", () => {
-  // One team sends seven times its share for eight seconds. Its prompts fill
-  // what is free; another team's prompt comes and must start at once.
+test("a team over its share leaves room for teams below theirs", () => {
+  // One team sends seven times its share for eight seconds and fills all
+  // capacity that it may use. A prompt of another team must still start at
+  // once.
   const fixture = createFixture();
   fixture.overShare.add("flood");
   for (let at = 0; at < 100; at++) {
@@ -341,10 +346,11 @@
   strictEqual(fixture.log.at(-1), "calm-101 to a");
 });
 
-test("under load long answers to short prompts leave room for the others", () => {
-  // Chats hold a place for three seconds each and fill the upstreams; surveys,
-  // whose 13,300 shared tokens are kept, would be refused. Chats go on being
-  // served in the other places.
+test("under load inefficient prompts leave room for the others", () => {
+  // Chats, short prompts with long answers, occupy a slot for three seconds
+  // each. If they filled the upstreams, surveys, whose shared prefixes of
+  // 13,300 tokens are cached, would be refused. Chats are still served in the
+  // remaining slots.
   const fixture = createFixture();
   const chat = {
     readingTokens: 1_200,
@@ -363,7 +369,7 @@
   strictEqual(fixture.log.length, fixture.getUse("a").inFlight);
 });
 
-test("a prompt that counts for more than the limit starts where nothing is read", () => {
+test("a prompt above the limit starts only where nothing is being prefilled", () => {
   const idle = {
     slots: 48,
     inFlight: 10,
@@ -383,10 +389,10 @@
   strictEqual(hasRoom(busy, { ...need, readingTokens: 1_200 }), false);
 });
 
-test("the longest prompts start though their upstream never stops reading", () => {
-  // On a heavy day an upstream always reads something. Prompts larger than the
-  // limit waited for one that reads nothing, and were refused one after another:
-  // of the largest tenth of a kind 0.43 were served, of all 0.93.
+test("the longest prompts start at an upstream that is always prefilling", () => {
+  // Under heavy load an upstream is always prefilling. If prompts above the
+  // limit waited for one that prefills nothing, most would be refused: of the
+  // largest tenth of one kind 0.43 were served, of all prompts 0.93.
   const fixture = createFixture();
   fixture.getUse("a").readingTokens = LIMIT_TOKENS * 0.2;
   fixture.add({ readingTokens: 80_000, ranked: ["a"] });
@@ -396,7 +402,7 @@
 });
 
 test("a team over its share leaves an upstream to underserved teams", () => {
-  // Guards against a team with one host that never gets a turn at an upstream.
+  // Guards against starvation of a team that has only one host.
   const fixture = createFixture();
   fixture.overShare.add("flood");
   fixture.underserved.set("a", 1);
@@ -411,8 +417,8 @@
   strictEqual(fixture.log.at(-1), "flood-1 to a");
 });
 
-test("what an upstream has room for starts whoever waits elsewhere", () => {
-  // Guards against upstreams that idle for prompts of which old reports tell.
+test("a prompt that leaves room for another starts whoever waits elsewhere", () => {
+  // Guards against upstreams that stay idle because of outdated reports.
   const fixture = createFixture();
   fixture.overShare.add("flood");
   fixture.underserved.set("a", 1);
@@ -421,7 +427,8 @@
 });
 
 test("two underserved teams do not wait for each other", () => {
-  // Guards against upstreams that idle since each host leaves them to the other.
+  // Guards against upstreams that stay idle because each host yields to the
+  // other.
   const fixture = createFixture();
   for (const set of [fixture.overShare, fixture.underservedTeams]) {
     set.add("poor");
@@ -431,7 +438,7 @@
   deepStrictEqual(fixture.log, ["poor-1 to a"]);
 });
 
-test("other hosts are told of the waiting prompts of underserved teams", () => {
+test("waiting prompts of underserved teams are reported to other hosts", () => {
   const fixture = createFixture();
   fixture.underservedTeams.add("poor");
   fixture.getUse("a").inFlight = 48;
@@ -444,8 +451,8 @@
   deepStrictEqual(fixture.underservedReports.at(-1), {});
 });
 
-test("a team over its share is refused at once what would wait in vain", () => {
-  // Guards against a flood whose prompts wait for half a second for a refusal.
+test("a prompt of a team over its share is refused at once if too many wait", () => {
+  // Guards against prompts that wait half a second only to be refused.
   const fixture = createFixture();
   const asked = { team: "flood", route: "drafts", targetMs: 800 };
   fixture.getUse("a").inFlight = 48;
@@ -457,8 +464,8 @@
   strictEqual(fixture.queue.tryRefuseEarly(other), undefined);
 });
 
-test("as many may wait as start in the time, and more", () => {
-  // Guards against refusals where upstreams would have had room.
+test("prompts may wait as long as enough of them start in time", () => {
+  // Guards against refusals while upstreams have capacity.
   const fixture = createFixture();
   const asked = { team: "flood", route: "drafts", targetMs: 800 };
   fixture.overShare.add("flood");
@@ -473,10 +480,10 @@
   strictEqual(fixture.queue.tryRefuseEarly(asked), undefined);
 });
 
-test("a long queue before many upstreams is looked at in little time", () => {
-  // At 23 hosts and 42 upstreams, two thousand looks at the load for each look
-  // at the queue made hosts fall seconds behind: requests were sent on after
-  // their callers had left.
+test("a scheduling pass reads the load of each upstream only once", () => {
+  // With 23 hosts and 42 upstreams, two thousand reads of the load in each pass
+  // made hosts fall seconds behind, so that requests were sent to upstreams
+  // after their callers had disconnected.
   const fixture = createFixture();
   const ranked = Array.from({ length: 60 }, (_, at) => `up-${at}`);
   for (const upstream of ranked) fixture.getUse(upstream).inFlight = 48;
--- a/src/queue/shared_capacity_test.ts
+++ b/src/queue/shared_capacity_test.ts
@@ -16,37 +16,37 @@
 const TICK_MS = 10;
 const SIMULATED_MS = 20_000;
 
-/** A team; without a weight it asks for as many tokens as each other. */
+/** A team of the simulation. */
 interface SimulatedTeam {
-  /** Hosts that its callers use in turn. */
+  /** Indices of the hosts that its callers use in turn. */
   readonly hosts: readonly number[];
-  /** What it asks for, over an even part of the demand. */
+  /** Its demand relative to an even part of the whole; 1 by default. */
   readonly weight?: number;
 }
 
 interface SimulationOptions {
-  /** Tokens that the teams ask for together, over what upstreams read. */
+  /** Prompt tokens of all teams, relative to what the upstreams can prefill. */
   readonly demandFactor: number;
-  /** Of each prompt; nothing of it is shared. */
+  /** Tokens of each prompt, which has no shared prefix. */
   readonly promptTokens: number;
   readonly teams: readonly SimulatedTeam[];
-  /** Of each host's answers, those that pause past their target. */
+  /** By host: share of its answers that pause for longer than their target. */
   readonly lateShares: readonly number[];
-  /** What operators state that upstreams do, over what they read. */
+  /** Capacity stated by operators, relative to the real one; 1 by default. */
   readonly statedCapacityFactor?: number;
 }
 
-/** What a team asked for and got, in prompts. */
+/** Prompts of one team that were submitted and started. */
 interface PromptCounts {
   readonly asked: number;
   readonly begun: number;
-  /** The part of what it asked for that it got. */
+  /** Started prompts as a share of those submitted. */
   readonly share: number;
 }
 
 /**
- * Hosts before two upstreams that read one prompt after the other; gives what
- * each team got.
+ * Simulates hosts that share two upstreams, each of which prefills one prompt
+ * after another. Returns the counts of each team.
  */
 function simulate(options: SimulationOptions): readonly PromptCounts[] {
   const { promptTokens } = options;
@@ -191,9 +191,10 @@
   return Math.min(...shares) / Math.max(...shares);
 }
 
-test("a team whose one host sees its answers pause gets what the others get", () => {
-  // Hosts that learn the limit of reading alone differ by far; the room at an
-  // upstream is common, and the widest takes all of it.
+test("a team whose only host sees answers pause gets as much as the others", () => {
+  // Guards against hosts that each learn a prefill limit from their own answers
+  // only. Such limits differ widely, and the host with the highest one takes
+  // all of an upstream's capacity, which the hosts share.
   for (const demand of [1.2, 2]) {
     const shares = getShares(simulate({
       demandFactor: demand,
@@ -205,9 +206,10 @@
   }
 });
 
-test("a team at one host gets more than half of what one at six hosts gets", () => {
-  // Where hardly more than one prompt may be read at once, hosts race for each
-  // upstream that has read all; six win six times of seven, whoever their team is.
+test("a team with one host gets over half of what a team with six hosts gets", () => {
+  // Where an upstream prefills hardly more than one prompt at a time, hosts
+  // race for each upstream that becomes free. Six hosts win six races of seven,
+  // whatever teams they serve.
   for (const promptTokens of [2_800, 8_000, 17_000]) {
     for (const demand of [2, 4]) {
       const shares = getShares(simulate({
@@ -222,9 +224,10 @@
   }
 });
 
-test("a calm team gets half of what it asks for beside a flood, whatever is stated", () => {
-  // Guards against shares of a capacity that upstreams do not have: nobody is over
-  // such a share, so the team with the most hosts takes what there is.
+test("a team with small demand gets half of it whatever capacity is stated", () => {
+  // Guards against shares computed from more capacity than the upstreams have.
+  // No team exceeds such a share, so the team with the most hosts takes all real
+  // capacity.
   for (const promptTokens of [2_800, 8_000, 17_000]) {
     for (const statedFactor of [1, 3, 10]) {
       const [steady, overloading] = simulate({
--- a/src/queue/team_queue.ts
+++ b/src/queue/team_queue.ts
@@ -1,13 +1,14 @@
 /**
- * Requests that wait at this host for one service, a queue for each team. The
- * request stays where its caller is connected; only counts travel.
+ * Requests that wait at this host for a slot of one service, in one queue for
+ * each team. A request stays at the host to which its caller is connected;
+ * hosts exchange only the number of waiting requests.
  *
- * Load: one team floods while others send little, and callers give up by the
- * thousand at once. Harm prevented: the flood stands before the requests of
- * other teams, or each cancelled wait walks the whole queue, which at ten
- * thousand waiting requests would block the process for seconds. So each queue
- * is a doubly linked list with an index: adding, taking and removing take the
- * same time at any length.
+ * Load: one team sends far more than the others, and thousands of callers
+ * cancel at the same time. Harm prevented: in a common queue the requests of
+ * that team would delay those of all other teams, and a cancellation that
+ * searches the queue would, with ten thousand waiting requests, block the
+ * process for seconds. Each queue is therefore a doubly linked list with an
+ * index by request: adding, taking and removing take constant time.
  *
  * @module
  */
@@ -15,23 +16,25 @@
 import { getOrCreate } from "../core/mod.ts";
 import type { AdmittedRequest } from "../types.ts";
 
-/** A request in the queue with what to do when its slot comes. */
+/** A waiting request, with the function that receives its slot. */
 export interface QueuedRequest<S> {
   readonly req: AdmittedRequest;
-  /** Hands over the slot; the request leaves the queue just before. */
+  /**
+   * Called with the slot, after the request has been taken out of the queue.
+   */
   readonly start: (slot: S) => void;
 }
 
-/** The queues of one service at this host. */
+/** The team queues of one service at this host. */
 export interface TeamQueues<S> {
   add(queued: QueuedRequest<S>): void;
-  /** Takes a request out again; false when it had left already. */
+  /** Removes a request; false when it was no longer in the queue. */
   remove(req: AdmittedRequest): boolean;
-  /** The oldest request of the team, taken out. */
+  /** Removes and returns the oldest request of the team. */
   tryTake(team: string): QueuedRequest<S> | undefined;
   getCount(team: string): number;
   getTotal(): number;
-  /** Waiting requests by team; teams with none are left out. */
+  /** Number of waiting requests by team; teams without any are omitted. */
   getCounts(): ReadonlyMap<string, number>;
   /** Arrival of the oldest waiting request, in monotonic milliseconds. */
   tryGetOldestMs(): number | undefined;
@@ -51,7 +54,7 @@
   count: number;
 }
 
-/** Makes empty queues. */
+/** Creates empty queues. */
 export function createTeamQueues<S>(): TeamQueues<S> {
   const queues = new Map<string, Queue<S>>();
   const nodes = new Map<AdmittedRequest, Node<S>>();
--- a/src/queue/team_queue_test.ts
+++ b/src/queue/team_queue_test.ts
@@ -1,5 +1,5 @@
 /**
- * Tests of the team queues against a plain list.
+ * Compares the team queues with a plain list as the reference.
  *
  * @module
  */
@@ -23,7 +23,7 @@
   };
 }
 
-test("any run of adds, takes and removals gives the order of arrival", () => {
+test("requests keep their order of arrival under any adds, takes and removals", () => {
   const step = fc.record({
     kind: fc.constantFrom("add", "take", "remove"),
     team: fc.constantFrom("alder", "birch"),
--- a/src/queue/types.ts
+++ b/src/queue/types.ts
@@ -1,146 +1,195 @@
 /**
- * Prompts that wait, the choices that they have, and what the queue needs of the
- * process.
+ * Types of the prompt queue: waiting prompts, the upstreams that they may be
+ * sent to, and the queue's options and dependencies.
+ *
+ * Upstreams prefill (read) a prompt before they generate its answer. Token
+ * counts of prefill are weighted by the cost of attention, unless stated
+ * otherwise.
  *
  * @module
  */
 
 import type { QueueInputs } from "../diagnostics/mod.ts";
 
-/** A prompt that waits. */
+/** A prompt that waits to be sent to an upstream. */
 export interface WaitingPrompt {
   readonly request: string;
   readonly team: string;
   readonly service: string;
-  /** Name of its route; prompts of one route are alike. */
+  /** Name of its route. Prompts of one route have similar costs. */
   readonly route: string;
   /** Monotonic milliseconds. */
   readonly arrivedMs: number;
-  /** Time to the first event that is on time, in ms. */
+  /** Target time from arrival to the first event of the answer, in ms. */
   readonly targetMs: number;
-  /** Service that it takes, by which teams share. */
+  /** Service counted against the team's fair share, in tokens. */
   readonly serviceTokens: number;
-  /** What an upstream does for it, in tokens, with its shared parts kept. */
+  /**
+   * Work of the upstream in tokens, when the prompt's shared prefix is in its
+   * cache.
+   */
   readonly workTokens: number;
-  /** Upstreams that may be asked, the best first; asked anew at each look. */
+  /** Eligible upstreams, the best first; called in each scheduling pass. */
   getUpstreams(): readonly RankedUpstream[];
-  /** Whether its caller still waits; asked before a start. */
+  /**
+   * Whether the caller is still connected; checked before the prompt starts.
+   */
   isCallerConnected(): boolean;
-  /** Called once, after it has left the queue. */
+  /** Sends the prompt; called at most once, after it has left the queue. */
   start(upstream: string, prefill: PrefillTokens): void;
-  /** Called once, after it has left the queue; it has not run. */
+  /**
+   * Refuses the prompt, which has not run; called at most once, after it has
+   * left the queue.
+   */
   refuse(refusal: PromptRefusal): void;
 }
 
-/** What is known of a prompt before its request has been read. */
+/** The properties of a prompt that are known before its body has been read. */
 export type NewPrompt = Pick<WaitingPrompt, "team" | "route" | "targetMs">;
 
-/** What an upstream reads from the start of a prompt on, in tokens. */
+/** Prefill work of an upstream at the time when a prompt starts, in tokens. */
 export interface PrefillTokens {
-  /** Of the prompt itself. */
+  /** Tokens of the prompt itself. */
   readonly readingTokens: number;
-  /** Before the prompt's first event, its own included. */
+  /** Tokens to prefill before the prompt's first event, including its own. */
   readonly queuedTokens: number;
 }
 
-/** An upstream that a prompt may be sent to. */
+/** An upstream to which a prompt may be sent. */
 export interface RankedUpstream {
   readonly upstream: string;
-  /** Tokens that it has to read of the prompt, as far as this host knows. */
+  /**
+   * Tokens of the prompt that the upstream has to prefill, as this host
+   * expects.
+   */
   readonly readingTokens: number;
 }
 
-/** Why a prompt is refused, and when to come back. */
+/** Why a prompt is refused, and when its caller should retry. */
 export interface PromptRefusal {
   readonly reason: "late" | "in-vain" | "no-upstream";
   readonly retryAfterMs: number;
   readonly inputs: QueueInputs;
 }
 
-/** What the queue needs of the process. */
+/** Dependencies of the queue, supplied by the process. */
 export interface PromptQueueHost {
   nowMs(): number;
-  /** The upstream's load from all hosts together. */
+  /** The upstream's load over all hosts. */
   getLoad(upstream: string): UpstreamLoad;
-  /** What the team was given of late, over its fair share; 1 is the share. */
+  /**
+   * Recent service of the team, relative to its fair share; 1 is the full
+   * share.
+   */
   getShareUsed(team: string): number;
-  /** Whether the team is given more than an even part of what is short. */
+  /**
+   * Whether upstream capacity is short and the team gets more than an even part
+   * of it.
+   */
   isOverserved(team: string): boolean;
-  /** Whether the team is given far less than others, and asks for more. */
+  /** Whether the team gets far less than others although it asks for more. */
   isUnderserved(team: string): boolean;
-  /** Told at each look, by the upstream that they wait for. */
+  /**
+   * Reports the waiting prompts of underserved teams by the upstream that they
+   * wait for; called in each scheduling pass.
+   */
   onUnderservedWaiting(prompts: ReadonlyMap<string, number>): void;
-  /** Service for a token of work, over all prompts of late. */
+  /**
+   * Recent mean of service tokens per token of upstream work, of all prompts.
+   */
   getMeanEfficiency(): number;
-  /** Tokens that an upstream of the service may have to read at once. */
+  /** Limit on the tokens that an upstream of the service may be prefilling. */
   getLimitTokens(service: string): number;
-  /** From 0 up to 1. */
+  /** A random number from 0 up to, but not including, 1. */
   random(): number;
-  /** A prompt begins; counted in the load from now on. */
+  /** Called when a prompt starts, to count it in the load of its upstream. */
   onStart(prompt: WaitingPrompt, upstream: string, readingTokens: number): void;
 }
 
-/** What an upstream works on. */
+/** Current load of an upstream. */
 export interface UpstreamLoad {
-  /** Requests that it works on at once; the rest waits inside it. */
+  /**
+   * Requests that it runs concurrently; further ones wait inside the upstream.
+   */
   readonly slots: number;
   readonly inFlight: number;
-  /** What is being read there, in tokens, attention counted. */
+  /** Tokens being prefilled there, weighted by the cost of attention. */
   readonly readingTokens: number;
-  /** Prompts of underserved teams, waiting for it at other hosts. */
+  /** Prompts of underserved teams that wait for it at other hosts. */
   readonly underservedElsewhere: number;
 }
 
-/** Limits of the queue. */
+/** Scheduling policy of the queue. */
 export interface PromptQueueOptions {
-  /** Shares of an upstream's slots, and of what it may have to read. */
+  /** Limits for prompts that yield to no others. */
   readonly limit: RoomLimit;
-  /** The same for sparse prompts, see `isSparse`. */
+  /** Limits for inefficient prompts, see `isInefficient`. */
   readonly inefficientLimit: RoomLimit;
-  /** The same for prompts of teams over their share. */
+  /** Limits for prompts of teams over their share. */
   readonly overShareLimit: RoomLimit;
   /**
-   * Reading so many tokens again costs less than a wait; the least busy gets the
-   * prompt.
+   * Prefilling up to this many tokens again costs less than waiting. Upstreams
+   * whose prefill differs by no more than this are equally good for a prompt,
+   * and the least busy of a few of them gets it.
    */
   readonly negligibleTokens: number;
-  /** A prompt counts for no more than this share of the limit on reading. */
+  /**
+   * The prompt's tokens are counted only up to this share of the prefill limit.
+   */
   readonly maxCountedShare: number;
-  /** A prompt waits this share of its target for the best upstreams alone. */
+  /**
+   * Share of its target time for which a prompt waits only for its best-ranked
+   * upstreams.
+   */
   readonly spilloverShare: number;
-  /** And is refused after this share of it. */
+  /** Share of its target time after which a waiting prompt is refused. */
   readonly maxWaitShare: number;
   readonly retryAfterMs: number;
-  /** Whether prompts of teams over their share that wait in vain are refused. */
+  /**
+   * Whether a prompt of a team over its share is refused before it is added,
+   * when too many of the team's prompts already wait.
+   */
   readonly refusesEarly: boolean;
-  /** Whether teams over their share leave upstreams to underserved teams. */
+  /**
+   * Whether overserved teams, and teams over their share, leave the last room
+   * of an upstream to underserved teams.
+   */
   readonly yieldsToUnderserved: boolean;
-  /** Order of those that yield alike. */
+  /** Order among prompts of equal priority. */
   readonly compare: (a: WaitingPrompt, b: WaitingPrompt) => number;
 }
 
-/** How full an upstream may be for a prompt to be sent there. */
+/**
+ * How much of an upstream's capacity may be in use when a prompt is sent there.
+ */
 export interface RoomLimit {
+  /** Share of the upstream's slots. */
   readonly slotShare: number;
-  /** Of the tokens that an upstream may have to read at once. */
+  /** Share of the prefill limit in tokens. */
   readonly readingShare: number;
 }
 
-/** The waiting prompts of one host. */
+/** The queue of waiting prompts of one host. */
 export interface PromptQueue {
-  /** Starts the prompt at once, or keeps it. */
+  /**
+   * Starts the prompt at once, queues it, or refuses it if no upstream exists.
+   */
   add(prompt: WaitingPrompt): void;
-  /** Takes out a prompt whose caller left; false when it had left already. */
+  /**
+   * Removes a prompt whose caller has disconnected; false when it was no longer
+   * in the queue.
+   */
   remove(prompt: WaitingPrompt): boolean;
   /**
-   * The refusal of a prompt that would wait in vain, before it is added;
-   * `undefined` for one that may be added.
+   * Returns the refusal of a prompt that could not start in time, before it is
+   * added; `undefined` for a prompt that may be added.
    */
   tryRefuseEarly(prompt: NewPrompt): PromptRefusal | undefined;
   /**
-   * Looks at all that wait. Called by the clock alone, and not at each change of
-   * load: before 42 upstreams and 22 other hosts a look takes milliseconds, and
-   * a look at each of their reports left callers waiting for six seconds.
+   * Runs a scheduling pass over all waiting prompts. It is called periodically
+   * and not at each change of load: with 42 upstreams and 22 other hosts a pass
+   * takes milliseconds, and a pass for each load report delayed callers by six
+   * seconds.
    */
   tick(): void;
   getCount(): number;
