--- a/src/entry/load_exchange.ts
+++ b/src/entry/load_exchange.ts
@@ -8,7 +8,7 @@
 
 import * as Effect from "effect/Effect";
 import {
-  createLoadSums,
+  createLoadReporter,
   type LoadPeer,
   type LoadReport,
   type LoadView,
@@ -42,15 +42,15 @@
   host: LoadExchangeHost,
 ): Promise<LoadExchange> {
   const { view, self } = host;
-  const sums = createLoadSums({
+  const sums = createLoadReporter({
     clock: host.clock,
     self,
     getHosts: host.getHosts,
     getDigest: getNameDigest,
-    createOwn: view.createUse,
+    createOwnContent: view.createUse,
     // What waits is looked at again by the clock: a look at a long queue costs
     // milliseconds, and reports come a hundred times a second.
-    onOthers: view.receive,
+    onOthersLoad: view.receive,
   });
   const socket = await openDatagrams<LoadReport>(
     getLoadAddress(self.peerAddress),
--- a/src/load/load_sums.ts
+++ b/src/load/load_sums.ts
@@ -25,16 +25,16 @@
 }
 
 /** What the sums need of the process. */
-export interface LoadSumsHost {
+export interface LoadReporterHost {
   readonly clock: Clock;
   readonly self: LoadPeer;
   /** The hosts that are alive, this one included. */
   getHosts(): readonly LoadPeer[];
   getDigest(name: string): number;
   /** This host's own use. */
-  createOwn(): LoadContent;
+  createOwnContent(): LoadContent;
   /** The use of other hosts is known anew; replaces what the sender told. */
-  onOthers(report: LoadReport): void;
+  onOthersLoad(report: LoadReport): void;
 }
 
 /** A report on its way. */
@@ -44,7 +44,7 @@
 }
 
 /** Reports of one host. */
-export interface LoadSums {
+export interface LoadReporter {
   /** What is to be sent now; asked for once in each period. */
   createReports(): readonly OutgoingReport[];
   receive(report: LoadReport): void;
@@ -53,7 +53,7 @@
 }
 
 /** Up to so many hosts each tells each other: 15 datagrams a round and host. */
-export const MAX_DIRECT_HOSTS = 16;
+export const MAX_FULL_MESH_HOSTS = 16;
 
 /** Between two rounds, in ms; half the time in which a usual prompt is read. */
 const MIN_PERIOD_MS = 100;
@@ -66,7 +66,7 @@
 const PERIOD_MS_PER_HOST = 8;
 
 /** Older reports count for nothing: their sender is gone, or cut off, in ms. */
-export const REPORT_KEEP_MS = 1_500;
+export const REPORT_TTL_MS = 1_500;
 
 /** Own reports are kept to be taken out of sums; one in a period, for 1.5 s. */
 const MAX_OWN_REPORTS = 16;
@@ -74,27 +74,27 @@
 /** Sender of sums over the fleet, whichever host of the data centre adds up. */
 export const FLEET_SENDER = "fleet";
 
-interface Heard {
+interface ReceivedReport {
   readonly report: LoadReport;
-  readonly atMs: number;
+  readonly receivedMs: number;
 }
 
 /** Makes the sums of a host that has heard nothing. */
-export function createLoadSums(host: LoadSumsHost): LoadSums {
+export function createLoadReporter(host: LoadReporterHost): LoadReporter {
   const { clock, self } = host;
   const ownReports: LoadReport[] = [];
   /** Of hosts of this data centre, by peer address. */
-  const ofHosts = new Map<string, Heard>();
+  const hostReports = new Map<string, ReceivedReport>();
   /** Sums of the others, by data centre. */
-  const ofDataCentres = new Map<string, Heard>();
+  const dataCentreReports = new Map<string, ReceivedReport>();
   let sequence = 0;
   let wasIdle = false;
 
-  function isDirect(): boolean {
-    return host.getHosts().length <= MAX_DIRECT_HOSTS;
+  function isFullMesh(): boolean {
+    return host.getHosts().length <= MAX_FULL_MESH_HOSTS;
   }
 
-  function getOwnDataCentre(): readonly LoadPeer[] {
+  function getOwnDataCentreHosts(): readonly LoadPeer[] {
     return host.getHosts()
       .filter((each) => each.dataCentre === self.dataCentre);
   }
@@ -115,54 +115,58 @@
   }
 
   function createOwnReport(): LoadReport {
-    const report = createReport("host", host.createOwn());
+    const report = createReport("host", host.createOwnContent());
     ownReports.push(report);
     if (ownReports.length > MAX_OWN_REPORTS) ownReports.shift();
     return report;
   }
 
-  function getFresh(heard: Map<string, Heard>): readonly LoadReport[] {
+  function getFreshReports(
+    received: Map<string, ReceivedReport>,
+  ): readonly LoadReport[] {
     const nowMs = clock.monotonicMs();
-    for (const [from, { atMs }] of heard) {
-      if (nowMs - atMs > REPORT_KEEP_MS) heard.delete(from);
+    for (const [from, { receivedMs }] of received) {
+      if (nowMs - receivedMs > REPORT_TTL_MS) received.delete(from);
     }
-    return [...heard.values()].map((each) => each.report);
+    return [...received.values()].map((each) => each.report);
   }
 
   /** Reports of the hosts of this data centre that are alive. */
-  function getOfLiveHosts(): readonly LoadReport[] {
-    const alive = new Set(getOwnDataCentre().map((each) => each.peerAddress));
-    return getFresh(ofHosts).filter((each) => alive.has(each.from));
+  function getLiveHostReports(): readonly LoadReport[] {
+    const alive = new Set(
+      getOwnDataCentreHosts().map((each) => each.peerAddress),
+    );
+    return getFreshReports(hostReports).filter((each) => alive.has(each.from));
   }
 
-  function takeFleet(report: LoadReport): void {
+  function applyFleetReport(report: LoadReport): void {
     const ownDigest = host.getDigest(self.peerAddress);
     const entry = report.included.find((each) => each.host === ownDigest);
     const own = ownReports.find((each) => each.sequence === entry?.sequence);
     // One that is too old to be taken out would count this host twice.
     if (entry !== undefined && own === undefined) return;
     const others = own === undefined ? report : subtractReport(report, own);
-    host.onOthers({ ...others, from: FLEET_SENDER });
+    host.onOthersLoad({ ...others, from: FLEET_SENDER });
   }
 
   /** What the host that adds up sends. */
-  function createSums(own: LoadReport): readonly OutgoingReport[] {
+  function createAggregates(own: LoadReport): readonly OutgoingReport[] {
     const hosts = host.getHosts();
-    const heard = getOfLiveHosts();
-    const ofOwn = [own, ...heard];
-    const foreign = getFresh(ofDataCentres);
-    const included = ofOwn.map(({ from, sequence }) => ({
+    const liveReports = getLiveHostReports();
+    const localReports = [own, ...liveReports];
+    const remoteReports = getFreshReports(dataCentreReports);
+    const included = localReports.map(({ from, sequence }) => ({
       host: host.getDigest(from),
       sequence,
     }));
-    const dataCentre = createReport("data-centre", addReports(ofOwn));
-    const total = addReports([...ofOwn, ...foreign]);
+    const dataCentre = createReport("data-centre", addReports(localReports));
+    const total = addReports([...localReports, ...remoteReports]);
     const fleet = { ...createReport("fleet", total), included };
-    takeFleet(fleet);
+    applyFleetReport(fleet);
     const others = getDataCentres(hosts)
       .filter((each) => each !== self.dataCentre)
-      .map((each) => getAdder(hosts, each));
-    const ownHosts = getOwnDataCentre()
+      .map((each) => getAggregator(hosts, each));
+    const ownHosts = getOwnDataCentreHosts()
       .map((each) => each.peerAddress)
       .filter((each) => each !== self.peerAddress);
     return [
@@ -172,12 +176,12 @@
   }
 
   /** An idle host says so once and is silent then. */
-  function createDirect(): readonly OutgoingReport[] {
+  function createFullMeshReports(): readonly OutgoingReport[] {
     const report = createOwnReport();
     const isIdle = report.upstreams.length === 0;
-    const isTold = isIdle && wasIdle;
+    const isReported = isIdle && wasIdle;
     wasIdle = isIdle;
-    if (isTold) return [];
+    if (isReported) return [];
     const to = host.getHosts()
       .map((each) => each.peerAddress)
       .filter((each) => each !== self.peerAddress);
@@ -186,25 +190,25 @@
 
   return {
     createReports() {
-      if (isDirect()) return createDirect();
+      if (isFullMesh()) return createFullMeshReports();
       const own = createOwnReport();
-      const adder = getAdder(host.getHosts(), self.dataCentre);
-      if (adder === self.peerAddress) return createSums(own);
-      return [{ to: [adder], report: own }];
+      const aggregator = getAggregator(host.getHosts(), self.dataCentre);
+      if (aggregator === self.peerAddress) return createAggregates(own);
+      return [{ to: [aggregator], report: own }];
     },
     receive(report) {
-      const heard = { report, atMs: clock.monotonicMs() };
+      const received = { report, receivedMs: clock.monotonicMs() };
       if (report.scope === "data-centre") {
-        ofDataCentres.set(report.dataCentre, heard);
-      } else if (isDirect()) {
-        if (report.scope === "host") host.onOthers(report);
+        dataCentreReports.set(report.dataCentre, received);
+      } else if (isFullMesh()) {
+        if (report.scope === "host") host.onOthersLoad(report);
       } else if (report.scope === "host") {
-        ofHosts.set(report.from, heard);
-      } else takeFleet(report);
+        hostReports.set(report.from, received);
+      } else applyFleetReport(report);
     },
     getPeriodMs() {
-      const perHost = isDirect() ? 0 : PERIOD_MS_PER_HOST;
-      return Math.max(MIN_PERIOD_MS, getOwnDataCentre().length * perHost);
+      const perHost = isFullMesh() ? 0 : PERIOD_MS_PER_HOST;
+      return Math.max(MIN_PERIOD_MS, getOwnDataCentreHosts().length * perHost);
     },
   };
 }
@@ -214,7 +218,7 @@
 }
 
 /** The host that adds up for a data centre: all hosts choose the same. */
-function getAdder(hosts: readonly LoadPeer[], dataCentre: string): string {
+function getAggregator(hosts: readonly LoadPeer[], dataCentre: string): string {
   const addresses = hosts
     .filter((each) => each.dataCentre === dataCentre)
     .map((each) => each.peerAddress);
--- a/src/load/load_sums_test.ts
+++ b/src/load/load_sums_test.ts
@@ -3,9 +3,9 @@
 import { createManualClock } from "../core/mod.ts";
 import { getNameDigest } from "../peers/mod.ts";
 import {
-  createLoadSums,
+  createLoadReporter,
   type LoadPeer,
-  MAX_DIRECT_HOSTS,
+  MAX_FULL_MESH_HOSTS,
 } from "./load_sums.ts";
 import { createLoadView } from "./load_view.ts";
 
@@ -21,7 +21,7 @@
   }
   const dead = new Set<string>();
   let datagrams = 0;
-  let acrossDatagrams = 0;
+  let crossDatagrams = 0;
   const due: { readonly atMs: number; run(): void }[] = [];
   const getAlive = () => peers.filter((each) => !dead.has(each.peerAddress));
   const hosts = peers.map((self) => {
@@ -32,13 +32,13 @@
       getStatedCapacity: () => 1_000,
       getLearned: () => [],
     });
-    const sums = createLoadSums({
+    const sums = createLoadReporter({
       clock,
       self,
       getHosts: getAlive,
       getDigest: getNameDigest,
-      createOwn: view.createUse,
-      onOthers: view.receive,
+      createOwnContent: view.createUse,
+      onOthersLoad: view.receive,
     });
     return { self, view, sums };
   });
@@ -52,8 +52,8 @@
             each.self.peerAddress === address
           )!;
           datagrams++;
-          const isAcross = target.self.dataCentre !== self.dataCentre;
-          if (isAcross) acrossDatagrams++;
+          const isCross = target.self.dataCentre !== self.dataCentre;
+          if (isCross) crossDatagrams++;
           const atMs = clock.monotonicMs() + LINK_MS;
           due.push({
             atMs,
@@ -79,7 +79,7 @@
     hosts,
     dead,
     /** Plays rounds in which every host reports, a period apart. */
-    play(rounds: number): void {
+    runRounds(rounds: number): void {
       for (let round = 0; round < rounds; round++) {
         sendAll();
         advance(LINK_MS);
@@ -87,7 +87,7 @@
       }
     },
     countDatagrams: () => datagrams,
-    countAcross: () => acrossDatagrams,
+    countCrossDatagrams: () => crossDatagrams,
   };
 }
 
@@ -98,20 +98,20 @@
   // what arrives. Before: 6,320 a round; now 190 and fewer, each 0.1 s.
   const fleet = createFleet(6, 14);
   for (const { view } of fleet.hosts) view.begin("engine-1");
-  fleet.play(3);
+  fleet.runRounds(3);
   for (const { view } of fleet.hosts) {
     strictEqual(view.getInFlight("engine-1"), fleet.hosts.length);
   }
   const inRound = fleet.countDatagrams() / 3;
   ok(inRound < 200, `${inRound} datagrams a round`);
-  ok(fleet.countAcross() / 3 <= 30);
+  ok(fleet.countCrossDatagrams() / 3 <= 30);
 });
 
 test("hosts of a large fleet know what waits elsewhere for underserved teams", () => {
   const fleet = createFleet(2, 12);
   const [first, ...others] = fleet.hosts;
   first!.view.setUnderserved(new Map([["engine-1", 2]]));
-  fleet.play(3);
+  fleet.runRounds(3);
   strictEqual(first!.view.getUnderservedElsewhere("engine-1"), 0);
   for (const { view } of others) {
     strictEqual(view.getUnderservedElsewhere("engine-1"), 2);
@@ -122,10 +122,10 @@
   const fleet = createFleet(2, 12);
   const [first] = fleet.hosts;
   for (let at = 0; at < 5; at++) first!.view.begin("engine-1");
-  fleet.play(3);
+  fleet.runRounds(3);
   for (let at = 0; at < 5; at++) first!.view.end("engine-1");
   strictEqual(first!.view.getInFlight("engine-1"), 0);
-  fleet.play(3);
+  fleet.runRounds(3);
   strictEqual(fleet.hosts[1]!.view.getInFlight("engine-1"), 0);
 });
 
@@ -135,14 +135,14 @@
   // them, so that all overfill the upstreams.
   const fleet = createFleet(2, 12);
   for (const { view } of fleet.hosts) view.begin("engine-1");
-  fleet.play(3);
+  fleet.runRounds(3);
   for (const dataCentre of ["dc-0", "dc-1"]) {
-    const adder = fleet.hosts.find(({ self, sums }) =>
+    const aggregator = fleet.hosts.find(({ self, sums }) =>
       self.dataCentre === dataCentre && sums.createReports().length === 2
     )!;
-    fleet.dead.add(adder.self.peerAddress);
+    fleet.dead.add(aggregator.self.peerAddress);
   }
-  fleet.play(4);
+  fleet.runRounds(4);
   const alive = fleet.hosts
     .filter(({ self }) => !fleet.dead.has(self.peerAddress));
   for (const { view } of alive) {
@@ -153,24 +153,24 @@
 test("a data centre that is cut off counts for nothing after a while", () => {
   const fleet = createFleet(2, 12);
   for (const { view } of fleet.hosts) view.begin("engine-1");
-  fleet.play(3);
+  fleet.runRounds(3);
   const cutOff = fleet.hosts.filter(({ self }) => self.dataCentre === "dc-1");
   for (const { self } of cutOff) fleet.dead.add(self.peerAddress);
-  fleet.play(20);
+  fleet.runRounds(20);
   strictEqual(fleet.hosts[0]!.view.getInFlight("engine-1"), 12);
 });
 
 test("a small fleet's hosts tell each other, and an idle one once", () => {
-  const fleet = createFleet(2, MAX_DIRECT_HOSTS / 2);
+  const fleet = createFleet(2, MAX_FULL_MESH_HOSTS / 2);
   const [first] = fleet.hosts;
   first!.view.begin("engine-1");
-  fleet.play(2);
+  fleet.runRounds(2);
   for (const { view } of fleet.hosts) {
     strictEqual(view.getInFlight("engine-1"), 1);
   }
   first!.view.end("engine-1");
-  fleet.play(2);
+  fleet.runRounds(2);
   const before = fleet.countDatagrams();
-  fleet.play(2);
+  fleet.runRounds(2);
   deepStrictEqual(fleet.countDatagrams(), before);
 });
--- a/src/load/load_view.ts
+++ b/src/load/load_view.ts
@@ -16,7 +16,7 @@
   NO_EVIDENCE,
   type PacingEvidence,
 } from "../pacing/mod.ts";
-import { REPORT_KEEP_MS } from "./load_sums.ts";
+import { REPORT_TTL_MS } from "./load_sums.ts";
 import { createRate, type Rate } from "./rate.ts";
 import { getFairLevel } from "./team_shares.ts";
 import { addUse, createUse, isUsed, type Use } from "./use.ts";
@@ -167,7 +167,7 @@
     forgotAtMs = nowMs;
     for (const [from, { report, atMs }] of reports) {
       const isGone = report.scope === "host" && !host.isAlive(from);
-      if (isGone || nowMs - atMs > REPORT_KEEP_MS) forget(from);
+      if (isGone || nowMs - atMs > REPORT_TTL_MS) forget(from);
     }
   }
 
@@ -274,7 +274,7 @@
       const isOlder = known !== undefined &&
         report.sequence < known.report.sequence &&
         // A restarted host counts from the start again.
-        clock.monotonicMs() - known.atMs < REPORT_KEEP_MS;
+        clock.monotonicMs() - known.atMs < REPORT_TTL_MS;
       if (isOlder) return;
       forget(report.from);
       forgetOtherScopes(report);
--- a/src/measure/prompt_world.ts
+++ b/src/measure/prompt_world.ts
@@ -9,9 +9,9 @@
 import { getSize, getWorkTokens } from "../forwarding/pick_upstream.ts";
 import type { Prompt } from "../forwarding/mod.ts";
 import {
-  createLoadSums,
+  createLoadReporter,
   createLoadView,
-  type LoadSums,
+  type LoadReporter,
   type LoadView,
 } from "../load/mod.ts";
 import { createPacing, type Pacing } from "../pacing/mod.ts";
@@ -97,7 +97,7 @@
 
 interface Host {
   readonly view: LoadView;
-  readonly sums: LoadSums;
+  readonly sums: LoadReporter;
   readonly queue: PromptQueue;
   readonly pacing: Pacing;
 }
@@ -134,13 +134,13 @@
       getOthers: () => view.getOthersLearned(SERVICE),
       onChanged: () => {},
     });
-    const sums = createLoadSums({
+    const sums = createLoadReporter({
       clock,
       self,
       getHosts: () => peers,
       getDigest: getNameDigest,
-      createOwn: view.createUse,
-      onOthers: view.receive,
+      createOwnContent: view.createUse,
+      onOthersLoad: view.receive,
     });
     return { view, sums, pacing, queue: createQueue(view, pacing) };
   });
--- a/src/queue/shared_capacity_test.ts
+++ b/src/queue/shared_capacity_test.ts
@@ -1,6 +1,6 @@
 import { ok } from "node:assert";
 import { test } from "node:test";
-import { createLoadSums, createLoadView } from "../load/mod.ts";
+import { createLoadReporter, createLoadView } from "../load/mod.ts";
 import { createAgenda } from "../measure/agenda.ts";
 import { createPacing } from "../pacing/mod.ts";
 import { createRandom } from "../measure/random.ts";
@@ -80,13 +80,13 @@
       getOthers: () => view.getOthersLearned(SERVICE),
       onChanged: () => {},
     });
-    const sums = createLoadSums({
+    const sums = createLoadReporter({
       clock,
       self,
       getHosts: () => peers,
       getDigest: getNameDigest,
-      createOwn: view.createUse,
-      onOthers: view.receive,
+      createOwnContent: view.createUse,
+      onOthersLoad: view.receive,
     });
     const queue = createPromptQueue({
       nowMs: clock.monotonicMs,
