--- a/src/entry/entry.ts
+++ b/src/entry/entry.ts
@@ -155,15 +155,15 @@
       underservedElsewhere: load.getUnderservedElsewhere(upstream),
     }),
     getShareUsed: load.getShareUsed,
-    isOverserved: load.isAhead,
+    isOverserved: load.isOverserved,
     isUnderserved: load.isUnderserved,
     onUnderservedWaiting: load.setUnderserved,
-    getMeanEfficiency: load.getMeanYield,
+    getMeanEfficiency: load.getMeanEfficiency,
     getLimitTokens,
     random: host.random,
     onStart(prompt, upstream, readingTokens) {
       load.beginReading(upstream, readingTokens);
-      load.noteBegun(prompt.team, prompt.serviceTokens);
+      load.recordBegun(prompt.team, prompt.serviceTokens);
     },
   });
   const crashes = createCrashWatch({
--- a/src/entry/load_exchange.ts
+++ b/src/entry/load_exchange.ts
@@ -47,7 +47,7 @@
     self,
     getHosts: host.getHosts,
     getDigest: getNameDigest,
-    createOwnContent: view.createUse,
+    createOwnContent: view.createOwnContent,
     // What waits is looked at again by the clock: a look at a long queue costs
     // milliseconds, and reports come a hundred times a second.
     onOthersLoad: view.receive,
--- a/src/forwarding/forward.ts
+++ b/src/forwarding/forward.ts
@@ -99,7 +99,7 @@
   call.progress.tried.add(upstream.id);
   logAttempt(host, call, picked);
   health.begin(upstream.id);
-  host.load.begin(upstream.id);
+  host.load.beginRequest(upstream.id);
   const headLimitMs = getHeadLimitMs(host, call);
   return attempt(host, call, { upstream, headLimitMs }).pipe(
     Effect.tap(() =>
@@ -119,7 +119,7 @@
     Effect.ensuring(Effect.sync(() => {
       call.progress.endReading();
       health.end(upstream.id);
-      host.load.end(upstream.id);
+      host.load.endRequest(upstream.id);
     })),
   );
 }
--- a/src/forwarding/pick_upstream.ts
+++ b/src/forwarding/pick_upstream.ts
@@ -141,8 +141,8 @@
   prompt: Prompt,
 ): void {
   const size = getSize(prompt);
-  host.load.noteAsked(team, size);
-  host.load.noteWork(size, getWorkTokens(prompt));
+  host.load.recordAsked(team, size);
+  host.load.recordWork(size, getWorkTokens(prompt));
 }
 
 /** Works the choices out anew after a while, and when upstreams change. */
--- a/src/load/load_sums_test.ts
+++ b/src/load/load_sums_test.ts
@@ -37,7 +37,7 @@
       self,
       getHosts: getAlive,
       getDigest: getNameDigest,
-      createOwnContent: view.createUse,
+      createOwnContent: view.createOwnContent,
       onOthersLoad: view.receive,
     });
     return { self, view, sums };
@@ -97,7 +97,7 @@
   // upstream that others have filled meanwhile, and it rejects one in seven of
   // what arrives. Before: 6,320 a round; now 190 and fewer, each 0.1 s.
   const fleet = createFleet(6, 14);
-  for (const { view } of fleet.hosts) view.begin("engine-1");
+  for (const { view } of fleet.hosts) view.beginRequest("engine-1");
   fleet.runRounds(3);
   for (const { view } of fleet.hosts) {
     strictEqual(view.getInFlight("engine-1"), fleet.hosts.length);
@@ -121,9 +121,9 @@
 test("a host's own use is counted as it is, not as it was when last told", () => {
   const fleet = createFleet(2, 12);
   const [first] = fleet.hosts;
-  for (let at = 0; at < 5; at++) first!.view.begin("engine-1");
+  for (let at = 0; at < 5; at++) first!.view.beginRequest("engine-1");
   fleet.runRounds(3);
-  for (let at = 0; at < 5; at++) first!.view.end("engine-1");
+  for (let at = 0; at < 5; at++) first!.view.endRequest("engine-1");
   strictEqual(first!.view.getInFlight("engine-1"), 0);
   fleet.runRounds(3);
   strictEqual(fleet.hosts[1]!.view.getInFlight("engine-1"), 0);
@@ -134,7 +134,7 @@
   // more and would count only themselves, and those elsewhere would not count
   // them, so that all overfill the upstreams.
   const fleet = createFleet(2, 12);
-  for (const { view } of fleet.hosts) view.begin("engine-1");
+  for (const { view } of fleet.hosts) view.beginRequest("engine-1");
   fleet.runRounds(3);
   for (const dataCentre of ["dc-0", "dc-1"]) {
     const aggregator = fleet.hosts.find(({ self, sums }) =>
@@ -152,7 +152,7 @@
 
 test("a data centre that is cut off counts for nothing after a while", () => {
   const fleet = createFleet(2, 12);
-  for (const { view } of fleet.hosts) view.begin("engine-1");
+  for (const { view } of fleet.hosts) view.beginRequest("engine-1");
   fleet.runRounds(3);
   const cutOff = fleet.hosts.filter(({ self }) => self.dataCentre === "dc-1");
   for (const { self } of cutOff) fleet.dead.add(self.peerAddress);
@@ -163,12 +163,12 @@
 test("a small fleet's hosts tell each other, and an idle one once", () => {
   const fleet = createFleet(2, MAX_FULL_MESH_HOSTS / 2);
   const [first] = fleet.hosts;
-  first!.view.begin("engine-1");
+  first!.view.beginRequest("engine-1");
   fleet.runRounds(2);
   for (const { view } of fleet.hosts) {
     strictEqual(view.getInFlight("engine-1"), 1);
   }
-  first!.view.end("engine-1");
+  first!.view.endRequest("engine-1");
   fleet.runRounds(2);
   const before = fleet.countDatagrams();
   fleet.runRounds(2);
--- a/src/load/load_test.ts
+++ b/src/load/load_test.ts
@@ -52,7 +52,7 @@
   let sequence = 0;
   /** What this host tells each other one in a small fleet. */
   const createReport = (): LoadReport => ({
-    ...view.createUse(),
+    ...view.createOwnContent(),
     from,
     sequence: ++sequence,
     scope: "host",
@@ -67,8 +67,8 @@
   const a = createView("a");
   const b = createView("b", a.clock);
   for (let at = 0; at < 30; at++) {
-    a.view.begin("engine-1");
-    b.view.begin("engine-1");
+    a.view.beginRequest("engine-1");
+    b.view.beginRequest("engine-1");
   }
   a.view.beginReading("engine-1", 4_000);
   b.view.receive(a.createReport());
@@ -79,9 +79,9 @@
 test("an older report does not replace a newer one", () => {
   const a = createView("a");
   const b = createView("b", a.clock);
-  a.view.begin("engine-1");
+  a.view.beginRequest("engine-1");
   const older = a.createReport();
-  a.view.begin("engine-1");
+  a.view.beginRequest("engine-1");
   b.view.receive(a.createReport());
   b.view.receive(older);
   strictEqual(b.view.getInFlight("engine-1"), 2);
@@ -90,7 +90,7 @@
 test("the load of a host that was killed is forgotten", () => {
   const a = createView("a");
   const b = createView("b", a.clock);
-  a.view.begin("engine-1");
+  a.view.beginRequest("engine-1");
   b.view.receive(a.createReport());
   a.clock.advance(2_000);
   strictEqual(b.view.getInFlight("engine-1"), 0);
@@ -101,10 +101,10 @@
   const a = createView("a");
   const b = createView("b", a.clock);
   for (let at = 0; at < 10; at++) {
-    a.view.noteAsked("flood", 500);
-    a.view.noteBegun("flood", 90);
-    b.view.noteAsked("calm", 20);
-    b.view.noteBegun("calm", 2);
+    a.view.recordAsked("flood", 500);
+    a.view.recordBegun("flood", 90);
+    b.view.recordAsked("calm", 20);
+    b.view.recordBegun("calm", 2);
     a.clock.advance(100);
   }
   b.view.receive(a.createReport());
@@ -116,12 +116,12 @@
 test("a team is underserved that is given far less than it asks for and others get", () => {
   const { clock, view } = createView("a");
   for (let at = 0; at < 10; at++) {
-    view.noteAsked("rich", 500);
-    view.noteBegun("rich", 90);
-    view.noteAsked("poor", 500);
-    view.noteBegun("poor", 40);
-    view.noteAsked("small", 20);
-    view.noteBegun("small", 19);
+    view.recordAsked("rich", 500);
+    view.recordBegun("rich", 90);
+    view.recordAsked("poor", 500);
+    view.recordBegun("poor", 40);
+    view.recordAsked("small", 20);
+    view.recordBegun("small", 19);
     clock.advance(100);
   }
   const underserved = ["rich", "poor", "small", "nobody"].filter(
--- a/src/load/load_view.ts
+++ b/src/load/load_view.ts
@@ -43,17 +43,17 @@
 
 /** The load of the fleet, as this host sees it. */
 export interface LoadView {
-  begin(upstream: string): void;
-  end(upstream: string): void;
+  beginRequest(upstream: string): void;
+  endRequest(upstream: string): void;
   /** A prompt of so many tokens, attention counted, is being read. */
   beginReading(upstream: string, readingTokens: number): void;
   endReading(upstream: string, readingTokens: number): void;
-  noteAsked(team: string, tokens: number): void;
+  recordAsked(team: string, tokens: number): void;
   /** A prompt of so much service and work, both in tokens, is asked for. */
-  noteWork(size: number, workTokens: number): void;
+  recordWork(serviceTokens: number, workTokens: number): void;
   /** Service for a token of work, of what this host was asked of late. */
-  getMeanYield(): number;
-  noteBegun(team: string, tokens: number): void;
+  getMeanEfficiency(): number;
+  recordBegun(team: string, tokens: number): void;
   /** Requests of all hosts in flight at the upstream. */
   getInFlight(upstream: string): number;
   /** What is being read there for all hosts, in tokens. */
@@ -63,7 +63,7 @@
   /** What the team was given over its share, as a ratio; 1 is the share. */
   getShareUsed(team: string): number;
   /** Whether the team is given more than an even part of what is short. */
-  isAhead(team: string): boolean;
+  isOverserved(team: string): boolean;
   /** Whether the team is given far less than others, and asks for more. */
   isUnderserved(team: string): boolean;
   /** Prompts of underserved teams that wait at this host, by upstream. */
@@ -73,17 +73,17 @@
   /** Takes in the use of another host, or of all others together. */
   receive(report: LoadReport): void;
   /** This host's own use, to be told to others. */
-  createUse(): LoadContent;
+  createOwnContent(): LoadContent;
 }
 
 /** Rates fade to a half in so long, in ms: shares are owed by four seconds. */
 const HALF_LIFE_MS = 1_400;
 
 /** Old reports are looked for so often, in ms. */
-const FORGET_PERIOD_MS = 50;
+const EVICT_PERIOD_MS = 50;
 
 /** The level is worked out anew after so long, in ms. */
-const LEVEL_KEEP_MS = 50;
+const LEVEL_TTL_MS = 50;
 
 /**
  * A team is underserved that is given less than this share of what the best
@@ -95,13 +95,13 @@
  * What upstreams give is short when more than so many times as much is asked:
  * what waits for a moment is asked and not begun.
  */
-const SHORT_FACTOR = 1.15;
+const SHORTAGE_FACTOR = 1.15;
 
 const NO_USE: Readonly<Use> = createUse();
 
-interface HeardReport {
+interface ReceivedReport {
   readonly report: LoadReport;
-  readonly atMs: number;
+  readonly receivedMs: number;
 }
 
 interface TeamRates {
@@ -114,25 +114,25 @@
   const { clock, getDigest } = host;
   const uses = new Map<number, Use>();
   const teams = new Map<number, TeamRates>();
-  const reports = new Map<string, HeardReport>();
+  const reports = new Map<string, ReceivedReport>();
   const othersUse = new Map<number, Use>();
   const othersLearned = new Map<number, PacingEvidence>();
-  const sizes = createRate(HALF_LIFE_MS);
-  const works = createRate(HALF_LIFE_MS);
-  let forgotAtMs = -Infinity;
-  let level = Infinity;
+  const serviceRate = createRate(HALF_LIFE_MS);
+  const workRate = createRate(HALF_LIFE_MS);
+  let evictedMs = -Infinity;
+  let statedFairLevel = Infinity;
   /** The level of what is really given, which may be far below what is stated. */
-  let givenLevel = Infinity;
+  let servedFairLevel = Infinity;
   let askedByTeam: ReadonlyMap<number, number> = new Map();
   let begunByTeam: ReadonlyMap<number, number> = new Map();
   let mostBegun = 0;
-  let levelAtMs = -Infinity;
+  let levelsUpdatedMs = -Infinity;
 
   function getUse(upstream: string): Use {
     return getOrCreate(uses, getDigest(upstream), createUse);
   }
 
-  function getTeam(team: string): TeamRates {
+  function getTeamRates(team: string): TeamRates {
     return getOrCreate(teams, getDigest(team), () => ({
       asked: createRate(HALF_LIFE_MS),
       begun: createRate(HALF_LIFE_MS),
@@ -140,7 +140,7 @@
   }
 
   /** Adds a report to the sums over all other hosts, or takes it out again. */
-  function count(report: LoadReport, sign: 1 | -1): void {
+  function applyReport(report: LoadReport, sign: 1 | -1): void {
     for (const each of report.upstreams) {
       addUse(getOrCreate(othersUse, each.upstream, createUse), each, sign);
     }
@@ -153,33 +153,33 @@
     }
   }
 
-  function forget(from: string): void {
-    const heard = reports.get(from);
-    if (heard === undefined) return;
+  function evict(from: string): void {
+    const received = reports.get(from);
+    if (received === undefined) return;
     reports.delete(from);
-    count(heard.report, -1);
+    applyReport(received.report, -1);
   }
 
   /** A host that was killed, or cut off, uses nothing any more. */
-  function forgetOld(): void {
+  function evictStale(): void {
     const nowMs = clock.monotonicMs();
-    if (nowMs - forgotAtMs < FORGET_PERIOD_MS) return;
-    forgotAtMs = nowMs;
-    for (const [from, { report, atMs }] of reports) {
+    if (nowMs - evictedMs < EVICT_PERIOD_MS) return;
+    evictedMs = nowMs;
+    for (const [from, { report, receivedMs: atMs }] of reports) {
       const isGone = report.scope === "host" && !host.isAlive(from);
-      if (isGone || nowMs - atMs > REPORT_TTL_MS) forget(from);
+      if (isGone || nowMs - atMs > REPORT_TTL_MS) evict(from);
     }
   }
 
   /** A sum replaces the reports that it is made of, and these replace a sum. */
-  function forgetOtherScopes({ scope }: LoadReport): void {
+  function evictOtherScopes({ scope }: LoadReport): void {
     for (const [from, { report }] of reports) {
-      if (report.scope !== scope) forget(from);
+      if (report.scope !== scope) evict(from);
     }
   }
 
-  function getOthers(upstream: string): Readonly<Use> {
-    forgetOld();
+  function getOthersUse(upstream: string): Readonly<Use> {
+    evictStale();
     return othersUse.get(getDigest(upstream)) ?? NO_USE;
   }
 
@@ -192,15 +192,15 @@
     }));
   }
 
-  function updateLevel(): void {
+  function updateFairLevels(): void {
     const nowMs = clock.monotonicMs();
-    if (nowMs - levelAtMs < LEVEL_KEEP_MS) return;
-    levelAtMs = nowMs;
+    if (nowMs - levelsUpdatedMs < LEVEL_TTL_MS) return;
+    levelsUpdatedMs = nowMs;
     const asked = new Map<number, number>();
     const begun = new Map<number, number>();
-    forgetOld();
-    const heard = [...reports.values()].map((each) => each.report.teams);
-    const all = [getOwnTeams(), ...heard];
+    evictStale();
+    const otherTeams = [...reports.values()].map((each) => each.report.teams);
+    const all = [getOwnTeams(), ...otherTeams];
     for (const use of all.flat()) {
       asked.set(use.team, (asked.get(use.team) ?? 0) + use.asked);
       begun.set(use.team, (begun.get(use.team) ?? 0) + use.begun);
@@ -209,54 +209,54 @@
     // What upstreams keep need not be read, so that they do more than stated.
     const capacity = Math.max(total, host.getStatedCapacity());
     const demands = [...asked.values()];
-    level = getFairLevel(demands, capacity);
-    const isShort = sumOf(demands) > total * SHORT_FACTOR;
-    givenLevel = isShort ? getFairLevel(demands, total) : Infinity;
+    statedFairLevel = getFairLevel(demands, capacity);
+    const hasShortage = sumOf(demands) > total * SHORTAGE_FACTOR;
+    servedFairLevel = hasShortage ? getFairLevel(demands, total) : Infinity;
     askedByTeam = asked;
     begunByTeam = begun;
     mostBegun = Math.max(0, ...begun.values());
   }
 
   return {
-    begin: (upstream) => void getUse(upstream).inFlight++,
-    end: (upstream) => void getUse(upstream).inFlight--,
+    beginRequest: (upstream) => void getUse(upstream).inFlight++,
+    endRequest: (upstream) => void getUse(upstream).inFlight--,
     beginReading(upstream, readingTokens) {
       getUse(upstream).readingTokens += readingTokens;
     },
     endReading(upstream, readingTokens) {
       getUse(upstream).readingTokens -= readingTokens;
     },
-    noteAsked: (team, tokens) =>
-      getTeam(team).asked.add(tokens, clock.monotonicMs()),
-    noteWork(size, workTokens) {
+    recordAsked: (team, tokens) =>
+      getTeamRates(team).asked.add(tokens, clock.monotonicMs()),
+    recordWork(serviceTokens, workTokens) {
       const nowMs = clock.monotonicMs();
-      sizes.add(size, nowMs);
-      works.add(workTokens, nowMs);
+      serviceRate.add(serviceTokens, nowMs);
+      workRate.add(workTokens, nowMs);
     },
-    getMeanYield() {
+    getMeanEfficiency() {
       const nowMs = clock.monotonicMs();
-      return sizes.get(nowMs) / Math.max(1, works.get(nowMs));
+      return serviceRate.get(nowMs) / Math.max(1, workRate.get(nowMs));
     },
-    noteBegun: (team, tokens) =>
-      getTeam(team).begun.add(tokens, clock.monotonicMs()),
+    recordBegun: (team, tokens) =>
+      getTeamRates(team).begun.add(tokens, clock.monotonicMs()),
     getInFlight: (upstream) =>
-      getUse(upstream).inFlight + getOthers(upstream).inFlight,
+      getUse(upstream).inFlight + getOthersUse(upstream).inFlight,
     getReadingTokens: (upstream) =>
-      getUse(upstream).readingTokens + getOthers(upstream).readingTokens,
+      getUse(upstream).readingTokens + getOthersUse(upstream).readingTokens,
     getOthersLearned(service) {
-      forgetOld();
+      evictStale();
       return othersLearned.get(getDigest(service)) ?? NO_EVIDENCE;
     },
     getShareUsed(team) {
-      updateLevel();
-      return (begunByTeam.get(getDigest(team)) ?? 0) / level;
+      updateFairLevels();
+      return (begunByTeam.get(getDigest(team)) ?? 0) / statedFairLevel;
     },
-    isAhead(team) {
-      updateLevel();
-      return (begunByTeam.get(getDigest(team)) ?? 0) > givenLevel;
+    isOverserved(team) {
+      updateFairLevels();
+      return (begunByTeam.get(getDigest(team)) ?? 0) > servedFairLevel;
     },
     isUnderserved(team) {
-      updateLevel();
+      updateFairLevels();
       const digest = getDigest(team);
       const begun = begunByTeam.get(digest) ?? 0;
       const due = Math.min(askedByTeam.get(digest) ?? 0, mostBegun);
@@ -268,27 +268,27 @@
         getUse(upstream).underserved = prompts;
       }
     },
-    getUnderservedElsewhere: (upstream) => getOthers(upstream).underserved,
+    getUnderservedElsewhere: (upstream) => getOthersUse(upstream).underserved,
     receive(report) {
       const known = reports.get(report.from);
       const isOlder = known !== undefined &&
         report.sequence < known.report.sequence &&
         // A restarted host counts from the start again.
-        clock.monotonicMs() - known.atMs < REPORT_TTL_MS;
+        clock.monotonicMs() - known.receivedMs < REPORT_TTL_MS;
       if (isOlder) return;
-      forget(report.from);
-      forgetOtherScopes(report);
-      reports.set(report.from, { report, atMs: clock.monotonicMs() });
-      count(report, 1);
+      evict(report.from);
+      evictOtherScopes(report);
+      reports.set(report.from, { report, receivedMs: clock.monotonicMs() });
+      applyReport(report, 1);
     },
-    createUse() {
+    createOwnContent() {
       const upstreams: UpstreamUse[] = [];
       for (const [upstream, use] of uses) {
         if (isUsed(use)) upstreams.push({ upstream, ...use });
         else uses.delete(upstream);
       }
-      const used = getOwnTeams().filter((each) => each.asked > 0);
-      return { upstreams, teams: used, learned: host.getLearned() };
+      const activeTeams = getOwnTeams().filter((each) => each.asked > 0);
+      return { upstreams, teams: activeTeams, learned: host.getLearned() };
     },
   };
 }
--- a/src/measure/prompt_world.ts
+++ b/src/measure/prompt_world.ts
@@ -139,7 +139,7 @@
       self,
       getHosts: () => peers,
       getDigest: getNameDigest,
-      createOwnContent: view.createUse,
+      createOwnContent: view.createOwnContent,
       onOthersLoad: view.receive,
     });
     return { view, sums, pacing, queue: createQueue(view, pacing) };
@@ -161,17 +161,17 @@
         underservedElsewhere: view.getUnderservedElsewhere(engine),
       }),
       getShareUsed: view.getShareUsed,
-      isOverserved: view.isAhead,
+      isOverserved: view.isOverserved,
       isUnderserved: view.isUnderserved,
       onUnderservedWaiting: view.setUnderserved,
-      getMeanEfficiency: view.getMeanYield,
+      getMeanEfficiency: view.getMeanEfficiency,
       getLimitTokens: () =>
         options.limitTokens ?? pacing.getLimitTokens(TIGHTEST_TARGET_MS),
       random,
       onStart(prompt, engine, readingTokens) {
         view.beginReading(engine, readingTokens);
-        view.begin(engine);
-        view.noteBegun(prompt.team, prompt.serviceTokens);
+        view.beginRequest(engine);
+        view.recordBegun(prompt.team, prompt.serviceTokens);
       },
     }, options.queue);
   }
@@ -200,8 +200,8 @@
     const prompt = toPrompt(req);
     const size = getSize(prompt);
     const workTokens = getWorkTokens(prompt);
-    view.noteAsked(req.team, size);
-    view.noteWork(size, workTokens);
+    view.recordAsked(req.team, size);
+    view.recordWork(size, workTokens);
     const early = queue.tryRefuseEarly({
       team: req.team,
       route: kind.name,
@@ -276,7 +276,7 @@
         lastMs = atMs;
       },
       onEnd(atMs) {
-        runAt(atMs + LINK_MS, () => view.end(engine));
+        runAt(atMs + LINK_MS, () => view.endRequest(engine));
         req.isServed = true;
         req.isOnTime = isOnTime;
       },
--- a/src/queue/shared_capacity_test.ts
+++ b/src/queue/shared_capacity_test.ts
@@ -85,7 +85,7 @@
       self,
       getHosts: () => peers,
       getDigest: getNameDigest,
-      createOwnContent: view.createUse,
+      createOwnContent: view.createOwnContent,
       onOthersLoad: view.receive,
     });
     const queue = createPromptQueue({
@@ -97,15 +97,15 @@
         underservedElsewhere: view.getUnderservedElsewhere(upstream),
       }),
       getShareUsed: view.getShareUsed,
-      isOverserved: view.isAhead,
+      isOverserved: view.isOverserved,
       isUnderserved: view.isUnderserved,
       onUnderservedWaiting: view.setUnderserved,
-      getMeanEfficiency: view.getMeanYield,
+      getMeanEfficiency: view.getMeanEfficiency,
       getLimitTokens: () => pacing.getLimitTokens(TARGET_MS),
       random,
       onStart(prompt, upstream, readingTokens) {
         view.beginReading(upstream, readingTokens);
-        view.noteBegun(prompt.team, prompt.serviceTokens);
+        view.recordBegun(prompt.team, prompt.serviceTokens);
       },
     });
 
@@ -127,8 +127,8 @@
       const first = Math.floor(random() * UPSTREAMS.length);
       const team = `team-${teamAt}`;
       asked[teamAt]!++;
-      view.noteAsked(team, promptTokens);
-      view.noteWork(promptTokens, promptTokens);
+      view.recordAsked(team, promptTokens);
+      view.recordWork(promptTokens, promptTokens);
       queue.add({
         request: `${team}-${asked[teamAt]}`,
         team,
