--- a/src/load/load_view.ts
+++ b/src/load/load_view.ts
@@ -17,9 +17,9 @@
   type PacingEvidence,
 } from "../pacing/mod.ts";
 import { REPORT_TTL_MS } from "./load_sums.ts";
-import { createRate, type Rate } from "./rate.ts";
+import { createDecayingRate, type DecayingRate } from "./rate.ts";
 import { getFairLevel } from "./team_shares.ts";
-import { addUse, createUse, isUsed, type Use } from "./use.ts";
+import { addUse, createUseTotals, isUsed, type UseTotals } from "./use.ts";
 import type {
   LearnedOfService,
   LoadContent,
@@ -97,7 +97,7 @@
  */
 const SHORTAGE_FACTOR = 1.15;
 
-const NO_USE: Readonly<Use> = createUse();
+const NO_USE: Readonly<UseTotals> = createUseTotals();
 
 interface ReceivedReport {
   readonly report: LoadReport;
@@ -105,20 +105,20 @@
 }
 
 interface TeamRates {
-  readonly asked: Rate;
-  readonly begun: Rate;
+  readonly asked: DecayingRate;
+  readonly begun: DecayingRate;
 }
 
 /** Makes the view of a host that knows of no load. */
 export function createLoadView(host: LoadViewHost): LoadView {
   const { clock, getDigest } = host;
-  const uses = new Map<number, Use>();
+  const uses = new Map<number, UseTotals>();
   const teams = new Map<number, TeamRates>();
   const reports = new Map<string, ReceivedReport>();
-  const othersUse = new Map<number, Use>();
+  const othersUse = new Map<number, UseTotals>();
   const othersLearned = new Map<number, PacingEvidence>();
-  const serviceRate = createRate(HALF_LIFE_MS);
-  const workRate = createRate(HALF_LIFE_MS);
+  const serviceRate = createDecayingRate(HALF_LIFE_MS);
+  const workRate = createDecayingRate(HALF_LIFE_MS);
   let evictedMs = -Infinity;
   let statedFairLevel = Infinity;
   /** The level of what is really given, which may be far below what is stated. */
@@ -128,21 +128,25 @@
   let mostBegun = 0;
   let levelsUpdatedMs = -Infinity;
 
-  function getUse(upstream: string): Use {
-    return getOrCreate(uses, getDigest(upstream), createUse);
+  function getUse(upstream: string): UseTotals {
+    return getOrCreate(uses, getDigest(upstream), createUseTotals);
   }
 
   function getTeamRates(team: string): TeamRates {
     return getOrCreate(teams, getDigest(team), () => ({
-      asked: createRate(HALF_LIFE_MS),
-      begun: createRate(HALF_LIFE_MS),
+      asked: createDecayingRate(HALF_LIFE_MS),
+      begun: createDecayingRate(HALF_LIFE_MS),
     }));
   }
 
   /** Adds a report to the sums over all other hosts, or takes it out again. */
   function applyReport(report: LoadReport, sign: 1 | -1): void {
     for (const each of report.upstreams) {
-      addUse(getOrCreate(othersUse, each.upstream, createUse), each, sign);
+      addUse(
+        getOrCreate(othersUse, each.upstream, createUseTotals),
+        each,
+        sign,
+      );
     }
     for (const learned of report.learned) {
       const known = othersLearned.get(learned.service) ?? NO_EVIDENCE;
@@ -178,7 +182,7 @@
     }
   }
 
-  function getOthersUse(upstream: string): Readonly<Use> {
+  function getOthersUse(upstream: string): Readonly<UseTotals> {
     evictStale();
     return othersUse.get(getDigest(upstream)) ?? NO_USE;
   }
--- a/src/load/rate.ts
+++ b/src/load/rate.ts
@@ -5,30 +5,30 @@
  */
 
 /** A rate in units a second. */
-export interface Rate {
+export interface DecayingRate {
   add(amount: number, nowMs: number): void;
   get(nowMs: number): number;
 }
 
 /** Makes a rate of zero that fades to a half in the time given. */
-export function createRate(halfLifeMs: number): Rate {
+export function createDecayingRate(halfLifeMs: number): DecayingRate {
   // The sum of fading amounts over its mean life is the rate.
   const meanLifeS = halfLifeMs / Math.LN2 / 1_000;
   let sum = 0;
-  let atMs = 0;
+  let updatedMs = 0;
 
-  function fade(nowMs: number): void {
-    sum *= 0.5 ** ((nowMs - atMs) / halfLifeMs);
-    atMs = nowMs;
+  function decay(nowMs: number): void {
+    sum *= 0.5 ** ((nowMs - updatedMs) / halfLifeMs);
+    updatedMs = nowMs;
   }
 
   return {
     add(amount, nowMs) {
-      fade(nowMs);
+      decay(nowMs);
       sum += amount;
     },
     get(nowMs) {
-      fade(nowMs);
+      decay(nowMs);
       return sum / meanLifeS;
     },
   };
--- a/src/load/report_sums.ts
+++ b/src/load/report_sums.ts
@@ -6,7 +6,7 @@
 
 import { getOrCreate } from "../core/mod.ts";
 import { addEvidence, NO_EVIDENCE } from "../pacing/mod.ts";
-import { addUse, createUse, isUsed } from "./use.ts";
+import { addUse, createUseTotals, isUsed } from "./use.ts";
 import type {
   LearnedOfService,
   LoadContent,
@@ -17,23 +17,23 @@
 
 /** Use by upstream and team over all reports. */
 export function addReports(reports: readonly LoadContent[]): LoadContent {
-  return combine(reports.map((report) => ({ report, sign: 1 })));
+  return sumSigned(reports.map((report) => ({ report, sign: 1 })));
 }
 
 /** What is left of a sum without one of its parts. */
 export function subtractReport(sum: LoadReport, part: LoadContent): LoadReport {
   return {
     ...sum,
-    ...combine([{ report: sum, sign: 1 }, { report: part, sign: -1 }]),
+    ...sumSigned([{ report: sum, sign: 1 }, { report: part, sign: -1 }]),
   };
 }
 
-interface Signed {
+interface SignedReport {
   readonly report: LoadContent;
   readonly sign: 1 | -1;
 }
 
-function combine(all: readonly Signed[]): LoadContent {
+function sumSigned(all: readonly SignedReport[]): LoadContent {
   const upstreams = new Map<number, Mutable<UpstreamUse>>();
   const teams = new Map<number, Mutable<TeamUse>>();
   const learned = new Map<number, LearnedOfService>();
@@ -42,7 +42,7 @@
       const { upstream } = each;
       const use = getOrCreate(upstreams, upstream, () => ({
         upstream,
-        ...createUse(),
+        ...createUseTotals(),
       }));
       addUse(use, each, sign);
     }
--- a/src/load/team_shares.ts
+++ b/src/load/team_shares.ts
@@ -18,12 +18,12 @@
   demands: readonly number[],
   capacity: number,
 ): number {
-  const rising = [...demands].sort((a, b) => a - b);
-  let left = capacity;
-  for (const [at, demand] of rising.entries()) {
-    const even = left / (rising.length - at);
-    if (demand > even) return even;
-    left -= demand;
+  const ascending = [...demands].sort((a, b) => a - b);
+  let remaining = capacity;
+  for (const [at, demand] of ascending.entries()) {
+    const evenShare = remaining / (ascending.length - at);
+    if (demand > evenShare) return evenShare;
+    remaining -= demand;
   }
   return Infinity;
 }
--- a/src/queue/backlog.ts
+++ b/src/queue/backlog.ts
@@ -11,7 +11,7 @@
  */
 
 import { getOrCreate } from "../core/mod.ts";
-import { createRate, type Rate } from "../load/mod.ts";
+import { createDecayingRate, type DecayingRate } from "../load/mod.ts";
 
 /** Groups prompts that wait for the same upstreams. */
 export interface BacklogKey {
@@ -52,7 +52,7 @@
 
 interface TrackedBacklog {
   waiting: number;
-  readonly started: Rate;
+  readonly started: DecayingRate;
 }
 
 /** Creates a tracker for a host with an empty queue. */
@@ -64,7 +64,7 @@
     getOrCreate(
       tracked,
       `${team}\n${route}`,
-      () => ({ waiting: 0, started: createRate(HALF_LIFE_MS) }),
+      () => ({ waiting: 0, started: createDecayingRate(HALF_LIFE_MS) }),
     );
 
   return {
