--- a/src/entry/load_exchange.ts
+++ b/src/entry/load_exchange.ts
@@ -1,7 +1,7 @@
 /**
  * Tells the other hosts what this one uses of the upstreams, many times a
  * second, and hears the same from them. Who tells whom is decided by
- * `load/load_sums.ts`.
+ * `load/load_reporter.ts`.
  *
  * @module
  */
--- a/src/load/load_sums_test.ts
+++ b/src/load/load_reporter_test.ts
@@ -6,7 +6,7 @@
   createLoadReporter,
   type LoadPeer,
   MAX_FULL_MESH_HOSTS,
-} from "./load_sums.ts";
+} from "./load_reporter.ts";
 import { createLoadView } from "./load_view.ts";
 
 const LINK_MS = 20;
--- a/src/load/load_view.ts
+++ b/src/load/load_view.ts
@@ -16,10 +16,15 @@
   NO_EVIDENCE,
   type PacingEvidence,
 } from "../pacing/mod.ts";
-import { REPORT_TTL_MS } from "./load_sums.ts";
-import { createDecayingRate, type DecayingRate } from "./rate.ts";
+import { REPORT_TTL_MS } from "./load_reporter.ts";
+import { createDecayingRate, type DecayingRate } from "./decaying_rate.ts";
 import { getFairLevel } from "./team_shares.ts";
-import { addUse, createUseTotals, isUsed, type UseTotals } from "./use.ts";
+import {
+  addUse,
+  createUseTotals,
+  isUsed,
+  type UseTotals,
+} from "./use_totals.ts";
 import type {
   LearnedOfService,
   LoadContent,
--- a/src/load/mod.ts
+++ b/src/load/mod.ts
@@ -4,8 +4,8 @@
  * @module
  */
 
-export * from "./load_sums.ts";
+export * from "./load_reporter.ts";
 export * from "./load_view.ts";
-export * from "./rate.ts";
+export * from "./decaying_rate.ts";
 export * from "./team_shares.ts";
 export * from "./types.ts";
--- a/src/load/report_sums.ts
+++ b/src/load/report_sums.ts
@@ -6,7 +6,7 @@
 
 import { getOrCreate } from "../core/mod.ts";
 import { addEvidence, NO_EVIDENCE } from "../pacing/mod.ts";
-import { addUse, createUseTotals, isUsed } from "./use.ts";
+import { addUse, createUseTotals, isUsed } from "./use_totals.ts";
 import type {
   LearnedOfService,
   LoadContent,
