--- a/src/queue/prompt_queue_test.ts
+++ b/src/queue/prompt_queue_test.ts
@@ -355,7 +355,7 @@
   const chat = {
     readingTokens: 1_200,
     sharedTokens: 400,
-    serviceYield: 7,
+    efficiency: 7,
     ranked: ["a"],
   };
   for (let at = 0; at < 48; at++) {
