--- a/src/load/decaying_rate.ts
+++ b/src/load/decaying_rate.ts
@@ -1,18 +1,18 @@
 /**
- * A rate that forgets: events of the last seconds count, older ones fade.
+ * A rate with exponential decay: recent amounts count most, older ones decay.
  *
  * @module
  */
 
-/** A rate in units a second. */
+/** A rate in units per second. */
 export interface DecayingRate {
   add(amount: number, nowMs: number): void;
   get(nowMs: number): number;
 }
 
-/** Makes a rate of zero that fades to a half in the time given. */
+/** Creates a rate of zero with the half-life given. */
 export function createDecayingRate(halfLifeMs: number): DecayingRate {
-  // The sum of fading amounts over its mean life is the rate.
+  // The rate is the sum of the decayed amounts divided by their mean lifetime.
   const meanLifeS = halfLifeMs / Math.LN2 / 1_000;
   let sum = 0;
   let updatedMs = 0;
--- a/src/load/load_reporter.ts
+++ b/src/load/load_reporter.ts
@@ -1,14 +1,16 @@
 /**
- * Decides which reports of load a host sends, and to whom.
+ * Decides which load reports a host sends, and to which hosts.
  *
- * Load: 390 hosts before the same upstreams. Harm prevented: each host telling
- * each other takes 6,300 datagrams for one round of 80 hosts, half of them over
- * the link between regions; to bound that, news came each 0.8 s, so that hosts
- * sent upstreams what others had filled meanwhile. In a fleet of more than a few
- * hosts one host of each data centre adds up: it hears its own data centre's
- * hosts, exchanges sums with its likes, and tells its hosts the sum over the
- * fleet. That is 190 datagrams for a round of 80 hosts in 6 data centres, 30 of
- * them between data centres. A host takes its own part out of the sum.
+ * Load: 390 hosts that use the same upstreams. Harm prevented: if each host
+ * reports to each other one (full mesh), a round of 80 hosts takes 6,300
+ * datagrams, half of them over the link between regions. To limit that traffic,
+ * rounds would have to be 0.8 s apart, in which hosts send prompts to upstreams
+ * that others have filled meanwhile. In a fleet of more than a few hosts, one
+ * host of each data centre is therefore its aggregator: it receives the reports
+ * of its data centre's hosts, exchanges aggregates with the other aggregators,
+ * and sends its hosts the aggregate over the fleet. A round of 80 hosts in 6
+ * data centres then takes 190 datagrams, 30 of them between data centres. Each
+ * host subtracts its own report from the aggregate over the fleet.
  *
  * @module
  */
@@ -18,60 +20,73 @@
 import { addReports, subtractReport } from "./report_sums.ts";
 import type { LoadContent, LoadReport } from "./types.ts";
 
-/** A host that takes part. */
+/** A host that exchanges load reports. */
 export interface LoadPeer {
   readonly peerAddress: string;
   readonly dataCentre: string;
 }
 
-/** What the sums need of the process. */
+/** Dependencies of the load reporter, supplied by the process. */
 export interface LoadReporterHost {
   readonly clock: Clock;
   readonly self: LoadPeer;
   /** The hosts that are alive, this one included. */
   getHosts(): readonly LoadPeer[];
   getDigest(name: string): number;
-  /** This host's own use. */
+  /** Returns this host's own use. */
   createOwnContent(): LoadContent;
-  /** The use of other hosts is known anew; replaces what the sender told. */
+  /** Receives the use of other hosts; replaces the sender's previous report. */
   onOthersLoad(report: LoadReport): void;
 }
 
-/** A report on its way. */
+/** A report with the peer addresses of its receivers. */
 export interface OutgoingReport {
   readonly to: readonly string[];
   readonly report: LoadReport;
 }
 
-/** Reports of one host. */
+/** Creates the reports of one host, and receives those of others. */
 export interface LoadReporter {
-  /** What is to be sent now; asked for once in each period. */
+  /** Returns the reports of one round; called once in each period. */
   createReports(): readonly OutgoingReport[];
   receive(report: LoadReport): void;
-  /** Time until the next reports, in ms. */
+  /** Time until the next round, in ms. */
   getPeriodMs(): number;
 }
 
-/** Up to so many hosts each tells each other: 15 datagrams a round and host. */
+/**
+ * Fleets of up to this many hosts use a full mesh, with at most 15 datagrams
+ * per host and round.
+ */
 export const MAX_FULL_MESH_HOSTS = 16;
 
-/** Between two rounds, in ms; half the time in which a usual prompt is read. */
+/**
+ * Least time between two rounds: half of the time that the prefill of a typical
+ * prompt takes.
+ */
 const MIN_PERIOD_MS = 100;
 
 /**
- * The host that adds up hears and tells each host of its data centre once a
- * round: with more of them less often, so that it handles no more than some 250
- * datagrams a second, 2% of a core.
+ * Least period of the rounds, per host of the data centre. In every round the
+ * aggregator receives a report from each of these hosts and sends one to each.
+ * The period grows with their number, so that the aggregator handles at most
+ * about 250 datagrams per second, which takes 2% of a core.
  */
 const PERIOD_MS_PER_HOST = 8;
 
-/** Older reports count for nothing: their sender is gone, or cut off, in ms. */
+/**
+ * Reports older than this are dropped, in ms: their sender has stopped or
+ * cannot be reached.
+ */
 export const REPORT_TTL_MS = 1_500;
 
-/** Own reports are kept to be taken out of sums; one in a period, for 1.5 s. */
+/**
+ * Own reports kept in order to subtract them from aggregates: one per period,
+ * for 1.5 s.
+ */
 const MAX_OWN_REPORTS = 16;
 
-/** Sender of sums over the fleet, whichever host of the data centre adds up. */
+/** Sender name of fleet aggregates, whichever host is the aggregator. */
 export const FLEET_SENDER = "fleet";
 
 interface ReceivedReport {
@@ -79,13 +94,13 @@
   readonly receivedMs: number;
 }
 
-/** Makes the sums of a host that has heard nothing. */
+/** Creates the reporter of a host that has received no reports. */
 export function createLoadReporter(host: LoadReporterHost): LoadReporter {
   const { clock, self } = host;
   const ownReports: LoadReport[] = [];
-  /** Of hosts of this data centre, by peer address. */
+  /** Reports of this data centre's hosts, by peer address. */
   const hostReports = new Map<string, ReceivedReport>();
-  /** Sums of the others, by data centre. */
+  /** Aggregates of the other data centres, by data centre. */
   const dataCentreReports = new Map<string, ReceivedReport>();
   let sequence = 0;
   let wasIdle = false;
@@ -131,7 +146,7 @@
     return [...received.values()].map((each) => each.report);
   }
 
-  /** Reports of the hosts of this data centre that are alive. */
+  /** Returns the reports of this data centre's hosts that are alive. */
   function getLiveHostReports(): readonly LoadReport[] {
     const alive = new Set(
       getOwnDataCentreHosts().map((each) => each.peerAddress),
@@ -143,13 +158,13 @@
     const ownDigest = host.getDigest(self.peerAddress);
     const entry = report.included.find((each) => each.host === ownDigest);
     const own = ownReports.find((each) => each.sequence === entry?.sequence);
-    // One that is too old to be taken out would count this host twice.
+    // If the own report is too old to be subtracted, it would be counted twice.
     if (entry !== undefined && own === undefined) return;
     const others = own === undefined ? report : subtractReport(report, own);
     host.onOthersLoad({ ...others, from: FLEET_SENDER });
   }
 
-  /** What the host that adds up sends. */
+  /** Returns the reports that the aggregator sends. */
   function createAggregates(own: LoadReport): readonly OutgoingReport[] {
     const hosts = host.getHosts();
     const liveReports = getLiveHostReports();
@@ -175,7 +190,7 @@
     ];
   }
 
-  /** An idle host says so once and is silent then. */
+  /** A host that becomes idle reports this once and then sends nothing. */
   function createFullMeshReports(): readonly OutgoingReport[] {
     const report = createOwnReport();
     const isIdle = report.upstreams.length === 0;
@@ -217,7 +232,7 @@
   return [...new Set(hosts.map((each) => each.dataCentre))];
 }
 
-/** The host that adds up for a data centre: all hosts choose the same. */
+/** Returns the aggregator of a data centre; all hosts choose the same one. */
 function getAggregator(hosts: readonly LoadPeer[], dataCentre: string): string {
   const addresses = hosts
     .filter((each) => each.dataCentre === dataCentre)
--- a/src/load/load_reporter_test.ts
+++ b/src/load/load_reporter_test.ts
@@ -11,7 +11,7 @@
 
 const LINK_MS = 20;
 
-/** A fleet whose hosts tell each other their load over links of 20 ms. */
+/** Creates a fleet whose hosts exchange load reports with 20 ms of latency. */
 function createFleet(dataCentres: number, hostsInEach: number) {
   const clock = createManualClock(1_000);
   const peers: LoadPeer[] = [];
@@ -78,7 +78,7 @@
   return {
     hosts,
     dead,
-    /** Plays rounds in which every host reports, a period apart. */
+    /** Runs rounds, one period apart, in each of which every host reports. */
     runRounds(rounds: number): void {
       for (let round = 0; round < rounds; round++) {
         sendAll();
@@ -91,11 +91,12 @@
   };
 }
 
-test("hosts of a large fleet know each other's use by few datagrams", () => {
-  // Eighty hosts before the same upstreams. Told by each to each, a round takes
-  // 6,320 datagrams, so that it can be played only each 0.8 s: hosts fill an
-  // upstream that others have filled meanwhile, and it rejects one in seven of
-  // what arrives. Before: 6,320 a round; now 190 and fewer, each 0.1 s.
+test("hosts of a large fleet learn each other's use with few datagrams", () => {
+  // Guards against a full mesh in a large fleet. With eighty hosts it takes
+  // 6,320 datagrams per round, so that rounds have to be 0.8 s apart. Hosts
+  // then send to upstreams that others have filled meanwhile, which reject one
+  // request in seven. With aggregators a round takes at most 190 datagrams, and
+  // rounds are 0.1 s apart.
   const fleet = createFleet(6, 14);
   for (const { view } of fleet.hosts) view.beginRequest("engine-1");
   fleet.runRounds(3);
@@ -107,7 +108,7 @@
   ok(fleet.countCrossDatagrams() / 3 <= 30);
 });
 
-test("hosts of a large fleet know what waits elsewhere for underserved teams", () => {
+test("hosts of a large fleet know the waiting prompts of underserved teams elsewhere", () => {
   const fleet = createFleet(2, 12);
   const [first, ...others] = fleet.hosts;
   first!.view.setUnderserved(new Map([["engine-1", 2]]));
@@ -118,7 +119,7 @@
   }
 });
 
-test("a host's own use is counted as it is, not as it was when last told", () => {
+test("a host counts its own present use, not the one that it last reported", () => {
   const fleet = createFleet(2, 12);
   const [first] = fleet.hosts;
   for (let at = 0; at < 5; at++) first!.view.beginRequest("engine-1");
@@ -129,10 +130,10 @@
   strictEqual(fleet.hosts[1]!.view.getInFlight("engine-1"), 0);
 });
 
-test("when the host that adds up is killed another one does", () => {
-  // The host that adds up for a data centre loses power. Its hosts hear nothing
-  // more and would count only themselves, and those elsewhere would not count
-  // them, so that all overfill the upstreams.
+test("another host becomes the aggregator when the aggregator is killed", () => {
+  // Guards against a data centre without an aggregator after a power loss. Its
+  // hosts would receive no reports and count only themselves, hosts elsewhere
+  // would not count them, and all would send too much to the upstreams.
   const fleet = createFleet(2, 12);
   for (const { view } of fleet.hosts) view.beginRequest("engine-1");
   fleet.runRounds(3);
@@ -150,7 +151,7 @@
   }
 });
 
-test("a data centre that is cut off counts for nothing after a while", () => {
+test("reports of a data centre that cannot be reached expire", () => {
   const fleet = createFleet(2, 12);
   for (const { view } of fleet.hosts) view.beginRequest("engine-1");
   fleet.runRounds(3);
@@ -160,7 +161,7 @@
   strictEqual(fleet.hosts[0]!.view.getInFlight("engine-1"), 12);
 });
 
-test("a small fleet's hosts tell each other, and an idle one once", () => {
+test("hosts of a small fleet report to each other, and idle ones only once", () => {
   const fleet = createFleet(2, MAX_FULL_MESH_HOSTS / 2);
   const [first] = fleet.hosts;
   first!.view.beginRequest("engine-1");
--- a/src/load/load_test.ts
+++ b/src/load/load_test.ts
@@ -11,16 +11,16 @@
 import { getFairLevel } from "./team_shares.ts";
 import type { LoadReport } from "./types.ts";
 
-test("with enough for all no team has a limit", () => {
+test("no team is limited when the capacity is sufficient for all", () => {
   strictEqual(getFairLevel([10, 20, 30], 60), Infinity);
 });
 
-test("those that ask for more than an even share get the same", () => {
-  // 100 of capacity: 10 for the small one, 45 each for the two large ones.
+test("teams that ask for more than an even share get the same amount", () => {
+  // Of a capacity of 100 the small demand gets 10, the two large ones 45 each.
   strictEqual(getFairLevel([10, 400, 90], 100), 45);
 });
 
-test("demands cut at the level add up to the capacity, whatever they are", () => {
+test("any demands, limited to the fair level, add up to the capacity", () => {
   const amount = fc.double({ min: 0.1, max: 1_000, noNaN: true });
   fc.assert(fc.property(
     fc.array(amount, { minLength: 1, maxLength: 300 }),
@@ -50,7 +50,7 @@
     getLearned: () => [],
   });
   let sequence = 0;
-  /** What this host tells each other one in a small fleet. */
+  /** Creates the report that this host sends to the others in a small fleet. */
   const createReport = (): LoadReport => ({
     ...view.createOwnContent(),
     from,
@@ -63,7 +63,7 @@
 }
 
 test("hosts count each other's requests at an upstream", () => {
-  // Guards against hosts that each fill an upstream to its slots.
+  // Guards against hosts that each use all slots of an upstream.
   const a = createView("a");
   const b = createView("b", a.clock);
   for (let at = 0; at < 30; at++) {
@@ -87,7 +87,7 @@
   strictEqual(b.view.getInFlight("engine-1"), 2);
 });
 
-test("the load of a host that was killed is forgotten", () => {
+test("the load of a host that was killed expires", () => {
   const a = createView("a");
   const b = createView("b", a.clock);
   a.view.beginRequest("engine-1");
@@ -96,8 +96,8 @@
   strictEqual(b.view.getInFlight("engine-1"), 0);
 });
 
-test("a team that floods one host is over its share at all of them", () => {
-  // Guards against a flood that other hosts take for a calm team.
+test("a team that overloads one host is over its share at all hosts", () => {
+  // Guards against hosts that do not know of a team's load at other hosts.
   const a = createView("a");
   const b = createView("b", a.clock);
   for (let at = 0; at < 10; at++) {
@@ -113,7 +113,7 @@
   deepStrictEqual(b.view.getShareUsed("nobody"), 0);
 });
 
-test("a team is underserved that is given far less than it asks for and others get", () => {
+test("a team is underserved if it gets far less than it asks for and others get", () => {
   const { clock, view } = createView("a");
   for (let at = 0; at < 10; at++) {
     view.recordAsked("rich", 500);
@@ -130,8 +130,8 @@
   deepStrictEqual(underserved, ["poor"]);
 });
 
-test("hosts know what waits elsewhere for underserved teams, and when it is gone", () => {
-  // Guards against upstreams that idle for prompts that wait no longer.
+test("hosts know how many prompts of underserved teams wait elsewhere", () => {
+  // Guards against upstreams that stay idle for prompts that no longer wait.
   const a = createView("a");
   const b = createView("b", a.clock);
   a.view.setUnderserved(new Map([["engine-1", 2]]));
@@ -143,7 +143,7 @@
   strictEqual(b.view.getUnderservedElsewhere("engine-1"), 0);
 });
 
-test("what waits at a host that was killed holds nobody back", () => {
+test("prompts that waited at a host that was killed hold up no others", () => {
   const a = createView("a");
   const b = createView("b", a.clock);
   a.view.setUnderserved(new Map([["engine-1", 2]]));
@@ -152,8 +152,9 @@
   strictEqual(b.view.getUnderservedElsewhere("engine-1"), 0);
 });
 
-test("an upstream that others have filled is not free after a pause of this host", () => {
-  // Guards against starts on the ground of a host's own silence.
+test("reports do not expire while this host itself is blocked", () => {
+  // Guards against a host that, after a long event-loop iteration, takes full
+  // upstreams for free because the reports of other hosts seem to be too old.
   const a = createView("a");
   const working = createWorkingClock(a.clock);
   const b = createView("b", a.clock, working);
--- a/src/load/load_view.ts
+++ b/src/load/load_view.ts
@@ -1,11 +1,13 @@
 /**
- * What all hosts together use of the upstreams, and which teams take more than
- * their share: this host's own counts and the newest report of each other host.
+ * The use of the upstreams over all hosts, and which teams exceed their share.
+ * It is computed from this host's own counts and the newest report of each
+ * other host.
  *
- * Load: all hosts send to the same upstreams, each seeing its own requests
- * alone. Harm prevented: together they send an upstream more than it works on
- * at once, and the rest waits inside it, in no order and for up to 1.3 s; and a
- * team that floods one data centre gets there what others lack elsewhere.
+ * Load: all hosts send to the same upstreams, but each observes only its own
+ * requests. Harm prevented: together they send an upstream more than it can run
+ * concurrently, and the remaining requests wait inside it, in no fair order and
+ * for up to 1.3 s. And a team that sends far more than its share in one data
+ * centre gets capacity there that other teams lack elsewhere.
  *
  * @module
  */
@@ -33,72 +35,86 @@
   UpstreamUse,
 } from "./types.ts";
 
-/** What the view needs of the process. */
+/** Dependencies of the load view, supplied by the process. */
 export interface LoadViewHost {
   readonly clock: Clock;
-  /** Digest by which a name travels. */
+  /** Digest that stands for a name in reports. */
   getDigest(name: string): number;
-  /** Whether the host is alive, as far as is known. */
+  /** Whether the host is alive, as far as this host knows. */
   isAlive(host: string): boolean;
-  /** Tokens that the upstreams do in a second, as operators state it. */
+  /** Capacity of the upstreams as stated by operators, in tokens per second. */
   getStatedCapacity(): number;
-  /** What this host has learned of upstreams, by service. */
+  /** What this host has learned about the upstreams, by service. */
   getLearned(): readonly LearnedOfService[];
 }
 
-/** The load of the fleet, as this host sees it. */
+/** The load of the fleet, as known to this host. */
 export interface LoadView {
   beginRequest(upstream: string): void;
   endRequest(upstream: string): void;
-  /** A prompt of so many tokens, attention counted, is being read. */
+  /**
+   * Counts a prompt whose prefill begins, with its tokens weighted by the cost
+   * of attention.
+   */
   beginReading(upstream: string, readingTokens: number): void;
   endReading(upstream: string, readingTokens: number): void;
   recordAsked(team: string, tokens: number): void;
-  /** A prompt of so much service and work, both in tokens, is asked for. */
+  /**
+   * Records the service and the upstream work of a requested prompt, in tokens.
+   */
   recordWork(serviceTokens: number, workTokens: number): void;
-  /** Service for a token of work, of what this host was asked of late. */
+  /**
+   * Recent mean of requested service tokens per token of work, at this host.
+   */
   getMeanEfficiency(): number;
   recordBegun(team: string, tokens: number): void;
-  /** Requests of all hosts in flight at the upstream. */
+  /** Requests in flight at the upstream, of all hosts. */
   getInFlight(upstream: string): number;
-  /** What is being read there for all hosts, in tokens. */
+  /** Tokens being prefilled at the upstream, for all hosts. */
   getReadingTokens(upstream: string): number;
-  /** What the other hosts have learned of the service's upstreams. */
+  /** What the other hosts have learned about the service's upstreams. */
   getOthersLearned(service: string): PacingEvidence;
-  /** What the team was given over its share, as a ratio; 1 is the share. */
+  /** Recent service of the team, relative to its share; 1 is the full share. */
   getShareUsed(team: string): number;
-  /** Whether the team is given more than an even part of what is short. */
+  /**
+   * Whether upstream capacity is short and the team gets more than an even part
+   * of it.
+   */
   isOverserved(team: string): boolean;
-  /** Whether the team is given far less than others, and asks for more. */
+  /** Whether the team gets far less than others although it asks for more. */
   isUnderserved(team: string): boolean;
-  /** Prompts of underserved teams that wait at this host, by upstream. */
+  /**
+   * Sets the waiting prompts of underserved teams at this host, by upstream.
+   */
   setUnderserved(waiting: ReadonlyMap<string, number>): void;
-  /** Those that wait at other hosts for the upstream. */
+  /** Prompts of underserved teams that wait for the upstream at other hosts. */
   getUnderservedElsewhere(upstream: string): number;
-  /** Takes in the use of another host, or of all others together. */
+  /** Applies the report of another host, or the aggregate of all others. */
   receive(report: LoadReport): void;
-  /** This host's own use, to be told to others. */
+  /** Returns this host's own use, to be reported to other hosts. */
   createOwnContent(): LoadContent;
 }
 
-/** Rates fade to a half in so long, in ms: shares are owed by four seconds. */
+/**
+ * Half-life of the rates, in ms: shares are due over a period of four seconds.
+ */
 const HALF_LIFE_MS = 1_400;
 
-/** Old reports are looked for so often, in ms. */
+/** Least time between two searches for stale reports. */
 const EVICT_PERIOD_MS = 50;
 
-/** The level is worked out anew after so long, in ms. */
+/** Time after which the fair levels are computed again. */
 const LEVEL_TTL_MS = 50;
 
 /**
- * A team is underserved that is given less than this share of what the best
- * served one is given, though it asks for more.
+ * A team is underserved if it gets less than this share of what the best served
+ * team gets, although it asks for more.
  */
 const UNDERSERVED_SHARE = 0.75;
 
 /**
- * What upstreams give is short when more than so many times as much is asked:
- * what waits for a moment is asked and not begun.
+ * Capacity is short when the service asked for exceeds the service begun by
+ * this factor. A smaller difference is due to prompts that wait only briefly.
  */
 const SHORTAGE_FACTOR = 1.15;
 
@@ -114,7 +130,7 @@
   readonly begun: DecayingRate;
 }
 
-/** Makes the view of a host that knows of no load. */
+/** Creates the view of a host that has received no reports. */
 export function createLoadView(host: LoadViewHost): LoadView {
   const { clock, getDigest } = host;
   const uses = new Map<number, UseTotals>();
@@ -126,7 +142,10 @@
   const workRate = createDecayingRate(HALF_LIFE_MS);
   let evictedMs = -Infinity;
   let statedFairLevel = Infinity;
-  /** The level of what is really given, which may be far below what is stated. */
+  /**
+   * Fair level of the service that is really begun, which may be far below the
+   * stated capacity.
+   */
   let servedFairLevel = Infinity;
   let askedByTeam: ReadonlyMap<number, number> = new Map();
   let begunByTeam: ReadonlyMap<number, number> = new Map();
@@ -144,7 +163,7 @@
     }));
   }
 
-  /** Adds a report to the sums over all other hosts, or takes it out again. */
+  /** Adds a report to the totals over all other hosts, or subtracts it. */
   function applyReport(report: LoadReport, sign: 1 | -1): void {
     for (const each of report.upstreams) {
       addUse(
@@ -156,7 +175,7 @@
     for (const learned of report.learned) {
       const known = othersLearned.get(learned.service) ?? NO_EVIDENCE;
       const sum = addEvidence(known, learned, sign);
-      // Without hosts only errors of rounding are left.
+      // Without contributing hosts only rounding errors remain.
       if (sum.hosts > 0) othersLearned.set(learned.service, sum);
       else othersLearned.delete(learned.service);
     }
@@ -169,18 +188,21 @@
     applyReport(received.report, -1);
   }
 
-  /** A host that was killed, or cut off, uses nothing any more. */
+  /** Drops reports of hosts that have stopped or cannot be reached. */
   function evictStale(): void {
     const nowMs = clock.monotonicMs();
     if (nowMs - evictedMs < EVICT_PERIOD_MS) return;
     evictedMs = nowMs;
-    for (const [from, { report, receivedMs: atMs }] of reports) {
+    for (const [from, { report, receivedMs }] of reports) {
       const isGone = report.scope === "host" && !host.isAlive(from);
-      if (isGone || nowMs - atMs > REPORT_TTL_MS) evict(from);
+      if (isGone || nowMs - receivedMs > REPORT_TTL_MS) evict(from);
     }
   }
 
-  /** A sum replaces the reports that it is made of, and these replace a sum. */
+  /**
+   * Drops reports of another scope: an aggregate replaces the reports of single
+   * hosts, and these replace an aggregate.
+   */
   function evictOtherScopes({ scope }: LoadReport): void {
     for (const [from, { report }] of reports) {
       if (report.scope !== scope) evict(from);
@@ -215,7 +237,7 @@
       begun.set(use.team, (begun.get(use.team) ?? 0) + use.begun);
     }
     const total = sumOf(begun.values());
-    // What upstreams keep need not be read, so that they do more than stated.
+    // Cached prefixes need no prefill, so upstreams may do more than stated.
     const capacity = Math.max(total, host.getStatedCapacity());
     const demands = [...asked.values()];
     statedFairLevel = getFairLevel(demands, capacity);
@@ -282,7 +304,7 @@
       const known = reports.get(report.from);
       const isOlder = known !== undefined &&
         report.sequence < known.report.sequence &&
-        // A restarted host counts from the start again.
+        // A restarted host begins its sequence again.
         clock.monotonicMs() - known.receivedMs < REPORT_TTL_MS;
       if (isOlder) return;
       evict(report.from);
--- a/src/load/mod.ts
+++ b/src/load/mod.ts
@@ -1,5 +1,5 @@
 /**
- * The load of the fleet, as hosts tell each other.
+ * The load of the fleet on its upstreams, as hosts report it to each other.
  *
  * @module
  */
--- a/src/load/report_sums.ts
+++ b/src/load/report_sums.ts
@@ -1,5 +1,5 @@
 /**
- * Sums of reports of load.
+ * Adds and subtracts load reports.
  *
  * @module
  */
@@ -15,12 +15,12 @@
   UpstreamUse,
 } from "./types.ts";
 
-/** Use by upstream and team over all reports. */
+/** Sums the use by upstream, team and service over all reports. */
 export function addReports(reports: readonly LoadContent[]): LoadContent {
   return sumSigned(reports.map((report) => ({ report, sign: 1 })));
 }
 
-/** What is left of a sum without one of its parts. */
+/** Subtracts a report from an aggregate that contains it. */
 export function subtractReport(sum: LoadReport, part: LoadContent): LoadReport {
   return {
     ...sum,
--- a/src/load/team_shares.ts
+++ b/src/load/team_shares.ts
@@ -1,18 +1,19 @@
 /**
- * How much each team may take of what the upstreams do, by max-min fairness: no
- * team waits while there is room, and of what is short, those that ask for more
- * than an even share all get the same.
+ * Shares of the teams in the capacity of the upstreams, by max-min fairness: no
+ * team waits while there is capacity left, and when capacity is short all teams
+ * that ask for more than an even share get the same amount.
  *
  * Load: a few teams send seven times their share. Harm prevented: their
- * requests delay those of all others past their targets, though what a team
- * asks beyond its share is owed to nobody.
+ * requests delay those of all other teams past their targets, although no team
+ * is entitled to more than its share.
  *
  * @module
  */
 
 /**
- * The share above which no team gets more: the level at which the demands, cut
- * there, add up to the capacity. `Infinity` when there is enough for all.
+ * Returns the largest amount that any team gets: the level at which the
+ * demands, limited to it, add up to the capacity. `Infinity` when the capacity
+ * is sufficient for all.
  */
 export function getFairLevel(
   demands: readonly number[],
--- a/src/load/types.ts
+++ b/src/load/types.ts
@@ -1,23 +1,23 @@
 /**
- * What hosts tell each other of their use of the upstreams.
+ * Reports in which hosts tell each other how they use the upstreams.
  *
  * @module
  */
 
 import type { PacingEvidence } from "../pacing/mod.ts";
 
-/** What is used of an upstream now. */
+/** Present use of one upstream. */
 export interface UpstreamUse {
   /** Digest of the upstream's id. */
   readonly upstream: number;
   readonly inFlight: number;
-  /** Tokens of the prompts being read there, attention counted. */
+  /** Prompt tokens being prefilled there, weighted by the cost of attention. */
   readonly readingTokens: number;
-  /** Prompts that wait for it, of underserved teams. */
+  /** Prompts of underserved teams that wait for it. */
   readonly underserved: number;
 }
 
-/** What hosts were asked for by a team and gave it, in tokens a second. */
+/** Service that a team asked for and that was begun, in tokens per second. */
 export interface TeamUse {
   /** Digest of the team's name. */
   readonly team: number;
@@ -25,37 +25,40 @@
   readonly begun: number;
 }
 
-/** What hosts have learned of a service's upstreams. */
+/** What hosts have learned about the upstreams of one service, for pacing. */
 export interface LearnedOfService extends PacingEvidence {
   /** Digest of the service's name. */
   readonly service: number;
 }
 
-/** Whose use a report adds up. */
+/** Which hosts a report covers. */
 export type LoadScope = "host" | "data-centre" | "fleet";
 
-/** A host's report that a sum contains. */
+/** A host's report that an aggregate contains. */
 export interface IncludedReport {
   /** Digest of the host's peer address. */
   readonly host: number;
   readonly sequence: number;
 }
 
-/** What reports add up. */
+/** The parts of a report that are summed. */
 export type LoadContent = Pick<LoadReport, "upstreams" | "teams" | "learned">;
 
-/** All of it, as sent between hosts. */
+/** A load report as sent between hosts. */
 export interface LoadReport {
   /** Peer address of the sender. */
   readonly from: string;
-  /** Grows within one start of the sender. */
+  /** Increases from report to report while the sender's process runs. */
   readonly sequence: number;
   readonly upstreams: readonly UpstreamUse[];
   readonly teams: readonly TeamUse[];
   readonly learned: readonly LearnedOfService[];
   readonly scope: LoadScope;
-  /** Of the sender. */
+  /** Data centre of the sender. */
   readonly dataCentre: string;
-  /** Of a sum over the fleet: the receivers' own reports that it contains. */
+  /**
+   * In an aggregate over the fleet: the receivers' own reports that it
+   * contains.
+   */
   readonly included: readonly IncludedReport[];
 }
--- a/src/load/use_totals.ts
+++ b/src/load/use_totals.ts
@@ -1,22 +1,22 @@
 /**
- * What is used of one upstream, as sums that grow and shrink.
+ * Totals of the use of one upstream, to which reports are added and subtracted.
  *
  * @module
  */
 
 import type { UpstreamUse } from "./types.ts";
 
-/** The use of an upstream, whichever it is. */
+/** The use of an upstream, without its id. */
 export type UseTotals = {
   -readonly [Key in Exclude<keyof UpstreamUse, "upstream">]: UpstreamUse[Key];
 };
 
-/** No use. */
+/** Creates totals of zero. */
 export function createUseTotals(): UseTotals {
   return { inFlight: 0, readingTokens: 0, underserved: 0 };
 }
 
-/** Adds the second to the first, or with a sign of -1 takes it out. */
+/** Adds `other` to `use`, or subtracts it if `sign` is -1. */
 export function addUse(
   use: UseTotals,
   other: Readonly<UseTotals>,
@@ -27,7 +27,7 @@
   use.underserved += sign * other.underserved;
 }
 
-/** Whether anything of it is above zero. */
+/** Whether any of the totals is above zero. */
 export function isUsed(use: Readonly<UseTotals>): boolean {
   return use.inFlight > 0 || use.readingTokens > 0 || use.underserved > 0;
 }
