--- a/src/entry/entry.ts
+++ b/src/entry/entry.ts
@@ -162,7 +162,7 @@
     getLimitTokens,
     random: host.random,
     onStart(prompt, upstream, readingTokens) {
-      load.beginReading(upstream, readingTokens);
+      load.beginPrefill(upstream, readingTokens);
       load.recordBegun(prompt.team, prompt.serviceTokens);
     },
   });
--- a/src/forwarding/pick_upstream.ts
+++ b/src/forwarding/pick_upstream.ts
@@ -122,7 +122,7 @@
           .find((each) => each.id === id)!;
         let isReading = true;
         call.progress.endReading = () => {
-          if (isReading) host.load.endReading(id, readingTokens);
+          if (isReading) host.load.endPrefill(id, readingTokens);
           isReading = false;
         };
         resume(Effect.succeed({ upstream, readingTokens, queuedTokens }));
--- a/src/load/load_test.ts
+++ b/src/load/load_test.ts
@@ -70,7 +70,7 @@
     a.view.beginRequest("engine-1");
     b.view.beginRequest("engine-1");
   }
-  a.view.beginReading("engine-1", 4_000);
+  a.view.beginPrefill("engine-1", 4_000);
   b.view.receive(a.createReport());
   strictEqual(b.view.getInFlight("engine-1"), 60);
   strictEqual(b.view.getReadingTokens("engine-1"), 4_000);
@@ -158,7 +158,7 @@
   const a = createView("a");
   const working = createWorkingClock(a.clock);
   const b = createView("b", a.clock, working);
-  a.view.beginReading("engine-1", 9_000);
+  a.view.beginPrefill("engine-1", 9_000);
   b.view.receive(a.createReport());
   a.clock.advance(1_600);
   strictEqual(b.view.getReadingTokens("engine-1"), 9_000);
--- a/src/load/load_view.ts
+++ b/src/load/load_view.ts
@@ -56,8 +56,8 @@
    * Counts a prompt whose prefill begins, with its tokens weighted by the cost
    * of attention.
    */
-  beginReading(upstream: string, readingTokens: number): void;
-  endReading(upstream: string, readingTokens: number): void;
+  beginPrefill(upstream: string, readingTokens: number): void;
+  endPrefill(upstream: string, readingTokens: number): void;
   recordAsked(team: string, tokens: number): void;
   /**
    * Records the service and the upstream work of a requested prompt, in tokens.
@@ -140,7 +140,7 @@
   const othersLearned = new Map<number, PacingEvidence>();
   const serviceRate = createDecayingRate(HALF_LIFE_MS);
   const workRate = createDecayingRate(HALF_LIFE_MS);
-  let evictedMs = -Infinity;
+  let lastEvictionMs = -Infinity;
   let statedFairLevel = Infinity;
   /**
    * Fair level of the service that is really begun, which may be far below the
@@ -191,8 +191,8 @@
   /** Drops reports of hosts that have stopped or cannot be reached. */
   function evictStale(): void {
     const nowMs = clock.monotonicMs();
-    if (nowMs - evictedMs < EVICT_PERIOD_MS) return;
-    evictedMs = nowMs;
+    if (nowMs - lastEvictionMs < EVICT_PERIOD_MS) return;
+    lastEvictionMs = nowMs;
     for (const [from, { report, receivedMs }] of reports) {
       const isGone = report.scope === "host" && !host.isAlive(from);
       if (isGone || nowMs - receivedMs > REPORT_TTL_MS) evict(from);
@@ -251,10 +251,10 @@
   return {
     beginRequest: (upstream) => void getUse(upstream).inFlight++,
     endRequest: (upstream) => void getUse(upstream).inFlight--,
-    beginReading(upstream, readingTokens) {
+    beginPrefill(upstream, readingTokens) {
       getUse(upstream).readingTokens += readingTokens;
     },
-    endReading(upstream, readingTokens) {
+    endPrefill(upstream, readingTokens) {
       getUse(upstream).readingTokens -= readingTokens;
     },
     recordAsked: (team, tokens) =>
--- a/src/measure/prompt_load.ts
+++ b/src/measure/prompt_load.ts
@@ -114,7 +114,7 @@
     ...ours,
     queue: {
       ...defaultPromptQueueOptions,
-      limit: { slotShare: 1, readingShare: 1 },
+      limit: { slotShare: 1, prefillShare: 1 },
     },
   },
   fixed_half: { ...ours, limitTokens: 7_000 },
--- a/src/measure/prompt_world.ts
+++ b/src/measure/prompt_world.ts
@@ -169,7 +169,7 @@
         options.limitTokens ?? pacing.getLimitTokens(TIGHTEST_TARGET_MS),
       random,
       onStart(prompt, engine, readingTokens) {
-        view.beginReading(engine, readingTokens);
+        view.beginPrefill(engine, readingTokens);
         view.beginRequest(engine);
         view.recordBegun(prompt.team, prompt.serviceTokens);
       },
@@ -265,7 +265,7 @@
       onEvent(atMs) {
         if (lastMs === undefined) {
           runAt(atMs + LINK_MS, () => {
-            view.endReading(engine, readingTokens);
+            view.endPrefill(engine, readingTokens);
             pacing.noteFirstEvent(queuedTokens, nowMs() - startedMs);
           });
         } else notePause(atMs - lastMs, atMs);
--- a/src/queue/prompt_queue.ts
+++ b/src/queue/prompt_queue.ts
@@ -80,9 +80,9 @@
  *   second.
  */
 export const defaultPromptQueueOptions: PromptQueueOptions = {
-  limit: { slotShare: 0.6, readingShare: 1 },
-  inefficientLimit: { slotShare: 0.45, readingShare: 0.5 },
-  overShareLimit: { slotShare: 0.45, readingShare: 0.5 },
+  limit: { slotShare: 0.6, prefillShare: 1 },
+  inefficientLimit: { slotShare: 0.45, prefillShare: 0.5 },
+  overShareLimit: { slotShare: 0.45, prefillShare: 0.5 },
   negligibleTokens: FREE_TOKENS,
   maxCountedShare: 0.75,
   spilloverShare: 0.55,
@@ -163,7 +163,7 @@
       hasRoom(getLoad(upstream), {
         readingTokens: Math.min(readingTokens, maxCountedTokens),
         slotShare: limit.slotShare,
-        limitTokens: limitTokens * limit.readingShare,
+        limitTokens: limitTokens * limit.prefillShare,
         fullLimitTokens: limitTokens,
         yieldsToUnderserved,
       });
--- a/src/queue/shared_capacity_test.ts
+++ b/src/queue/shared_capacity_test.ts
@@ -104,7 +104,7 @@
       getLimitTokens: () => pacing.getLimitTokens(TARGET_MS),
       random,
       onStart(prompt, upstream, readingTokens) {
-        view.beginReading(upstream, readingTokens);
+        view.beginPrefill(upstream, readingTokens);
         view.recordBegun(prompt.team, prompt.serviceTokens);
       },
     });
@@ -117,7 +117,7 @@
       answers++;
       const isLate = answers % 100 < options.lateShares[hostAt]! * 100;
       agenda.after(endMs - startedMs + LINK_MS, () => {
-        view.endReading(upstream, promptTokens);
+        view.endPrefill(upstream, promptTokens);
         pacing.noteFirstEvent(queuedTokens, clock.monotonicMs() - startedMs);
         pacing.notePause(isLate);
       });
--- a/src/queue/types.ts
+++ b/src/queue/types.ts
@@ -166,7 +166,7 @@
   /** Share of the upstream's slots. */
   readonly slotShare: number;
   /** Share of the prefill limit in tokens. */
-  readonly readingShare: number;
+  readonly prefillShare: number;
 }
 
 /** The queue of waiting prompts of one host. */
--- a/src/testing/forward_fixture.ts
+++ b/src/testing/forward_fixture.ts
@@ -271,7 +271,7 @@
       getLimitTokens: () => LIMIT_TOKENS,
       random: () => 0.5,
       onStart: (_prompt, upstream, readingTokens) =>
-        load.beginReading(upstream, readingTokens),
+        load.beginPrefill(upstream, readingTokens),
     }),
     health: createHealthWatch(clock),
     rests: createRestWatch(clock),
