--- a/src/slots/adaptive_limit.ts
+++ b/src/slots/adaptive_limit.ts
@@ -14,7 +14,7 @@
  */
 
 import { clamp } from "../core/mod.ts";
-import { type BreakerState, createBreaker } from "./breaker.ts";
+import { type BreakerState, createCircuitBreaker } from "./circuit_breaker.ts";
 import { createPaceWatch } from "./pace_watch.ts";
 
 /** Limits of the limit; each with its reason. */
@@ -114,7 +114,7 @@
   let atMinimumSinceMs: number | undefined;
   let told = maxSlots;
 
-  const breaker = createBreaker((state, reason) => {
+  const breaker = createCircuitBreaker((state, reason) => {
     // It comes back with few slots and earns the others.
     if (state === "closed") limit = MIN_SLOTS;
     if (state === "open") recoverTo = Math.max(recoverTo, limit / 2);
--- a/src/slots/breaker.ts
+++ b/src/slots/circuit_breaker.ts
@@ -22,7 +22,7 @@
 }
 
 /** The state of one upstream as its owner sees it. */
-export interface Breaker {
+export interface CircuitBreaker {
   getState(): BreakerState;
   /** A use that began at the time given has ended. */
   observeEnd(end: UseEnd, nowMs: number): void;
@@ -38,43 +38,43 @@
  * With fewer slots than that, as many as there are: a stalled upstream that is
  * held to one slot would need three times the silence limit.
  */
-const OPENING_FAILURES = 3;
+const FAILURE_THRESHOLD = 3;
 
 /** First pause before a probe: about the time of a restart of a plain service. */
-const FIRST_PAUSE_MS = 1_000;
+const INITIAL_OPEN_MS = 1_000;
 
 /** Longest pause: each probe may cost a caller the silence limit of a stream. */
-const MAX_PAUSE_MS = 16_000;
+const MAX_OPEN_MS = 16_000;
 
 /**
  * A silent stream is cut after 5 s, so a probe that still runs after this gets
  * tokens. Without this a long answer would hold a sound upstream at one slot.
  */
-const PROBE_PROVEN_MS = 6_000;
+const PROBE_SUCCESS_MS = 6_000;
 
 /** Makes a closed breaker; `onChange` is told each change with its reason. */
-export function createBreaker(
+export function createCircuitBreaker(
   onChange: (state: BreakerState, reason: string) => void,
-): Breaker {
+): CircuitBreaker {
   let state: BreakerState = "closed";
   let failures = 0;
-  let pauseMs = FIRST_PAUSE_MS;
+  let openMs = INITIAL_OPEN_MS;
   let openedMs = -Infinity;
 
-  function change(next: BreakerState, reason: string): void {
+  function setState(next: BreakerState, reason: string): void {
     state = next;
     onChange(next, reason);
   }
 
   function open(nowMs: number, reason: string): void {
     openedMs = nowMs;
-    change("open", reason);
+    setState("open", reason);
   }
 
   function close(reason: string): void {
     failures = 0;
-    pauseMs = FIRST_PAUSE_MS;
-    change("closed", reason);
+    openMs = INITIAL_OPEN_MS;
+    setState("closed", reason);
   }
 
   function observeProbe(result: UseEnd["result"], nowMs: number): void {
@@ -82,7 +82,7 @@
       close("The probe was answered");
       return;
     }
-    pauseMs = Math.min(pauseMs * 2, MAX_PAUSE_MS);
+    openMs = Math.min(openMs * 2, MAX_OPEN_MS);
     open(nowMs, "The probe failed");
   }
 
@@ -93,7 +93,9 @@
       switch (state) {
         case "closed":
           failures = result === "failed" ? failures + 1 : 0;
-          if (failures < Math.max(1, Math.min(OPENING_FAILURES, slots))) return;
+          if (failures < Math.max(1, Math.min(FAILURE_THRESHOLD, slots))) {
+            return;
+          }
           open(nowMs, `${failures} uses failed in a row`);
           return;
         case "open":
@@ -105,13 +107,13 @@
       }
     },
     tick(probeSinceMs, nowMs) {
-      if (state === "open" && nowMs - openedMs >= pauseMs) {
-        change("half-open", `Probed after ${pauseMs} ms`);
+      if (state === "open" && nowMs - openedMs >= openMs) {
+        setState("half-open", `Probed after ${openMs} ms`);
       } else if (
         state === "half-open" && probeSinceMs !== undefined &&
-        nowMs - probeSinceMs >= PROBE_PROVEN_MS
+        nowMs - probeSinceMs >= PROBE_SUCCESS_MS
       ) {
-        close(`The probe runs for ${PROBE_PROVEN_MS} ms`);
+        close(`The probe runs for ${PROBE_SUCCESS_MS} ms`);
       }
     },
   };
