--- a/src/slots/adaptive_limit.ts
+++ b/src/slots/adaptive_limit.ts
@@ -15,7 +15,7 @@
 
 import { clamp } from "../core/mod.ts";
 import { type BreakerState, createCircuitBreaker } from "./circuit_breaker.ts";
-import { createPaceWatch } from "./pace_watch.ts";
+import { createLatencyTracker } from "./latency_tracker.ts";
 
 /** Limits of the limit; each with its reason. */
 export interface AdaptiveLimitOptions {
@@ -102,8 +102,8 @@
   options: AdaptiveLimitOptions,
 ): AdaptiveLimit {
   let { maxSlots } = options;
-  const firstBytes = createPaceWatch();
-  const tokenIntervals = createPaceWatch();
+  const firstBytes = createLatencyTracker();
+  const tokenIntervals = createLatencyTracker();
   const startedMs = new Map<number, number>();
   let limit = maxSlots;
   let recoverTo = maxSlots;
@@ -158,12 +158,12 @@
   }
 
   function tryGetSlowReason(): string | undefined {
-    const ratio = firstBytes.getRatio();
+    const ratio = firstBytes.getSlowdown();
     if (ratio > SLOW_FACTOR) {
       return `The first byte takes ${ratio.toFixed(1)} times its normal time`;
     }
     if (missShare <= MAX_MISS_SHARE) return undefined;
-    const lateMs = tokenIntervals.getLateMs().toFixed(0);
+    const lateMs = tokenIntervals.getRecentMs().toFixed(0);
     return `The time between tokens, ${lateMs} ms, misses its goal too often`;
   }
 
@@ -174,7 +174,7 @@
    */
   function isSlowByItself(): boolean {
     if (missShare <= MAX_MISS_SHARE) return false;
-    const tokenMs = tokenIntervals.getLateMs();
+    const tokenMs = tokenIntervals.getRecentMs();
     vain ??= { count: -1, tokenMs: 0, limit };
     const isVain = tokenMs > allowedTokenMs &&
       tokenMs > vain.tokenMs * TOKEN_GAIN;
@@ -183,7 +183,7 @@
   }
 
   function acceptTokenPace(): void {
-    const slackMs = tokenIntervals.getLateMs() * TOKEN_SLACK;
+    const slackMs = tokenIntervals.getRecentMs() * TOKEN_SLACK;
     allowedTokenMs = Math.max(TOKEN_GOAL_MS, slackMs);
     limit = Math.max(limit, vain?.limit ?? 0);
     vain = undefined;
@@ -218,8 +218,8 @@
   function relearnIfSlowAlone(nowMs: number): void {
     if (atMinimumSinceMs === undefined) return;
     if (nowMs - atMinimumSinceMs < RELEARN_MS) return;
-    firstBytes.relearn();
-    if (tokenIntervals.getLateMs() > allowedTokenMs) acceptTokenPace();
+    firstBytes.resetBaseline();
+    if (tokenIntervals.getRecentMs() > allowedTokenMs) acceptTokenPace();
     atMinimumSinceMs = undefined;
   }
 
