--- a/src/fleet/owned_upstreams.ts
+++ b/src/fleet/owned_upstreams.ts
@@ -186,7 +186,7 @@
       onStarted: (slot) => limit.observeStart(slot, host.clock.monotonicMs()),
       onEnded({ slot, result, firstByteMs, tokenIntervalMs }) {
         if (result === "unused") {
-          limit.forget(slot);
+          limit.observeUnused(slot);
           return;
         }
         const use = { slot, result, firstByteMs, tokenIntervalMs };
--- a/src/measure/slow_upstream.ts
+++ b/src/measure/slow_upstream.ts
@@ -105,7 +105,7 @@
     getState: () => "closed",
     observeStart() {},
     observeEnd() {},
-    forget() {},
+    observeUnused() {},
     tick() {},
     setMaxSlots() {},
   }),
--- a/src/slots/adaptive_limit.ts
+++ b/src/slots/adaptive_limit.ts
@@ -45,7 +45,7 @@
   /** A slot came back after a use. */
   observeEnd(use: SlotUse, nowMs: number): void;
   /** A slot came back unused. */
-  forget(slot: number): void;
+  observeUnused(slot: number): void;
   /** Takes a changed maximum of the configuration. */
   setMaxSlots(maxSlots: number): void;
   /** Called now and then, so that a probe follows a pause. */
@@ -59,27 +59,27 @@
  * Slower than its base by this factor, an upstream queues inside. A mix of long
  * and short prompts moves the average of 16 by less.
  */
-const SLOW_FACTOR = 3;
+const SLOWDOWN_THRESHOLD = 3;
 
 /** The goal for the time between two tokens, for 95 in 100. */
-const TOKEN_GOAL_MS = 31;
+const TOKEN_INTERVAL_TARGET_MS = 31;
 
 /**
  * Two decreases in a row, which halve the streams, that bring less than a tenth
  * in time between tokens show that the engine is slow by itself. One could be
  * judged from streams that began before it.
  */
-const TOKEN_GAIN = 0.9;
-const VAIN_DECREASES = 2;
+const INEFFECTIVE_RATIO = 0.9;
+const MAX_INEFFECTIVE_DECREASES = 2;
 
 /** Such an engine is held to its own pace, times this. */
-const TOKEN_SLACK = 1.2;
+const TOKEN_INTERVAL_SLACK = 1.2;
 
 /** Weight of the newest use in the share that misses the goal: 1 in 20. */
-const MISS_WEIGHT = 0.05;
+const MISS_RATE_WEIGHT = 0.05;
 
 /** More than two misses in about 20 uses: the goal is for 95 in 100. */
-const MAX_MISS_SHARE = 0.08;
+const MAX_MISS_RATE = 0.08;
 
 /** What is left after a slow spell; gentle, since another follows if needed. */
 const DECREASE_FACTOR = 0.7;
@@ -88,10 +88,10 @@
  * An upstream that stays slow with one request in flight is not slow from its
  * load: after this its pace is taken for its new normal.
  */
-const RELEARN_MS = 60_000;
+const BASELINE_RESET_MS = 60_000;
 
 /** Decreases that did not help, and the limit before the first of them. */
-interface VainDecreases {
+interface IneffectiveDecreases {
   readonly count: number;
   readonly tokenMs: number;
   readonly limit: number;
@@ -102,26 +102,28 @@
   options: AdaptiveLimitOptions,
 ): AdaptiveLimit {
   let { maxSlots } = options;
-  const firstBytes = createLatencyTracker();
+  const firstByteLatency = createLatencyTracker();
   const tokenIntervals = createLatencyTracker();
   const startedMs = new Map<number, number>();
   let limit = maxSlots;
-  let recoverTo = maxSlots;
-  let missShare = 0;
-  let allowedTokenMs = TOKEN_GOAL_MS;
-  let vain: VainDecreases | undefined;
-  let decreasedMs = -Infinity;
+  let slowStartThreshold = maxSlots;
+  let missRate = 0;
+  let targetTokenIntervalMs = TOKEN_INTERVAL_TARGET_MS;
+  let ineffective: IneffectiveDecreases | undefined;
+  let lastDecreaseMs = -Infinity;
   let atMinimumSinceMs: number | undefined;
-  let told = maxSlots;
+  let reportedLimit = maxSlots;
 
   const breaker = createCircuitBreaker((state, reason) => {
     // It comes back with few slots and earns the others.
     if (state === "closed") limit = MIN_SLOTS;
-    if (state === "open") recoverTo = Math.max(recoverTo, limit / 2);
-    tell(reason);
+    if (state === "open") {
+      slowStartThreshold = Math.max(slowStartThreshold, limit / 2);
+    }
+    reportChange(reason);
   });
 
-  function getOldInFlight(): number {
+  function countRequestsBeforeOpening(): number {
     let count = 0;
     for (const ms of startedMs.values()) if (!breaker.isProbe(ms)) count++;
     return count;
@@ -135,36 +137,36 @@
         return 0;
       case "half-open":
         // Those stuck since before it opened keep their slots; one more probes.
-        return getOldInFlight() + 1;
+        return countRequestsBeforeOpening() + 1;
     }
   }
 
-  function tell(reason: string): void {
+  function reportChange(reason: string): void {
     const now = get();
-    if (now === told) return;
-    told = now;
+    if (now === reportedLimit) return;
+    reportedLimit = now;
     options.onChange?.(now, reason);
   }
 
-  function observePace(use: SlotUse): void {
-    if (use.firstByteMs > 0) firstBytes.observe(use.firstByteMs);
+  function observeLatency(use: SlotUse): void {
+    if (use.firstByteMs > 0) firstByteLatency.observe(use.firstByteMs);
     if (use.tokenIntervalMs <= 0) return;
     tokenIntervals.observe(use.tokenIntervalMs);
-    missShare += MISS_WEIGHT * ((isMiss(use) ? 1 : 0) - missShare);
+    missRate += MISS_RATE_WEIGHT * ((missesTarget(use) ? 1 : 0) - missRate);
   }
 
-  function isMiss(use: SlotUse): boolean {
-    return use.tokenIntervalMs > allowedTokenMs;
+  function missesTarget(use: SlotUse): boolean {
+    return use.tokenIntervalMs > targetTokenIntervalMs;
   }
 
   function tryGetSlowReason(): string | undefined {
-    const ratio = firstBytes.getSlowdown();
-    if (ratio > SLOW_FACTOR) {
+    const ratio = firstByteLatency.getSlowdown();
+    if (ratio > SLOWDOWN_THRESHOLD) {
       return `The first byte takes ${ratio.toFixed(1)} times its normal time`;
     }
-    if (missShare <= MAX_MISS_SHARE) return undefined;
-    const lateMs = tokenIntervals.getRecentMs().toFixed(0);
-    return `The time between tokens, ${lateMs} ms, misses its goal too often`;
+    if (missRate <= MAX_MISS_RATE) return undefined;
+    const recentMs = tokenIntervals.getRecentMs().toFixed(0);
+    return `The time between tokens, ${recentMs} ms, misses its goal too often`;
   }
 
   /**
@@ -172,54 +174,62 @@
    * the engine does not slow down from its load, and holding it to ever fewer
    * streams would waste it.
    */
-  function isSlowByItself(): boolean {
-    if (missShare <= MAX_MISS_SHARE) return false;
+  function isSlowRegardlessOfLoad(): boolean {
+    if (missRate <= MAX_MISS_RATE) return false;
     const tokenMs = tokenIntervals.getRecentMs();
-    vain ??= { count: -1, tokenMs: 0, limit };
-    const isVain = tokenMs > allowedTokenMs &&
-      tokenMs > vain.tokenMs * TOKEN_GAIN;
-    vain = { ...vain, tokenMs, count: isVain ? vain.count + 1 : 0 };
-    return vain.count >= VAIN_DECREASES;
+    ineffective ??= { count: -1, tokenMs: 0, limit };
+    const isIneffective = tokenMs > targetTokenIntervalMs &&
+      tokenMs > ineffective.tokenMs * INEFFECTIVE_RATIO;
+    ineffective = {
+      ...ineffective,
+      tokenMs,
+      count: isIneffective ? ineffective.count + 1 : 0,
+    };
+    return ineffective.count >= MAX_INEFFECTIVE_DECREASES;
   }
 
-  function acceptTokenPace(): void {
-    const slackMs = tokenIntervals.getRecentMs() * TOKEN_SLACK;
-    allowedTokenMs = Math.max(TOKEN_GOAL_MS, slackMs);
-    limit = Math.max(limit, vain?.limit ?? 0);
-    vain = undefined;
-    missShare = 0;
-    tell("Its own time between tokens is over the goal");
+  function acceptTokenInterval(): void {
+    const slackMs = tokenIntervals.getRecentMs() * TOKEN_INTERVAL_SLACK;
+    targetTokenIntervalMs = Math.max(TOKEN_INTERVAL_TARGET_MS, slackMs);
+    limit = Math.max(limit, ineffective?.limit ?? 0);
+    ineffective = undefined;
+    missRate = 0;
+    reportChange("Its own time between tokens is over the goal");
   }
 
   function decrease(nowMs: number, reason: string): void {
-    decreasedMs = nowMs;
-    missShare = 0;
-    if (limit >= recoverTo) recoverTo = Math.max(MIN_SLOTS, limit / 2);
+    lastDecreaseMs = nowMs;
+    missRate = 0;
+    if (limit >= slowStartThreshold) {
+      slowStartThreshold = Math.max(MIN_SLOTS, limit / 2);
+    }
     // From what is in flight: a limit that was never reached slows nothing down.
     const inFlight = Math.max(1, startedMs.size + 1);
     limit = Math.min(limit, Math.max(MIN_SLOTS, inFlight)) * DECREASE_FACTOR;
     limit = clamp(limit, MIN_SLOTS, maxSlots);
     if (limit === MIN_SLOTS) atMinimumSinceMs ??= nowMs;
-    tell(reason);
+    reportChange(reason);
   }
 
   function increase(inFlight: number): void {
     atMinimumSinceMs = undefined;
-    vain = undefined;
+    ineffective = undefined;
     // Only a limit that was about reached has shown that it can be borne.
     if (inFlight < limit / 2) return;
     // Up to half of what it bore before it doubles with each round of answers;
     // above, it grows by one with each round.
-    limit += limit < recoverTo ? 1 : 1 / limit;
+    limit += limit < slowStartThreshold ? 1 : 1 / limit;
     limit = clamp(limit, MIN_SLOTS, maxSlots);
-    tell("It keeps its pace");
+    reportChange("It keeps its pace");
   }
 
-  function relearnIfSlowAlone(nowMs: number): void {
+  function resetBaselineIfSlowAtMinimum(nowMs: number): void {
     if (atMinimumSinceMs === undefined) return;
-    if (nowMs - atMinimumSinceMs < RELEARN_MS) return;
-    firstBytes.resetBaseline();
-    if (tokenIntervals.getRecentMs() > allowedTokenMs) acceptTokenPace();
+    if (nowMs - atMinimumSinceMs < BASELINE_RESET_MS) return;
+    firstByteLatency.resetBaseline();
+    if (tokenIntervals.getRecentMs() > targetTokenIntervalMs) {
+      acceptTokenInterval();
+    }
     atMinimumSinceMs = undefined;
   }
 
@@ -228,13 +238,13 @@
       ? "A use failed"
       : tryGetSlowReason();
     if (slowReason === undefined) {
-      if (!isMiss(use)) increase(startedMs.size + 1);
-    } else if (beganMs > decreasedMs) {
+      if (!missesTarget(use)) increase(startedMs.size + 1);
+    } else if (beganMs > lastDecreaseMs) {
       // One slow spell shows in all that was in flight; it counts once.
-      if (isSlowByItself()) acceptTokenPace();
+      if (isSlowRegardlessOfLoad()) acceptTokenInterval();
       else decrease(nowMs, slowReason);
     }
-    relearnIfSlowAlone(nowMs);
+    resetBaselineIfSlowAtMinimum(nowMs);
   }
 
   return {
@@ -252,15 +262,15 @@
       const beganMs = startedMs.get(use.slot) ?? -Infinity;
       startedMs.delete(use.slot);
       // What began before a decrease shows the load before it.
-      const isFresh = beganMs > decreasedMs;
-      if (use.result === "answered" && isFresh) observePace(use);
+      const isFresh = beganMs > lastDecreaseMs;
+      if (use.result === "answered" && isFresh) observeLatency(use);
       const slots = Math.floor(limit);
       if (breaker.getState() === "closed") adapt(use, beganMs, nowMs);
       const { result } = use;
       breaker.observeEnd({ result, startedMs: beganMs, slots }, nowMs);
-      tell("A use ended");
+      reportChange("A use ended");
     },
-    forget: (slot) => void startedMs.delete(slot),
+    observeUnused: (slot) => void startedMs.delete(slot),
     setMaxSlots(value) {
       if (value === maxSlots) return;
       // A limit that nothing had lowered follows the maximum up; one that was
@@ -268,8 +278,10 @@
       const wasAtMaximum = limit >= maxSlots;
       maxSlots = value;
       limit = wasAtMaximum ? maxSlots : clamp(limit, MIN_SLOTS, maxSlots);
-      recoverTo = wasAtMaximum ? maxSlots : Math.min(recoverTo, maxSlots);
-      tell("The configuration changed its maximum");
+      slowStartThreshold = wasAtMaximum
+        ? maxSlots
+        : Math.min(slowStartThreshold, maxSlots);
+      reportChange("The configuration changed its maximum");
     },
     tick(nowMs) {
       let probeSinceMs: number | undefined;
