--- a/src/slots/service_asking.ts
+++ b/src/slots/service_asking.ts
@@ -7,7 +7,11 @@
  */
 
 import type { TeamQueues } from "../queue/mod.ts";
-import { type Candidates, getAsked, getAskingPauseMs } from "./asking.ts";
+import {
+  type Candidates,
+  getSelectionLifetimeMs,
+  selectUpstreams,
+} from "./upstream_selection.ts";
 import type { Want } from "./types.ts";
 import type { WantsTold } from "./wants_told.ts";
 
@@ -57,9 +61,9 @@
   function choose(want: Want, candidates: Candidates): readonly string[] {
     const { team, ageMs } = want;
     const before = teams.get(team)?.asked ?? new Set<string>();
-    const asked = getAsked({ ageMs, candidates, before });
+    const asked = selectUpstreams({ ageMs, candidates, previous: before });
     const isWide = asked.size >= candidates.near.length;
-    const dueMs = host.nowMs() + getAskingPauseMs(ageMs, isWide);
+    const dueMs = host.nowMs() + getSelectionLifetimeMs(ageMs, isWide);
     teams.set(team, { asked, dueMs });
     return [...before].filter((each) => !asked.has(each));
   }
--- a/src/slots/slot_client.ts
+++ b/src/slots/slot_client.ts
@@ -13,7 +13,7 @@
   type TeamQueues,
 } from "../queue/mod.ts";
 import type { AdmittedRequest, Upstream } from "../types.ts";
-import type { Candidates } from "./asking.ts";
+import type { Candidates } from "./upstream_selection.ts";
 import { createKeptSlots, type KeptSlot } from "./kept_slots.ts";
 import type {
   Grant,
--- a/src/slots/asking.ts
+++ b/src/slots/upstream_selection.ts
@@ -27,15 +27,15 @@
  * requests are granted before a fifth is asked; each more that is asked costs a
  * want and a withdrawal.
  */
-export const WIDEN_MS = 100;
+export const DOUBLING_INTERVAL_MS = 100;
 
 /** What the choice of upstreams is made from. */
-export interface AskingInput {
+export interface SelectionInput {
   /** How long the team's oldest request has waited here, in ms. */
   readonly ageMs: number;
   readonly candidates: Candidates;
   /** Upstreams that were asked for the team before. */
-  readonly before: ReadonlySet<string>;
+  readonly previous: ReadonlySet<string>;
 }
 
 /**
@@ -43,31 +43,38 @@
  * of one doesn't make the others ask every owner. What is asked already stays
  * asked until the team waits no more.
  */
-export function getAsked(input: AskingInput): ReadonlySet<string> {
-  const { ageMs, candidates, before } = input;
-  const asked = new Set<string>();
+export function selectUpstreams(input: SelectionInput): ReadonlySet<string> {
+  const { ageMs, candidates, previous: before } = input;
+  const selected = new Set<string>();
   for (const { id } of candidates.near) {
-    if (before.has(id)) asked.add(id);
+    if (before.has(id)) selected.add(id);
   }
-  const width = getWidth(ageMs);
+  const maxUpstreams = getMaxUpstreams(ageMs);
   for (const { id } of candidates.near) {
-    if (asked.size >= width) break;
-    asked.add(id);
+    if (selected.size >= maxUpstreams) break;
+    selected.add(id);
   }
-  const wasCrossing = candidates.far.some((each) => before.has(each.id));
-  const crosses = candidates.near.length === 0 ||
-    decideCrossing({ oldestWaitMs: ageMs, wasCrossing });
-  if (crosses) candidates.far.forEach((each) => asked.add(each.id));
-  return asked;
+  const wasUsingOtherRegions = candidates.far.some((each) =>
+    before.has(each.id)
+  );
+  const usesOtherRegions = candidates.near.length === 0 ||
+    decideCrossing({ oldestWaitMs: ageMs, wasCrossing: wasUsingOtherRegions });
+  if (usesOtherRegions) candidates.far.forEach((each) => selected.add(each.id));
+  return selected;
 }
 
 /** How long the choice for a request of the age holds, in ms. */
-export function getAskingPauseMs(ageMs: number, isWide: boolean): number {
-  return isWide ? REFRESH_MS : WIDEN_MS - ageMs % WIDEN_MS;
+export function getSelectionLifetimeMs(
+  ageMs: number,
+  hasAllInRegion: boolean,
+): number {
+  return hasAllInRegion
+    ? RENEWAL_INTERVAL_MS
+    : DOUBLING_INTERVAL_MS - ageMs % DOUBLING_INTERVAL_MS;
 }
 
-function getWidth(ageMs: number): number {
-  return 2 ** Math.min(MAX_DOUBLINGS, Math.floor(ageMs / WIDEN_MS));
+function getMaxUpstreams(ageMs: number): number {
+  return 2 ** Math.min(MAX_DOUBLINGS, Math.floor(ageMs / DOUBLING_INTERVAL_MS));
 }
 
 /** More upstreams than this are not of one service in one region. */
@@ -77,7 +84,7 @@
  * Upstreams that left and waits that grew long enough to cross the regional
  * link are seen so often, in ms.
  */
-const REFRESH_MS = 100;
+const RENEWAL_INTERVAL_MS = 100;
 
 /**
  * Whether an owner that believes in so many waiting requests needs to be told
@@ -85,7 +92,7 @@
  * team never seems idle there. Believed too many, the grant is returned, which
  * is rarer than a correction for each request that was served elsewhere.
  */
-export function needsTelling(waiting: number, believed: number): boolean {
-  if (waiting === 0) return believed > 0;
-  return believed < Math.min(2, waiting);
+export function needsReport(waiting: number, reported: number): boolean {
+  if (waiting === 0) return reported > 0;
+  return reported < Math.min(2, waiting);
 }
--- a/src/slots/wants_told.ts
+++ b/src/slots/wants_told.ts
@@ -6,7 +6,7 @@
  */
 
 import { getOrCreate } from "../core/mod.ts";
-import { needsTelling } from "./asking.ts";
+import { needsReport } from "./upstream_selection.ts";
 import type { Want } from "./types.ts";
 
 /** The wants told, by upstream and team. */
@@ -26,7 +26,7 @@
   return {
     update({ team, waiting }, upstream) {
       const believed = getOrCreate(told, upstream, () => new Map());
-      if (!needsTelling(waiting, believed.get(team) ?? 0)) return false;
+      if (!needsReport(waiting, believed.get(team) ?? 0)) return false;
       if (waiting > 0) believed.set(team, waiting);
       else believed.delete(team);
       return true;
