--- a/src/slots/slot_client.ts
+++ b/src/slots/slot_client.ts
@@ -24,7 +24,7 @@
   Release,
   SlotRequest,
 } from "./types.ts";
-import { createServiceAsking, type ServiceAsking } from "./service_asking.ts";
+import { createSlotRequester, type SlotRequester } from "./slot_requester.ts";
 import { createWantsTold } from "./wants_told.ts";
 
 /** How the use of a slot ended, as the request's run tells it. */
@@ -74,7 +74,7 @@
 
 interface Service {
   readonly queues: TeamQueues<SlotHandle>;
-  readonly asking: ServiceAsking;
+  readonly asking: SlotRequester;
 }
 
 const UNUSED: SlotEnd = { cost: 0, firstByteMs: 0, result: "unused" };
@@ -92,7 +92,7 @@
 
   function createService(service: string): Service {
     const queues = createTeamQueues<SlotHandle>();
-    const asking = createServiceAsking({
+    const asking = createSlotRequester({
       queues,
       told,
       nowMs: host.nowMs,
--- a/src/slots/service_asking.ts
+++ b/src/slots/slot_requester.ts
@@ -16,7 +16,7 @@
 import type { WantsTold } from "./wants_told.ts";
 
 /** What asking needs of the slot client. */
-export interface ServiceAskingHost {
+export interface SlotRequesterHost {
   readonly queues: Pick<
     TeamQueues<never>,
     "getCount" | "tryGetTeamOldestMs"
@@ -28,7 +28,7 @@
 }
 
 /** The asking of one service. */
-export interface ServiceAsking {
+export interface SlotRequester {
   /** The number of the team's waiting requests, or what owners know, changed. */
   markChanged(team: string): void;
   /** Sends the wants that changed. */
@@ -37,14 +37,14 @@
   declare(upstream: string): readonly Want[];
 }
 
-interface AskedTeam {
-  readonly asked: ReadonlySet<string>;
+interface TeamSelection {
+  readonly upstreams: ReadonlySet<string>;
   readonly dueMs: number;
 }
 
 /** Makes the asking of a service for which nothing waits. */
-export function createServiceAsking(host: ServiceAskingHost): ServiceAsking {
-  const teams = new Map<string, AskedTeam>();
+export function createSlotRequester(host: SlotRequesterHost): SlotRequester {
+  const teams = new Map<string, TeamSelection>();
   const changed = new Set<string>();
 
   function getWant(team: string): Want {
@@ -58,13 +58,13 @@
   }
 
   /** Decides anew whom to ask for the team; gives those no longer asked. */
-  function choose(want: Want, candidates: Candidates): readonly string[] {
+  function reselect(want: Want, candidates: Candidates): readonly string[] {
     const { team, ageMs } = want;
-    const before = teams.get(team)?.asked ?? new Set<string>();
+    const before = teams.get(team)?.upstreams ?? new Set<string>();
     const asked = selectUpstreams({ ageMs, candidates, previous: before });
     const isWide = asked.size >= candidates.near.length;
     const dueMs = host.nowMs() + getSelectionLifetimeMs(ageMs, isWide);
-    teams.set(team, { asked, dueMs });
+    teams.set(team, { upstreams: asked, dueMs });
     return [...before].filter((each) => !asked.has(each));
   }
 
@@ -82,16 +82,16 @@
     const want = getWant(team);
     const none = { team, waiting: 0, ageMs: 0 };
     if (want.waiting === 0) {
-      teams.get(team)?.asked.forEach((upstream) => tell(upstream, none));
+      teams.get(team)?.upstreams.forEach((upstream) => tell(upstream, none));
       teams.delete(team);
       return;
     }
     if (host.nowMs() >= (teams.get(team)?.dueMs ?? 0)) {
-      for (const upstream of choose(want, getCandidates())) {
+      for (const upstream of reselect(want, getCandidates())) {
         tell(upstream, none);
       }
     }
-    teams.get(team)!.asked.forEach((upstream) => tell(upstream, want));
+    teams.get(team)!.upstreams.forEach((upstream) => tell(upstream, want));
   }
 
   return {
@@ -111,7 +111,7 @@
     },
     declare(upstream) {
       const wants: Want[] = [];
-      for (const [team, { asked }] of teams) {
+      for (const [team, { upstreams: asked }] of teams) {
         const want = getWant(team);
         if (asked.has(upstream) && host.told.update(want, upstream)) {
           wants.push(want);
