--- a/src/slots/wants_told.ts
+++ b/src/slots/reported_wants.ts
@@ -10,34 +10,34 @@
 import type { Want } from "./types.ts";
 
 /** The wants told, by upstream and team. */
-export interface WantsTold {
+export interface ReportedWants {
   /** Tells the number that waits; false when what is told will do. */
   update(want: Want, upstream: string): boolean;
   /** The owner of the upstream has taken one off by a grant. */
-  countGrant(upstream: string, team: string): void;
+  deductGrant(upstream: string, team: string): void;
   /** Forgets what was told, since its owner changed or forgot. */
-  forget(upstream: string): void;
+  clear(upstream: string): void;
   hasAny(upstream: string): boolean;
 }
 
 /** Makes the record with nothing told. */
-export function createWantsTold(): WantsTold {
-  const told = new Map<string, Map<string, number>>();
+export function createReportedWants(): ReportedWants {
+  const byUpstream = new Map<string, Map<string, number>>();
   return {
     update({ team, waiting }, upstream) {
-      const believed = getOrCreate(told, upstream, () => new Map());
-      if (!needsReport(waiting, believed.get(team) ?? 0)) return false;
-      if (waiting > 0) believed.set(team, waiting);
-      else believed.delete(team);
+      const byTeam = getOrCreate(byUpstream, upstream, () => new Map());
+      if (!needsReport(waiting, byTeam.get(team) ?? 0)) return false;
+      if (waiting > 0) byTeam.set(team, waiting);
+      else byTeam.delete(team);
       return true;
     },
-    countGrant(upstream, team) {
-      const believed = told.get(upstream);
+    deductGrant(upstream, team) {
+      const believed = byUpstream.get(upstream);
       const left = (believed?.get(team) ?? 0) - 1;
       if (left > 0) believed!.set(team, left);
       else believed?.delete(team);
     },
-    forget: (upstream) => void told.delete(upstream),
-    hasAny: (upstream) => (told.get(upstream)?.size ?? 0) > 0,
+    clear: (upstream) => void byUpstream.delete(upstream),
+    hasAny: (upstream) => (byUpstream.get(upstream)?.size ?? 0) > 0,
   };
 }
--- a/src/slots/slot_client.ts
+++ b/src/slots/slot_client.ts
@@ -25,7 +25,7 @@
   SlotRequest,
 } from "./types.ts";
 import { createSlotRequester, type SlotRequester } from "./slot_requester.ts";
-import { createWantsTold } from "./wants_told.ts";
+import { createReportedWants } from "./reported_wants.ts";
 
 /** How the use of a slot ended, as the request's run tells it. */
 export type SlotEnd = Omit<Release, "upstream" | "slot" | "team">;
@@ -82,7 +82,7 @@
 /** Makes the entry side with empty queues. */
 export function createSlotClient(host: SlotClientHost): SlotClient {
   const services = new Map<string, Service>();
-  const told = createWantsTold();
+  const told = createReportedWants();
   const kept = createKeptSlots();
   const mayKeep = new Set<string>();
   /** Slots that requests use here, by upstream. */
@@ -210,7 +210,7 @@
     mayKeep.delete(upstreamId);
     // The owner does not know them, or drops them since they aren't declared.
     kept.takeAll(upstreamId);
-    told.forget(upstreamId);
+    told.clear(upstreamId);
     if (upstream === undefined) return;
     host.sendRequest({
       upstream: upstreamId,
@@ -237,7 +237,7 @@
       return queues.remove(req);
     },
     receiveGrant(grant) {
-      told.countGrant(grant.upstream, grant.team);
+      told.deductGrant(grant.upstream, grant.team);
       host.onFreeHint(grant.upstream, grant.free);
       if (grant.keep) mayKeep.add(grant.upstream);
       else stopKeeping(grant.upstream);
--- a/src/slots/slot_requester.ts
+++ b/src/slots/slot_requester.ts
@@ -13,7 +13,7 @@
   selectUpstreams,
 } from "./upstream_selection.ts";
 import type { Want } from "./types.ts";
-import type { WantsTold } from "./wants_told.ts";
+import type { ReportedWants } from "./reported_wants.ts";
 
 /** What asking needs of the slot client. */
 export interface SlotRequesterHost {
@@ -21,7 +21,7 @@
     TeamQueues<never>,
     "getCount" | "tryGetTeamOldestMs"
   >;
-  readonly told: WantsTold;
+  readonly told: ReportedWants;
   nowMs(): number;
   getCandidates(): Candidates;
   sendWants(upstream: string, wants: readonly Want[]): void;
