--- a/src/slots/kept_slots.ts
+++ b/src/slots/kept_slots.ts
@@ -14,7 +14,7 @@
  * A kept slot idles here so long at most before it goes back. Callers' gaps are
  * shorter at today's rates; longer, and the owner's hint of free slots lies.
  */
-export const KEEP_IDLE_MS = 2_000;
+export const MAX_IDLE_MS = 2_000;
 
 /** A slot that was put by. */
 export interface KeptSlot {
@@ -25,11 +25,11 @@
 
 /** The idle slots kept at one host. */
 export interface KeptSlots {
-  put(service: string, slot: KeptSlot): void;
+  add(service: string, slot: KeptSlot): void;
   /** The one used last, taken out: the others then expire. */
   tryTake(service: string): KeptSlot | undefined;
   /** Takes out all of one upstream. */
-  takeAll(upstream: string): readonly KeptSlot[];
+  takeByUpstream(upstream: string): readonly KeptSlot[];
   /** Takes out those that idled too long. */
   takeExpired(nowMs: number): readonly KeptSlot[];
 }
@@ -38,23 +38,24 @@
 export function createKeptSlots(): KeptSlots {
   const byService = new Map<string, KeptSlot[]>();
 
-  function takeWhere(isTaken: (slot: KeptSlot) => boolean): KeptSlot[] {
+  function takeMatching(matches: (slot: KeptSlot) => boolean): KeptSlot[] {
     const taken: KeptSlot[] = [];
     for (const [service, slots] of byService) {
-      const left = slots.filter((each) => !isTaken(each));
+      const left = slots.filter((each) => !matches(each));
       if (left.length === slots.length) continue;
-      taken.push(...slots.filter(isTaken));
+      taken.push(...slots.filter(matches));
       byService.set(service, left);
     }
     return taken;
   }
 
   return {
-    put: (service, slot) =>
+    add: (service, slot) =>
       void getOrCreate(byService, service, () => []).push(slot),
     tryTake: (service) => byService.get(service)?.pop(),
-    takeAll: (upstream) => takeWhere((each) => each.upstream === upstream),
+    takeByUpstream: (upstream) =>
+      takeMatching((each) => each.upstream === upstream),
     takeExpired: (nowMs) =>
-      takeWhere((each) => nowMs - each.sinceMs >= KEEP_IDLE_MS),
+      takeMatching((each) => nowMs - each.sinceMs >= MAX_IDLE_MS),
   };
 }
--- a/src/slots/slot_client.ts
+++ b/src/slots/slot_client.ts
@@ -70,23 +70,23 @@
 }
 
 /** Uses of kept slots are told so often, in ms: the owner's limit lags by it. */
-export const KEPT_USES_MS = 500;
+export const KEPT_USES_INTERVAL_MS = 500;
 
 interface Service {
   readonly queues: TeamQueues<SlotHandle>;
-  readonly asking: SlotRequester;
+  readonly requester: SlotRequester;
 }
 
-const UNUSED: SlotEnd = { cost: 0, firstByteMs: 0, result: "unused" };
+const UNUSED_END: SlotEnd = { cost: 0, firstByteMs: 0, result: "unused" };
 
 /** Makes the entry side with empty queues. */
 export function createSlotClient(host: SlotClientHost): SlotClient {
   const services = new Map<string, Service>();
-  const told = createReportedWants();
+  const reportedWants = createReportedWants();
   const kept = createKeptSlots();
-  const mayKeep = new Set<string>();
+  const keepableUpstreams = new Set<string>();
   /** Slots that requests use here, by upstream. */
-  const used = new Map<string, Map<number, string>>();
+  const slotsInUse = new Map<string, Map<number, string>>();
   const keptUses = new Map<string, KeptUse[]>();
   let keptUsesDueMs = Infinity;
 
@@ -94,13 +94,13 @@
     const queues = createTeamQueues<SlotHandle>();
     const asking = createSlotRequester({
       queues,
-      told,
+      reportedWants: reportedWants,
       nowMs: host.nowMs,
       getCandidates: () => host.getCandidates(service),
       sendWants: (upstream, wants) =>
         host.sendRequest({ upstream, wants, full: false, held: [] }),
     });
-    return { queues, asking };
+    return { queues, requester: asking };
   }
 
   function getService(service: string): Service {
@@ -108,11 +108,11 @@
   }
 
   /** Takes the team's oldest request out of its queue. */
-  function tryTake(
+  function tryDequeue(
     service: string,
     team: string,
   ): QueuedRequest<SlotHandle> | undefined {
-    const { queues, asking } = getService(service);
+    const { queues, requester: asking } = getService(service);
     asking.markChanged(team);
     return queues.tryTake(team);
   }
@@ -122,7 +122,7 @@
     slot: number,
     team: string,
   ): SlotHandle {
-    const inUse = getOrCreate(used, upstream.id, () => new Map());
+    const inUse = getOrCreate(slotsInUse, upstream.id, () => new Map());
     inUse.set(slot, team);
     let isReleased = false;
     return {
@@ -131,9 +131,9 @@
         if (isReleased) return;
         isReleased = true;
         inUse.delete(slot);
-        if (end.result === "answered" && isKeeping(upstream.id)) {
+        if (end.result === "answered" && mayKeepSlots(upstream.id)) {
           recordKeptUse(upstream.id, slot, end);
-          reuse(upstream, slot, team);
+          reuseSlot(upstream, slot, team);
         } else {
           host.sendRelease({ upstream: upstream.id, slot, team, ...end });
         }
@@ -142,28 +142,31 @@
   }
 
   /** A kept slot must not bring new work to an upstream that leaves. */
-  function isKeeping(upstream: string): boolean {
-    return mayKeep.has(upstream) && !host.isLeaving(upstream);
+  function mayKeepSlots(upstream: string): boolean {
+    return keepableUpstreams.has(upstream) && !host.isLeaving(upstream);
   }
 
   function recordKeptUse(upstream: string, slot: number, end: SlotEnd): void {
     const { firstByteMs, tokenIntervalMs = 0 } = end;
     const use = { slot, firstByteMs, tokenIntervalMs };
     getOrCreate(keptUses, upstream, () => []).push(use);
-    keptUsesDueMs = Math.min(keptUsesDueMs, host.nowMs() + KEPT_USES_MS);
+    keptUsesDueMs = Math.min(
+      keptUsesDueMs,
+      host.nowMs() + KEPT_USES_INTERVAL_MS,
+    );
   }
 
   /** Gives the slot to the next request here, of its team first, or keeps it. */
-  function reuse(upstream: Upstream, slot: number, team: string): void {
+  function reuseSlot(upstream: Upstream, slot: number, team: string): void {
     const { queues } = getService(upstream.service);
     for (const each of [team, ...queues.getCounts().keys()]) {
-      const next = tryTake(upstream.service, each);
+      const next = tryDequeue(upstream.service, each);
       if (next === undefined) continue;
       next.start(createHandle(upstream, slot, each));
       return;
     }
     const sinceMs = host.nowMs();
-    kept.put(upstream.service, { upstream: upstream.id, slot, sinceMs });
+    kept.add(upstream.service, { upstream: upstream.id, slot, sinceMs });
   }
 
   function tryTakeKept(req: AdmittedRequest): SlotHandle | undefined {
@@ -171,22 +174,22 @@
       const slot = kept.tryTake(req.service);
       if (slot === undefined) return undefined;
       const upstream = host.tryGetUpstream(slot.upstream);
-      if (upstream !== undefined && isKeeping(upstream.id)) {
+      if (upstream !== undefined && mayKeepSlots(upstream.id)) {
         return createHandle(upstream, slot.slot, req.team);
       }
-      returnKept([slot]);
+      releaseKeptSlots([slot]);
     }
   }
 
-  function returnKept(slots: readonly KeptSlot[]): void {
+  function releaseKeptSlots(slots: readonly KeptSlot[]): void {
     for (const { upstream, slot } of slots) {
-      host.sendRelease({ upstream, slot, team: "", ...UNUSED });
+      host.sendRelease({ upstream, slot, team: "", ...UNUSED_END });
     }
   }
 
-  function stopKeeping(upstream: string): void {
-    mayKeep.delete(upstream);
-    returnKept(kept.takeAll(upstream));
+  function stopKeepingSlots(upstream: string): void {
+    keepableUpstreams.delete(upstream);
+    releaseKeptSlots(kept.takeByUpstream(upstream));
   }
 
   function flushKeptUses(nowMs: number): void {
@@ -199,7 +202,7 @@
   }
 
   function getHeld(upstream: string): readonly HeldSlot[] {
-    return [...used.get(upstream) ?? []].map(([slot, team]) => ({
+    return [...slotsInUse.get(upstream) ?? []].map(([slot, team]) => ({
       slot,
       team,
     }));
@@ -207,14 +210,14 @@
 
   function resync(upstreamId: string): void {
     const upstream = host.tryGetUpstream(upstreamId);
-    mayKeep.delete(upstreamId);
+    keepableUpstreams.delete(upstreamId);
     // The owner does not know them, or drops them since they aren't declared.
-    kept.takeAll(upstreamId);
-    told.clear(upstreamId);
+    kept.takeByUpstream(upstreamId);
+    reportedWants.clear(upstreamId);
     if (upstream === undefined) return;
     host.sendRequest({
       upstream: upstreamId,
-      wants: getService(upstream.service).asking.declare(upstreamId),
+      wants: getService(upstream.service).requester.declare(upstreamId),
       full: true,
       held: getHeld(upstreamId),
     });
@@ -222,7 +225,7 @@
 
   return {
     wait(req, start) {
-      const { queues, asking } = getService(req.service);
+      const { queues, requester: asking } = getService(req.service);
       const handle = queues.getTotal() === 0 ? tryTakeKept(req) : undefined;
       if (handle !== undefined) {
         start(handle);
@@ -232,44 +235,45 @@
       asking.markChanged(req.team);
     },
     cancel(req) {
-      const { queues, asking } = getService(req.service);
+      const { queues, requester: asking } = getService(req.service);
       asking.markChanged(req.team);
       return queues.remove(req);
     },
     receiveGrant(grant) {
-      told.deductGrant(grant.upstream, grant.team);
+      reportedWants.deductGrant(grant.upstream, grant.team);
       host.onFreeHint(grant.upstream, grant.free);
-      if (grant.keep) mayKeep.add(grant.upstream);
-      else stopKeeping(grant.upstream);
+      if (grant.keep) keepableUpstreams.add(grant.upstream);
+      else stopKeepingSlots(grant.upstream);
       const upstream = host.tryGetUpstream(grant.upstream);
-      const next = upstream && tryTake(upstream.service, grant.team);
+      const next = upstream && tryDequeue(upstream.service, grant.team);
       if (upstream !== undefined && next !== undefined) {
         next.start(createHandle(upstream, grant.slot, grant.team));
       } else if (upstream !== undefined && grant.keep) {
-        reuse(upstream, grant.slot, grant.team);
+        reuseSlot(upstream, grant.slot, grant.team);
       } else {
         host.sendRelease({
           upstream: grant.upstream,
           slot: grant.slot,
           team: grant.team,
-          ...UNUSED,
+          ...UNUSED_END,
         });
       }
     },
     receiveRecall(recall) {
-      stopKeeping(recall.upstream);
+      stopKeepingSlots(recall.upstream);
       if (recall.redeclare) resync(recall.upstream);
     },
     resync,
     flush() {
-      for (const { asking } of services.values()) asking.flush();
+      for (const { requester: asking } of services.values()) asking.flush();
       const nowMs = host.nowMs();
-      returnKept(kept.takeExpired(nowMs));
+      releaseKeptSlots(kept.takeExpired(nowMs));
       flushKeptUses(nowMs);
     },
     getQueues: (service) => getService(service).queues,
     isUsing: (upstream) =>
-      (used.get(upstream)?.size ?? 0) > 0 || told.hasAny(upstream) ||
-      mayKeep.has(upstream),
+      (slotsInUse.get(upstream)?.size ?? 0) > 0 ||
+      reportedWants.hasAny(upstream) ||
+      keepableUpstreams.has(upstream),
   };
 }
--- a/src/slots/slot_requester.ts
+++ b/src/slots/slot_requester.ts
@@ -21,7 +21,7 @@
     TeamQueues<never>,
     "getCount" | "tryGetTeamOldestMs"
   >;
-  readonly told: ReportedWants;
+  readonly reportedWants: ReportedWants;
   nowMs(): number;
   getCandidates(): Candidates;
   sendWants(upstream: string, wants: readonly Want[]): void;
@@ -73,8 +73,8 @@
     getCandidates: () => Candidates,
     wants: Map<string, Want[]>,
   ): void {
-    const tell = (upstream: string, want: Want) => {
-      if (!host.told.update(want, upstream)) return;
+    const addIfChanged = (upstream: string, want: Want) => {
+      if (!host.reportedWants.update(want, upstream)) return;
       const list = wants.get(upstream) ?? [];
       list.push(want);
       wants.set(upstream, list);
@@ -82,16 +82,20 @@
     const want = getWant(team);
     const none = { team, waiting: 0, ageMs: 0 };
     if (want.waiting === 0) {
-      teams.get(team)?.upstreams.forEach((upstream) => tell(upstream, none));
+      teams.get(team)?.upstreams.forEach((upstream) =>
+        addIfChanged(upstream, none)
+      );
       teams.delete(team);
       return;
     }
     if (host.nowMs() >= (teams.get(team)?.dueMs ?? 0)) {
       for (const upstream of reselect(want, getCandidates())) {
-        tell(upstream, none);
+        addIfChanged(upstream, none);
       }
     }
-    teams.get(team)!.upstreams.forEach((upstream) => tell(upstream, want));
+    teams.get(team)!.upstreams.forEach((upstream) =>
+      addIfChanged(upstream, want)
+    );
   }
 
   return {
@@ -113,7 +117,7 @@
       const wants: Want[] = [];
       for (const [team, { upstreams: asked }] of teams) {
         const want = getWant(team);
-        if (asked.has(upstream) && host.told.update(want, upstream)) {
+        if (asked.has(upstream) && host.reportedWants.update(want, upstream)) {
           wants.push(want);
         }
       }
