--- a/src/fleet/fleet.ts
+++ b/src/fleet/fleet.ts
@@ -7,7 +7,7 @@
 
 import type { Frame } from "../generated/peer_pb.ts";
 import { tryGetOwner } from "../membership/mod.ts";
-import { createSlotClient, tryPickLowest } from "../slots/mod.ts";
+import { createSlotClient, tryPickLowestCounter } from "../slots/mod.ts";
 import type { KeptUses, Release, SlotRequest } from "../slots/mod.ts";
 import type { Upstream } from "../types.ts";
 import { createTreeExchange } from "./counter_exchange.ts";
@@ -24,7 +24,7 @@
 
 /** The decisions as the router runs them. */
 export const defaultFleetPolicy: FleetPolicy = {
-  tryPick: tryPickLowest,
+  tryPick: tryPickLowestCounter,
   createExchange: createTreeExchange,
   tryGetOwner,
 };
@@ -160,7 +160,7 @@
   function takeOver(upstream: Upstream, mayHaveOther: boolean): void {
     owned.take(upstream, mayHaveOther);
     for (const entryHost of early.take(upstream.id)) {
-      owned.tryGet(upstream.id)?.askToRedeclare(entryHost);
+      owned.tryGet(upstream.id)?.requestRedeclaration(entryHost);
     }
   }
 
--- a/src/fleet/owned_upstreams.ts
+++ b/src/fleet/owned_upstreams.ts
@@ -170,8 +170,8 @@
         return Math.max(1, Math.floor(limit.get() / 2));
       },
       tryPick: host.policy.tryPick,
-      getFarPenalty: () => FAR_PENALTY_REQUESTS * leaf.getLargest(),
-      isNear: (entryHost) => isNear(upstream, entryHost),
+      getCrossRegionPenalty: () => FAR_PENALTY_REQUESTS * leaf.getLargest(),
+      isSameRegion: (entryHost) => isNear(upstream, entryHost),
       trySendGrant(entryHost, grant) {
         host.recorder.record({
           kind: "slot-granted",
@@ -183,8 +183,9 @@
         return rest.trySendGrant(entryHost, grant);
       },
       sendRecall: rest.sendRecall,
-      onStarted: (slot) => limit.observeStart(slot, host.clock.monotonicMs()),
-      onEnded({ slot, result, firstByteMs, tokenIntervalMs }) {
+      onRequestStarted: (slot) =>
+        limit.observeStart(slot, host.clock.monotonicMs()),
+      onRequestEnded({ slot, result, firstByteMs, tokenIntervalMs }) {
         if (result === "unused") {
           limit.observeUnused(slot);
           return;
@@ -225,10 +226,12 @@
       }
     },
     forgetHost(entryHost) {
-      for (const { owner } of owned.values()) owner.forgetHost(entryHost);
+      for (const { owner } of owned.values()) owner.removeHost(entryHost);
     },
     askToRedeclare(entryHost) {
-      for (const { owner } of owned.values()) owner.askToRedeclare(entryHost);
+      for (const { owner } of owned.values()) {
+        owner.requestRedeclaration(entryHost);
+      }
     },
     tick() {
       const nowMs = host.clock.monotonicMs();
@@ -237,7 +240,7 @@
         // A breaker that has waited lets a probe through; nothing else tells
         // the owner to grant then.
         entry.limit.tick(nowMs);
-        entry.owner.grantFree();
+        entry.owner.grantFreeSlots();
       }
     },
     getAll: () =>
--- a/src/measure/baselines.ts
+++ b/src/measure/baselines.ts
@@ -17,7 +17,7 @@
 import { getOrCreate } from "../core/mod.ts";
 import { createServiceCounters, type TeamService } from "../fairness/mod.ts";
 import type { ServiceCounters } from "../fairness/mod.ts";
-import type { Pick, PickInput } from "../slots/mod.ts";
+import type { GrantTarget, PickInput } from "../slots/mod.ts";
 
 /** What a policy may know of the whole fixture. */
 export interface PolicyWorld {
@@ -88,11 +88,11 @@
 
 function tryPickLeast(
   input: PickInput,
-  getKey: (pick: Pick) => number,
-): Pick | undefined {
-  let picked: Pick | undefined;
+  getKey: (pick: GrantTarget) => number,
+): GrantTarget | undefined {
+  let picked: GrantTarget | undefined;
   let least = Infinity;
-  for (const [team, { near, far }] of input.waiting) {
+  for (const [team, { sameRegion: near, otherRegions: far }] of input.waiting) {
     for (const entryHost of [...near.keys(), ...far.keys()]) {
       const key = getKey({ entryHost, team });
       if (key >= least) continue;
--- a/src/slots/pick.ts
+++ b/src/slots/pick.ts
@@ -8,30 +8,33 @@
  * @module
  */
 
-import type { Pick, WaitingByTeam } from "./waiting_teams.ts";
+import type { GrantTarget, WaitingByTeam } from "./waiting_teams.ts";
 
 /** What a pick decides from besides who waits. */
 export interface PickInput {
   readonly waiting: WaitingByTeam;
   getCounter(team: string): number;
   /** How far a team of the other region must be behind to go first. */
-  readonly farPenalty: number;
+  readonly crossRegionPenalty: number;
 }
 
 /** Picks who is next; `undefined` when nobody waits. */
-export type PickPolicy = (input: PickInput) => Pick | undefined;
+export type PickPolicy = (input: PickInput) => GrantTarget | undefined;
 
 /**
  * The team with the lowest counter, and of it the host where it has waited
  * longest. A team that waits only in the other region counts as further ahead
  * by the penalty: while the regions are level nothing crosses the link.
  */
-export function tryPickLowest(input: PickInput): Pick | undefined {
+export function tryPickLowestCounter(
+  input: PickInput,
+): GrantTarget | undefined {
   let picked: { team: string; hosts: ReadonlyMap<string, number> } | undefined;
   let lowest = Infinity;
-  for (const [team, { near, far }] of input.waiting) {
+  for (const [team, { sameRegion: near, otherRegions: far }] of input.waiting) {
     const isNear = near.size > 0;
-    const counter = input.getCounter(team) + (isNear ? 0 : input.farPenalty);
+    const counter = input.getCounter(team) +
+      (isNear ? 0 : input.crossRegionPenalty);
     if (counter >= lowest) continue;
     lowest = counter;
     picked = { team, hosts: isNear ? near : far };
--- a/src/slots/slot_owner.ts
+++ b/src/slots/slot_owner.ts
@@ -25,10 +25,10 @@
   SlotRequest,
   SlotResult,
 } from "./types.ts";
-import { createWaitingTeams, type Pick } from "./waiting_teams.ts";
+import { createWaitingTeams, type GrantTarget } from "./waiting_teams.ts";
 
 /** How a use of a slot ended. */
-export interface SlotUseEnd extends KeptUse {
+export interface SlotRequestEnd extends KeptUse {
   readonly result: SlotResult;
 }
 
@@ -46,15 +46,15 @@
   /** Slots that may be in use at once, now. */
   getLimit(): number;
   tryPick: PickPolicy;
-  getFarPenalty(): number;
+  getCrossRegionPenalty(): number;
   /** Whether the host is of the upstream's region. */
-  isNear(entryHost: string): boolean;
+  isSameRegion(entryHost: string): boolean;
   /** False when there is no link to the host. */
   trySendGrant(entryHost: string, grant: Grant): boolean;
   sendRecall(entryHost: string, recall: Recall): void;
   /** Tell the adaptive limit that a use began, and how it ended. */
-  onStarted(slot: number): void;
-  onEnded(end: SlotUseEnd): void;
+  onRequestStarted(slot: number): void;
+  onRequestEnded(end: SlotRequestEnd): void;
 }
 
 /** The owner's side of one upstream's slots. */
@@ -63,36 +63,36 @@
   receiveRelease(entryHost: string, release: Release): void;
   receiveKeptUses(uses: KeptUses): void;
   /** Forgets a host that is dead: its wants go, its slots are free. */
-  forgetHost(entryHost: string): void;
+  removeHost(entryHost: string): void;
   /** Asks a host that came back for what it holds and wants. */
-  askToRedeclare(entryHost: string): void;
+  requestRedeclaration(entryHost: string): void;
   /** Grants what is free, after the limit rose or an owner took over. */
-  grantFree(): void;
+  grantFreeSlots(): void;
   /** Takes back the charges of requests in flight, when ownership moves on. */
   refundAll(): void;
   getInUse(): number;
   getWaiting(): number;
 }
 
-interface UsedSlot {
+interface ChargedSlot {
   readonly team: string;
   readonly charged: number;
 }
 
 /** Requests of one team that wait at one host. */
-interface Waiting {
+interface TeamRequests {
   readonly count: number;
   /** When the oldest began to wait, in ms. */
   readonly sinceMs: number;
 }
 
-interface Holder {
-  readonly wants: Map<string, Waiting>;
-  readonly slots: Map<number, UsedSlot>;
-  mayKeep: boolean;
+interface EntryHostState {
+  readonly wants: Map<string, TeamRequests>;
+  readonly slots: Map<number, ChargedSlot>;
+  mayKeepSlots: boolean;
 }
 
-const NONE: Waiting = { count: 0, sinceMs: 0 };
+const NO_REQUESTS: TeamRequests = { count: 0, sinceMs: 0 };
 
 /**
  * Makes the owner's state for the upstream; no slot is in use. Slots are
@@ -103,26 +103,29 @@
   host: SlotOwnerHost,
   firstSlot = 1,
 ): SlotOwner {
-  const holders = new Map<string, Holder>();
+  const entryHosts = new Map<string, EntryHostState>();
   const waiting = createWaitingTeams();
   let inUse = 0;
   let nextSlot = firstSlot;
 
-  function getHolder(entryHost: string): Holder {
-    return getOrCreate(holders, entryHost, () => ({
+  function getState(entryHost: string): EntryHostState {
+    return getOrCreate(entryHosts, entryHost, () => ({
       wants: new Map(),
       slots: new Map(),
-      mayKeep: false,
+      mayKeepSlots: false,
     }));
   }
 
-  function setWant(pick: Pick, want: Waiting): void {
+  function setWant(pick: GrantTarget, want: TeamRequests): void {
     const { entryHost, team } = pick;
-    const holder = getHolder(entryHost);
+    const holder = getState(entryHost);
     const wasWaiting = waiting.has(team);
     if (want.count > 0) {
       const { sinceMs } = want;
-      waiting.set(pick, { isNear: host.isNear(entryHost), sinceMs });
+      waiting.set(pick, {
+        isSameRegion: host.isSameRegion(entryHost),
+        sinceMs,
+      });
       holder.wants.set(team, want);
     } else {
       holder.wants.delete(team);
@@ -132,10 +135,10 @@
     if (isWaiting !== wasWaiting) host.setWaiting(team, isWaiting);
   }
 
-  function dropWants(entryHost: string): void {
-    const holder = getHolder(entryHost);
+  function clearWants(entryHost: string): void {
+    const holder = getState(entryHost);
     for (const team of [...holder.wants.keys()]) {
-      setWant({ entryHost, team }, NONE);
+      setWant({ entryHost, team }, NO_REQUESTS);
     }
   }
 
@@ -143,15 +146,15 @@
    * Takes one off by a grant. The next request came later; until the host tells
    * its age, the waiting ones are taken as evenly spread up to now.
    */
-  function countGrant(pick: Pick): void {
-    const { count, sinceMs } = getHolder(pick.entryHost).wants.get(pick.team)!;
+  function deductGrant(pick: GrantTarget): void {
+    const { count, sinceMs } = getState(pick.entryHost).wants.get(pick.team)!;
     const gapMs = (host.nowMs() - sinceMs) / count;
     setWant(pick, { count: count - 1, sinceMs: sinceMs + gapMs });
   }
 
   /** Tells the limit that nothing of this slot is in flight any more. */
-  function endUnused(slot: number): void {
-    host.onEnded({
+  function reportUnused(slot: number): void {
+    host.onRequestEnded({
       slot,
       firstByteMs: 0,
       tokenIntervalMs: 0,
@@ -160,17 +163,22 @@
   }
 
   function isHeld(slot: number): boolean {
-    for (const holder of holders.values()) {
+    for (const holder of entryHosts.values()) {
       if (holder.slots.has(slot)) return true;
     }
     return false;
   }
 
   /** Slots known from grants stay charged; others were granted elsewhere. */
-  function replaceHeld(holder: Holder, held: readonly HeldSlot[]): void {
+  function replaceHeld(
+    holder: EntryHostState,
+    held: readonly HeldSlot[],
+  ): void {
     const known = new Map(holder.slots);
     const heldSlots = new Set(held.map((each) => each.slot));
-    for (const slot of known.keys()) if (!heldSlots.has(slot)) endUnused(slot);
+    for (const slot of known.keys()) {
+      if (!heldSlots.has(slot)) reportUnused(slot);
+    }
     holder.slots.clear();
     for (const { slot, team } of held) {
       holder.slots.set(slot, known.get(slot) ?? { team, charged: 0 });
@@ -183,46 +191,46 @@
       const pick = host.tryPick({
         waiting: waiting.getByTeam(),
         getCounter: host.getCounter,
-        farPenalty: host.getFarPenalty(),
+        crossRegionPenalty: host.getCrossRegionPenalty(),
       });
       if (pick === undefined) return;
       grant(pick);
     }
     // Hosts may keep too many slots, too, when the limit fell or is zero.
     const isOver = inUse > host.getLimit();
-    if (waiting.getByTeam().size > 0 || isOver) recallKept();
+    if (waiting.getByTeam().size > 0 || isOver) recallKeptSlots();
   }
 
-  function grant(pick: Pick): void {
+  function grant(pick: GrantTarget): void {
     const { entryHost, team } = pick;
-    const holder = getHolder(entryHost);
-    countGrant(pick);
+    const holder = getState(entryHost);
+    deductGrant(pick);
     const slot = nextSlot++;
     const othersWait = waiting.getByTeam().size > 0;
-    holder.mayKeep = !othersWait && host.isNear(entryHost);
+    holder.mayKeepSlots = !othersWait && host.isSameRegion(entryHost);
     const isSent = host.trySendGrant(entryHost, {
       upstream,
       slot,
       team,
-      keep: holder.mayKeep,
+      keep: holder.mayKeepSlots,
       free: Math.max(0, host.getLimit() - inUse - 1),
     });
     // Without a link the slot would idle until the host is found dead. Its
     // wants go too; it declares them anew once it has dialed again.
     if (!isSent) {
-      dropWants(entryHost);
+      clearWants(entryHost);
       return;
     }
     holder.slots.set(slot, { team, charged: host.chargeStart(team) });
     inUse++;
-    host.onStarted(slot);
+    host.onRequestStarted(slot);
   }
 
   /** A kept slot may idle at its host while a request waits at another. */
-  function recallKept(): void {
-    for (const [entryHost, holder] of holders) {
-      if (!holder.mayKeep) continue;
-      holder.mayKeep = false;
+  function recallKeptSlots(): void {
+    for (const [entryHost, holder] of entryHosts) {
+      if (!holder.mayKeepSlots) continue;
+      holder.mayKeepSlots = false;
       host.sendRecall(entryHost, { upstream, redeclare: false });
     }
   }
@@ -230,10 +238,10 @@
   return {
     receiveRequest(entryHost, req) {
       if (req.full) {
-        replaceHeld(getHolder(entryHost), req.held);
+        replaceHeld(getState(entryHost), req.held);
         const wanted = new Set(req.wants.map((want) => want.team));
-        for (const team of [...getHolder(entryHost).wants.keys()]) {
-          if (!wanted.has(team)) setWant({ entryHost, team }, NONE);
+        for (const team of [...getState(entryHost).wants.keys()]) {
+          if (!wanted.has(team)) setWant({ entryHost, team }, NO_REQUESTS);
         }
       }
       const nowMs = host.nowMs();
@@ -243,41 +251,41 @@
       grantFree();
     },
     receiveRelease(entryHost, release) {
-      const holder = getHolder(entryHost);
+      const holder = getState(entryHost);
       const used = holder.slots.get(release.slot);
       // A release may come twice, or from before a reconnect.
       if (used === undefined) return;
       holder.slots.delete(release.slot);
       inUse--;
       host.chargeEnd(release, used.charged);
-      host.onEnded({ tokenIntervalMs: 0, ...release });
+      host.onRequestEnded({ tokenIntervalMs: 0, ...release });
       grantFree();
     },
     receiveKeptUses(uses) {
       for (const each of uses.uses) {
-        host.onEnded({ ...each, result: "answered" });
+        host.onRequestEnded({ ...each, result: "answered" });
         // A slot given back since then, in the same frame, is in no use.
-        if (isHeld(each.slot)) host.onStarted(each.slot);
-        else endUnused(each.slot);
+        if (isHeld(each.slot)) host.onRequestStarted(each.slot);
+        else reportUnused(each.slot);
       }
       grantFree();
     },
-    forgetHost(entryHost) {
-      const holder = holders.get(entryHost);
+    removeHost(entryHost) {
+      const holder = entryHosts.get(entryHost);
       if (holder === undefined) return;
-      dropWants(entryHost);
+      clearWants(entryHost);
       inUse -= holder.slots.size;
-      holders.delete(entryHost);
-      for (const slot of holder.slots.keys()) endUnused(slot);
+      entryHosts.delete(entryHost);
+      for (const slot of holder.slots.keys()) reportUnused(slot);
       grantFree();
     },
-    askToRedeclare(entryHost) {
+    requestRedeclaration(entryHost) {
       host.sendRecall(entryHost, { upstream, redeclare: true });
     },
-    grantFree,
+    grantFreeSlots: grantFree,
     refundAll() {
-      for (const [entryHost, holder] of holders) {
-        dropWants(entryHost);
+      for (const [entryHost, holder] of entryHosts) {
+        clearWants(entryHost);
         for (const [slot, { team, charged }] of holder.slots) {
           const unused = { cost: 0, firstByteMs: 0, result: "unused" as const };
           host.chargeEnd({ upstream, slot, team, ...unused }, charged);
@@ -287,7 +295,7 @@
     getInUse: () => inUse,
     getWaiting() {
       let count = 0;
-      for (const holder of holders.values()) {
+      for (const holder of entryHosts.values()) {
         for (const want of holder.wants.values()) count += want.count;
       }
       return count;
--- a/src/slots/slot_owner_test.ts
+++ b/src/slots/slot_owner_test.ts
@@ -46,7 +46,7 @@
   want(owner, "entry-1", "alder", 1);
   want(owner, "entry-2", "birch", 1);
   assert.equal(grants.length, 1);
-  owner.forgetHost("entry-1");
+  owner.removeHost("entry-1");
   assert.deepEqual(grants.map((each) => each.to), ["entry-1", "entry-2"]);
   assert.equal(owner.getInUse(), 1);
 });
@@ -124,7 +124,7 @@
   want(owner, "entry-1", "alder", 2);
   want(owner, "entry-2", "birch", 2);
   assert.equal(inFlight.size, 4);
-  owner.forgetHost("entry-1");
+  owner.removeHost("entry-1");
   assert.equal(inFlight.size, 2);
   const declared = { upstream: "engine-1", wants: [], full: true, held: [] };
   owner.receiveRequest("entry-2", declared);
--- a/src/slots/waiting_teams.ts
+++ b/src/slots/waiting_teams.ts
@@ -11,15 +11,15 @@
 /** Since when a team waits at each host, in ms; the oldest is next. */
 export interface WaitingHosts {
   /** Hosts of the upstream's own region. */
-  readonly near: ReadonlyMap<string, number>;
-  readonly far: ReadonlyMap<string, number>;
+  readonly sameRegion: ReadonlyMap<string, number>;
+  readonly otherRegions: ReadonlyMap<string, number>;
 }
 
 /** What a pick chooses from. */
 export type WaitingByTeam = ReadonlyMap<string, WaitingHosts>;
 
 /** A host and the team there that gets the next slot. */
-export interface Pick {
+export interface GrantTarget {
   readonly entryHost: string;
   readonly team: string;
 }
@@ -27,34 +27,39 @@
 /** The teams that wait for one upstream, with their hosts. */
 export interface WaitingTeams {
   /** The pick's oldest request waits since the time given. */
-  set(pick: Pick, options: { isNear: boolean; sinceMs: number }): void;
-  remove(pick: Pick): void;
+  set(
+    pick: GrantTarget,
+    options: { isSameRegion: boolean; sinceMs: number },
+  ): void;
+  remove(pick: GrantTarget): void;
   has(team: string): boolean;
   getByTeam(): WaitingByTeam;
 }
 
 interface Hosts {
-  readonly near: Map<string, number>;
-  readonly far: Map<string, number>;
+  readonly sameRegion: Map<string, number>;
+  readonly otherRegions: Map<string, number>;
 }
 
 /** Makes an index in which nobody waits. */
 export function createWaitingTeams(): WaitingTeams {
   const byTeam = new Map<string, Hosts>();
   return {
-    set({ entryHost, team }, { isNear, sinceMs }) {
+    set({ entryHost, team }, { isSameRegion: isNear, sinceMs }) {
       const hosts = getOrCreate(byTeam, team, () => ({
-        near: new Map<string, number>(),
-        far: new Map<string, number>(),
+        sameRegion: new Map<string, number>(),
+        otherRegions: new Map<string, number>(),
       }));
-      (isNear ? hosts.near : hosts.far).set(entryHost, sinceMs);
+      (isNear ? hosts.sameRegion : hosts.otherRegions).set(entryHost, sinceMs);
     },
     remove({ entryHost, team }) {
       const hosts = byTeam.get(team);
       if (hosts === undefined) return;
-      hosts.near.delete(entryHost);
-      hosts.far.delete(entryHost);
-      if (hosts.near.size + hosts.far.size === 0) byTeam.delete(team);
+      hosts.sameRegion.delete(entryHost);
+      hosts.otherRegions.delete(entryHost);
+      if (hosts.sameRegion.size + hosts.otherRegions.size === 0) {
+        byTeam.delete(team);
+      }
     },
     has: (team) => byTeam.has(team),
     getByTeam: () => byTeam,
--- a/src/testing/slot_owner_fixture.ts
+++ b/src/testing/slot_owner_fixture.ts
@@ -4,7 +4,7 @@
  * @module
  */
 
-import { createSlotOwner, tryPickLowest } from "../slots/mod.ts";
+import { createSlotOwner, tryPickLowestCounter } from "../slots/mod.ts";
 import type { Grant, Recall } from "../slots/mod.ts";
 
 /** Makes the owner of "engine-1"; hosts named "far…" are of another region. */
@@ -23,17 +23,17 @@
     chargeEnd: ({ team, cost }) =>
       counters.set(team, (counters.get(team) ?? 0) + cost),
     getLimit: () => typeof limit === "number" ? limit : limit(),
-    tryPick: tryPickLowest,
-    getFarPenalty: () => 100,
-    isNear: (host) => !host.startsWith("far"),
+    tryPick: tryPickLowestCounter,
+    getCrossRegionPenalty: () => 100,
+    isSameRegion: (host) => !host.startsWith("far"),
     trySendGrant(to, grant) {
       if (unreachable.has(to)) return false;
       grants.push({ to, grant });
       return true;
     },
     sendRecall: (to, recall) => recalls.push({ to, recall }),
-    onStarted: (slot) => void inFlight.add(slot),
-    onEnded: ({ slot }) => void inFlight.delete(slot),
+    onRequestStarted: (slot) => void inFlight.add(slot),
+    onRequestEnded: ({ slot }) => void inFlight.delete(slot),
   });
   return { owner, grants, recalls, unreachable, inFlight };
 }
