--- a/src/measure/baselines.ts
+++ b/src/measure/baselines.ts
@@ -92,8 +92,8 @@
 ): GrantTarget | undefined {
   let picked: GrantTarget | undefined;
   let least = Infinity;
-  for (const [team, { sameRegion: near, otherRegions: far }] of input.waiting) {
-    for (const entryHost of [...near.keys(), ...far.keys()]) {
+  for (const [team, { sameRegion, otherRegions }] of input.waiting) {
+    for (const entryHost of [...sameRegion.keys(), ...otherRegions.keys()]) {
       const key = getKey({ entryHost, team });
       if (key >= least) continue;
       least = key;
--- a/src/slots/adaptive_limit.ts
+++ b/src/slots/adaptive_limit.ts
@@ -93,7 +93,7 @@
 /** Decreases that did not help, and the limit before the first of them. */
 interface IneffectiveDecreases {
   readonly count: number;
-  readonly tokenMs: number;
+  readonly tokenIntervalMs: number;
   readonly limit: number;
 }
 
@@ -142,10 +142,10 @@
   }
 
   function reportChange(reason: string): void {
-    const now = get();
-    if (now === reportedLimit) return;
-    reportedLimit = now;
-    options.onChange?.(now, reason);
+    const current = get();
+    if (current === reportedLimit) return;
+    reportedLimit = current;
+    options.onChange?.(current, reason);
   }
 
   function observeLatency(use: SlotUse): void {
@@ -160,9 +160,11 @@
   }
 
   function tryGetSlowReason(): string | undefined {
-    const ratio = firstByteLatency.getSlowdown();
-    if (ratio > SLOWDOWN_THRESHOLD) {
-      return `The first byte takes ${ratio.toFixed(1)} times its normal time`;
+    const slowdown = firstByteLatency.getSlowdown();
+    if (slowdown > SLOWDOWN_THRESHOLD) {
+      return `The first byte takes ${
+        slowdown.toFixed(1)
+      } times its normal time`;
     }
     if (missRate <= MAX_MISS_RATE) return undefined;
     const recentMs = tokenIntervals.getRecentMs().toFixed(0);
@@ -176,13 +178,13 @@
    */
   function isSlowRegardlessOfLoad(): boolean {
     if (missRate <= MAX_MISS_RATE) return false;
-    const tokenMs = tokenIntervals.getRecentMs();
-    ineffective ??= { count: -1, tokenMs: 0, limit };
-    const isIneffective = tokenMs > targetTokenIntervalMs &&
-      tokenMs > ineffective.tokenMs * INEFFECTIVE_RATIO;
+    const tokenIntervalMs = tokenIntervals.getRecentMs();
+    ineffective ??= { count: -1, tokenIntervalMs: 0, limit };
+    const isIneffective = tokenIntervalMs > targetTokenIntervalMs &&
+      tokenIntervalMs > ineffective.tokenIntervalMs * INEFFECTIVE_RATIO;
     ineffective = {
       ...ineffective,
-      tokenMs,
+      tokenIntervalMs,
       count: isIneffective ? ineffective.count + 1 : 0,
     };
     return ineffective.count >= MAX_INEFFECTIVE_DECREASES;
@@ -233,13 +235,13 @@
     atMinimumSinceMs = undefined;
   }
 
-  function adapt(use: SlotUse, beganMs: number, nowMs: number): void {
+  function adapt(use: SlotUse, startMs: number, nowMs: number): void {
     const slowReason = use.result === "failed"
       ? "A use failed"
       : tryGetSlowReason();
     if (slowReason === undefined) {
       if (!missesTarget(use)) increase(startedMs.size + 1);
-    } else if (beganMs > lastDecreaseMs) {
+    } else if (startMs > lastDecreaseMs) {
       // One slow spell shows in all that was in flight; it counts once.
       if (isSlowRegardlessOfLoad()) acceptTokenInterval();
       else decrease(nowMs, slowReason);
@@ -259,15 +261,15 @@
     },
     observeEnd(use, nowMs) {
       // A slot from before a change of owner: it began before all known here.
-      const beganMs = startedMs.get(use.slot) ?? -Infinity;
+      const startMs = startedMs.get(use.slot) ?? -Infinity;
       startedMs.delete(use.slot);
       // What began before a decrease shows the load before it.
-      const isFresh = beganMs > lastDecreaseMs;
+      const isFresh = startMs > lastDecreaseMs;
       if (use.result === "answered" && isFresh) observeLatency(use);
       const slots = Math.floor(limit);
-      if (breaker.getState() === "closed") adapt(use, beganMs, nowMs);
+      if (breaker.getState() === "closed") adapt(use, startMs, nowMs);
       const { result } = use;
-      breaker.observeEnd({ result, startedMs: beganMs, slots }, nowMs);
+      breaker.observeEnd({ result, startedMs: startMs, slots }, nowMs);
       reportChange("A use ended");
     },
     observeUnused: (slot) => void startedMs.delete(slot),
--- a/src/slots/pick.ts
+++ b/src/slots/pick.ts
@@ -31,13 +31,13 @@
 ): GrantTarget | undefined {
   let picked: { team: string; hosts: ReadonlyMap<string, number> } | undefined;
   let lowest = Infinity;
-  for (const [team, { sameRegion: near, otherRegions: far }] of input.waiting) {
-    const isNear = near.size > 0;
+  for (const [team, { sameRegion, otherRegions }] of input.waiting) {
+    const isSameRegion = sameRegion.size > 0;
     const counter = input.getCounter(team) +
-      (isNear ? 0 : input.crossRegionPenalty);
+      (isSameRegion ? 0 : input.crossRegionPenalty);
     if (counter >= lowest) continue;
     lowest = counter;
-    picked = { team, hosts: isNear ? near : far };
+    picked = { team, hosts: isSameRegion ? sameRegion : otherRegions };
   }
   if (picked === undefined) return undefined;
   return { team: picked.team, entryHost: getOldest(picked.hosts) };
--- a/src/slots/reported_wants.ts
+++ b/src/slots/reported_wants.ts
@@ -32,10 +32,10 @@
       return true;
     },
     deductGrant(upstream, team) {
-      const believed = byUpstream.get(upstream);
-      const left = (believed?.get(team) ?? 0) - 1;
-      if (left > 0) believed!.set(team, left);
-      else believed?.delete(team);
+      const byTeam = byUpstream.get(upstream);
+      const remaining = (byTeam?.get(team) ?? 0) - 1;
+      if (remaining > 0) byTeam!.set(team, remaining);
+      else byTeam?.delete(team);
     },
     clear: (upstream) => void byUpstream.delete(upstream),
     hasAny: (upstream) => (byUpstream.get(upstream)?.size ?? 0) > 0,
--- a/src/slots/slot_client.ts
+++ b/src/slots/slot_client.ts
@@ -92,15 +92,15 @@
 
   function createService(service: string): Service {
     const queues = createTeamQueues<SlotHandle>();
-    const asking = createSlotRequester({
+    const requester = createSlotRequester({
       queues,
-      reportedWants: reportedWants,
+      reportedWants,
       nowMs: host.nowMs,
       getCandidates: () => host.getCandidates(service),
       sendWants: (upstream, wants) =>
         host.sendRequest({ upstream, wants, full: false, held: [] }),
     });
-    return { queues, requester: asking };
+    return { queues, requester };
   }
 
   function getService(service: string): Service {
@@ -112,8 +112,8 @@
     service: string,
     team: string,
   ): QueuedRequest<SlotHandle> | undefined {
-    const { queues, requester: asking } = getService(service);
-    asking.markChanged(team);
+    const { queues, requester } = getService(service);
+    requester.markChanged(team);
     return queues.tryTake(team);
   }
 
@@ -225,18 +225,18 @@
 
   return {
     wait(req, start) {
-      const { queues, requester: asking } = getService(req.service);
+      const { queues, requester } = getService(req.service);
       const handle = queues.getTotal() === 0 ? tryTakeKept(req) : undefined;
       if (handle !== undefined) {
         start(handle);
         return;
       }
       queues.add({ req, start });
-      asking.markChanged(req.team);
+      requester.markChanged(req.team);
     },
     cancel(req) {
-      const { queues, requester: asking } = getService(req.service);
-      asking.markChanged(req.team);
+      const { queues, requester } = getService(req.service);
+      requester.markChanged(req.team);
       return queues.remove(req);
     },
     receiveGrant(grant) {
@@ -265,7 +265,7 @@
     },
     resync,
     flush() {
-      for (const { requester: asking } of services.values()) asking.flush();
+      for (const { requester } of services.values()) requester.flush();
       const nowMs = host.nowMs();
       releaseKeptSlots(kept.takeExpired(nowMs));
       flushKeptUses(nowMs);
--- a/src/slots/slot_owner.ts
+++ b/src/slots/slot_owner.ts
@@ -116,28 +116,28 @@
     }));
   }
 
-  function setWant(pick: GrantTarget, want: TeamRequests): void {
-    const { entryHost, team } = pick;
-    const holder = getState(entryHost);
+  function setWant(target: GrantTarget, want: TeamRequests): void {
+    const { entryHost, team } = target;
+    const state = getState(entryHost);
     const wasWaiting = waiting.has(team);
     if (want.count > 0) {
       const { sinceMs } = want;
-      waiting.set(pick, {
+      waiting.set(target, {
         isSameRegion: host.isSameRegion(entryHost),
         sinceMs,
       });
-      holder.wants.set(team, want);
+      state.wants.set(team, want);
     } else {
-      holder.wants.delete(team);
-      waiting.remove(pick);
+      state.wants.delete(team);
+      waiting.remove(target);
     }
     const isWaiting = waiting.has(team);
     if (isWaiting !== wasWaiting) host.setWaiting(team, isWaiting);
   }
 
   function clearWants(entryHost: string): void {
-    const holder = getState(entryHost);
-    for (const team of [...holder.wants.keys()]) {
+    const state = getState(entryHost);
+    for (const team of [...state.wants.keys()]) {
       setWant({ entryHost, team }, NO_REQUESTS);
     }
   }
@@ -146,10 +146,12 @@
    * Takes one off by a grant. The next request came later; until the host tells
    * its age, the waiting ones are taken as evenly spread up to now.
    */
-  function deductGrant(pick: GrantTarget): void {
-    const { count, sinceMs } = getState(pick.entryHost).wants.get(pick.team)!;
+  function deductGrant(target: GrantTarget): void {
+    const { count, sinceMs } = getState(target.entryHost).wants.get(
+      target.team,
+    )!;
     const gapMs = (host.nowMs() - sinceMs) / count;
-    setWant(pick, { count: count - 1, sinceMs: sinceMs + gapMs });
+    setWant(target, { count: count - 1, sinceMs: sinceMs + gapMs });
   }
 
   /** Tells the limit that nothing of this slot is in flight any more. */
@@ -163,56 +165,56 @@
   }
 
   function isHeld(slot: number): boolean {
-    for (const holder of entryHosts.values()) {
-      if (holder.slots.has(slot)) return true;
+    for (const state of entryHosts.values()) {
+      if (state.slots.has(slot)) return true;
     }
     return false;
   }
 
   /** Slots known from grants stay charged; others were granted elsewhere. */
   function replaceHeld(
-    holder: EntryHostState,
+    state: EntryHostState,
     held: readonly HeldSlot[],
   ): void {
-    const known = new Map(holder.slots);
+    const known = new Map(state.slots);
     const heldSlots = new Set(held.map((each) => each.slot));
     for (const slot of known.keys()) {
       if (!heldSlots.has(slot)) reportUnused(slot);
     }
-    holder.slots.clear();
+    state.slots.clear();
     for (const { slot, team } of held) {
-      holder.slots.set(slot, known.get(slot) ?? { team, charged: 0 });
+      state.slots.set(slot, known.get(slot) ?? { team, charged: 0 });
     }
-    inUse += holder.slots.size - known.size;
+    inUse += state.slots.size - known.size;
   }
 
-  function grantFree(): void {
+  function grantFreeSlots(): void {
     while (inUse < host.getLimit()) {
-      const pick = host.tryPick({
+      const target = host.tryPick({
         waiting: waiting.getByTeam(),
         getCounter: host.getCounter,
         crossRegionPenalty: host.getCrossRegionPenalty(),
       });
-      if (pick === undefined) return;
-      grant(pick);
+      if (target === undefined) return;
+      grant(target);
     }
     // Hosts may keep too many slots, too, when the limit fell or is zero.
-    const isOver = inUse > host.getLimit();
-    if (waiting.getByTeam().size > 0 || isOver) recallKeptSlots();
+    const exceedsLimit = inUse > host.getLimit();
+    if (waiting.getByTeam().size > 0 || exceedsLimit) recallKeptSlots();
   }
 
-  function grant(pick: GrantTarget): void {
-    const { entryHost, team } = pick;
-    const holder = getState(entryHost);
-    deductGrant(pick);
+  function grant(target: GrantTarget): void {
+    const { entryHost, team } = target;
+    const state = getState(entryHost);
+    deductGrant(target);
     const slot = nextSlot++;
     const othersWait = waiting.getByTeam().size > 0;
-    holder.mayKeepSlots = !othersWait && host.isSameRegion(entryHost);
+    state.mayKeepSlots = !othersWait && host.isSameRegion(entryHost);
     const isSent = host.trySendGrant(entryHost, {
       upstream,
       slot,
       team,
-      keep: holder.mayKeepSlots,
+      keep: state.mayKeepSlots,
       free: Math.max(0, host.getLimit() - inUse - 1),
     });
     // Without a link the slot would idle until the host is found dead. Its
@@ -221,16 +223,16 @@
       clearWants(entryHost);
       return;
     }
-    holder.slots.set(slot, { team, charged: host.chargeStart(team) });
+    state.slots.set(slot, { team, charged: host.chargeStart(team) });
     inUse++;
     host.onRequestStarted(slot);
   }
 
   /** A kept slot may idle at its host while a request waits at another. */
   function recallKeptSlots(): void {
-    for (const [entryHost, holder] of entryHosts) {
-      if (!holder.mayKeepSlots) continue;
-      holder.mayKeepSlots = false;
+    for (const [entryHost, state] of entryHosts) {
+      if (!state.mayKeepSlots) continue;
+      state.mayKeepSlots = false;
       host.sendRecall(entryHost, { upstream, redeclare: false });
     }
   }
@@ -248,18 +250,18 @@
       for (const { team, waiting: count, ageMs } of req.wants) {
         setWant({ entryHost, team }, { count, sinceMs: nowMs - ageMs });
       }
-      grantFree();
+      grantFreeSlots();
     },
     receiveRelease(entryHost, release) {
-      const holder = getState(entryHost);
-      const used = holder.slots.get(release.slot);
+      const state = getState(entryHost);
+      const used = state.slots.get(release.slot);
       // A release may come twice, or from before a reconnect.
       if (used === undefined) return;
-      holder.slots.delete(release.slot);
+      state.slots.delete(release.slot);
       inUse--;
       host.chargeEnd(release, used.charged);
       host.onRequestEnded({ tokenIntervalMs: 0, ...release });
-      grantFree();
+      grantFreeSlots();
     },
     receiveKeptUses(uses) {
       for (const each of uses.uses) {
@@ -268,25 +270,25 @@
         if (isHeld(each.slot)) host.onRequestStarted(each.slot);
         else reportUnused(each.slot);
       }
-      grantFree();
+      grantFreeSlots();
     },
     removeHost(entryHost) {
-      const holder = entryHosts.get(entryHost);
-      if (holder === undefined) return;
+      const state = entryHosts.get(entryHost);
+      if (state === undefined) return;
       clearWants(entryHost);
-      inUse -= holder.slots.size;
+      inUse -= state.slots.size;
       entryHosts.delete(entryHost);
-      for (const slot of holder.slots.keys()) reportUnused(slot);
-      grantFree();
+      for (const slot of state.slots.keys()) reportUnused(slot);
+      grantFreeSlots();
     },
     requestRedeclaration(entryHost) {
       host.sendRecall(entryHost, { upstream, redeclare: true });
     },
-    grantFreeSlots: grantFree,
+    grantFreeSlots,
     refundAll() {
-      for (const [entryHost, holder] of entryHosts) {
+      for (const [entryHost, state] of entryHosts) {
         clearWants(entryHost);
-        for (const [slot, { team, charged }] of holder.slots) {
+        for (const [slot, { team, charged }] of state.slots) {
           const unused = { cost: 0, firstByteMs: 0, result: "unused" as const };
           host.chargeEnd({ upstream, slot, team, ...unused }, charged);
         }
@@ -295,8 +297,8 @@
     getInUse: () => inUse,
     getWaiting() {
       let count = 0;
-      for (const holder of entryHosts.values()) {
-        for (const want of holder.wants.values()) count += want.count;
+      for (const state of entryHosts.values()) {
+        for (const want of state.wants.values()) count += want.count;
       }
       return count;
     },
--- a/src/slots/slot_requester.ts
+++ b/src/slots/slot_requester.ts
@@ -60,12 +60,12 @@
   /** Decides anew whom to ask for the team; gives those no longer asked. */
   function reselect(want: Want, candidates: Candidates): readonly string[] {
     const { team, ageMs } = want;
-    const before = teams.get(team)?.upstreams ?? new Set<string>();
-    const asked = selectUpstreams({ ageMs, candidates, previous: before });
-    const isWide = asked.size >= candidates.near.length;
-    const dueMs = host.nowMs() + getSelectionLifetimeMs(ageMs, isWide);
-    teams.set(team, { upstreams: asked, dueMs });
-    return [...before].filter((each) => !asked.has(each));
+    const previous = teams.get(team)?.upstreams ?? new Set<string>();
+    const upstreams = selectUpstreams({ ageMs, candidates, previous });
+    const hasAllInRegion = upstreams.size >= candidates.near.length;
+    const dueMs = host.nowMs() + getSelectionLifetimeMs(ageMs, hasAllInRegion);
+    teams.set(team, { upstreams, dueMs });
+    return [...previous].filter((each) => !upstreams.has(each));
   }
 
   function updateTeam(
@@ -115,9 +115,11 @@
     },
     declare(upstream) {
       const wants: Want[] = [];
-      for (const [team, { upstreams: asked }] of teams) {
+      for (const [team, { upstreams }] of teams) {
         const want = getWant(team);
-        if (asked.has(upstream) && host.reportedWants.update(want, upstream)) {
+        if (
+          upstreams.has(upstream) && host.reportedWants.update(want, upstream)
+        ) {
           wants.push(want);
         }
       }
--- a/src/slots/upstream_selection.ts
+++ b/src/slots/upstream_selection.ts
@@ -44,21 +44,19 @@
  * asked until the team waits no more.
  */
 export function selectUpstreams(input: SelectionInput): ReadonlySet<string> {
-  const { ageMs, candidates, previous: before } = input;
+  const { ageMs, candidates, previous } = input;
   const selected = new Set<string>();
   for (const { id } of candidates.near) {
-    if (before.has(id)) selected.add(id);
+    if (previous.has(id)) selected.add(id);
   }
   const maxUpstreams = getMaxUpstreams(ageMs);
   for (const { id } of candidates.near) {
     if (selected.size >= maxUpstreams) break;
     selected.add(id);
   }
-  const wasUsingOtherRegions = candidates.far.some((each) =>
-    before.has(each.id)
-  );
+  const wasCrossing = candidates.far.some((each) => previous.has(each.id));
   const usesOtherRegions = candidates.near.length === 0 ||
-    decideCrossing({ oldestWaitMs: ageMs, wasCrossing: wasUsingOtherRegions });
+    decideCrossing({ oldestWaitMs: ageMs, wasCrossing });
   if (usesOtherRegions) candidates.far.forEach((each) => selected.add(each.id));
   return selected;
 }
--- a/src/slots/waiting_teams.ts
+++ b/src/slots/waiting_teams.ts
@@ -28,10 +28,10 @@
 export interface WaitingTeams {
   /** The pick's oldest request waits since the time given. */
   set(
-    pick: GrantTarget,
+    target: GrantTarget,
     options: { isSameRegion: boolean; sinceMs: number },
   ): void;
-  remove(pick: GrantTarget): void;
+  remove(target: GrantTarget): void;
   has(team: string): boolean;
   getByTeam(): WaitingByTeam;
 }
@@ -45,12 +45,15 @@
 export function createWaitingTeams(): WaitingTeams {
   const byTeam = new Map<string, Hosts>();
   return {
-    set({ entryHost, team }, { isSameRegion: isNear, sinceMs }) {
+    set({ entryHost, team }, { isSameRegion, sinceMs }) {
       const hosts = getOrCreate(byTeam, team, () => ({
         sameRegion: new Map<string, number>(),
         otherRegions: new Map<string, number>(),
       }));
-      (isNear ? hosts.sameRegion : hosts.otherRegions).set(entryHost, sinceMs);
+      (isSameRegion ? hosts.sameRegion : hosts.otherRegions).set(
+        entryHost,
+        sinceMs,
+      );
     },
     remove({ entryHost, team }) {
       const hosts = byTeam.get(team);
