--- a/src/slots/adaptive_limit.ts
+++ b/src/slots/adaptive_limit.ts
@@ -1,14 +1,15 @@
 /**
- * How many requests an upstream may have in flight, learned from its own uses:
- * time to the first byte, time between tokens, and failures. Additive increase
- * while it keeps its pace, multiplicative decrease when it slows down, and a
- * breaker that takes it out when it fails.
+ * Adaptive concurrency limit of an upstream: how many requests it may have in
+ * flight, derived from the time to first byte, the time between tokens and the
+ * failures of its own requests. The limit increases additively while latency is
+ * normal and decreases multiplicatively when the upstream slows down; a circuit
+ * breaker stops requests when they fail.
  *
- * Load: one upstream that becomes ten times slower, then stalls, then recovers,
- * while every team has a backlog. Harm prevented: requests pile up there while
- * other upstreams have room; and streams crowd an engine until none of them
- * keeps the time between tokens. The upstream's own load report lags by seconds,
- * so it does not enter here.
+ * Load: one upstream becomes ten times slower, then stalls, then recovers,
+ * while every team has a backlog. Failure prevented: requests pile up at that
+ * upstream while others have free slots, or an engine serves so many streams at
+ * once that none of them meets the target for the time between tokens. The
+ * upstream's own load report is seconds old, so it is not used here.
  *
  * @module
  */
@@ -17,87 +18,106 @@
 import { type BreakerState, createCircuitBreaker } from "./circuit_breaker.ts";
 import { createLatencyTracker } from "./latency_tracker.ts";
 
-/** Limits of the limit; each with its reason. */
+/** Options of an adaptive limit. */
 export interface AdaptiveLimitOptions {
-  /** From the configuration: above it the upstream's memory does not reach. */
+  /** Configured maximum; the upstream's memory does not suffice for more. */
   readonly maxSlots: number;
-  /** Told each change of the limit, with its reason. */
+  /** Called at each change of the limit, with its reason. */
   readonly onChange?: (limit: number, reason: string) => void;
 }
 
-/** How one use of a slot went. */
+/** How a request that used a slot ended. */
 export interface SlotUse {
   readonly slot: number;
   readonly result: "answered" | "failed";
-  /** Time to the first byte, in ms; 0 when none came. */
+  /** Time to the first byte, in ms; 0 when none was received. */
   readonly firstByteMs: number;
-  /** Mean time between two tokens, in ms; 0 when there were none. */
+  /** Mean time between two tokens, in ms; 0 when there were fewer than two. */
   readonly tokenIntervalMs: number;
 }
 
-/** The limit of one upstream. */
+/** Adaptive limit of one upstream. */
 export interface AdaptiveLimit {
-  /** Slots that may be in use now; 0 while the upstream is taken out. */
+  /**
+   * Slots that may currently be in use; 0 while the circuit breaker is open.
+   */
   get(): number;
   getState(): BreakerState;
-  /** A slot was granted. */
+  /** Records that a slot was granted. */
   observeStart(slot: number, nowMs: number): void;
-  /** A slot came back after a use. */
+  /** Records that a request ended and its slot was released. */
   observeEnd(use: SlotUse, nowMs: number): void;
-  /** A slot came back unused. */
+  /** Records that a slot was released unused. */
   observeUnused(slot: number): void;
-  /** Takes a changed maximum of the configuration. */
+  /** Applies a changed maximum of the configuration. */
   setMaxSlots(maxSlots: number): void;
-  /** Called now and then, so that a probe follows a pause. */
+  /**
+   * Called periodically, so that the breaker sends a probe when its time has
+   * come.
+   */
   tick(nowMs: number): void;
 }
 
-/** One slot stays, so that recovery is seen. */
+/** One slot always remains, so that recovery is detected. */
 const MIN_SLOTS = 1;
 
 /**
- * Slower than its base by this factor, an upstream queues inside. A mix of long
- * and short prompts moves the average of 16 by less.
+ * An upstream that is slower than its baseline by this factor queues requests
+ * internally. A mix of long and short prompts moves the average of 16 requests
+ * by less.
  */
 const SLOWDOWN_THRESHOLD = 3;
 
-/** The goal for the time between two tokens, for 95 in 100. */
+/** Target for the time between two tokens, to be met by 95 of 100 requests. */
 const TOKEN_INTERVAL_TARGET_MS = 31;
 
 /**
- * Two decreases in a row, which halve the streams, that bring less than a tenth
- * in time between tokens show that the engine is slow by itself. One could be
- * judged from streams that began before it.
+ * An engine is considered slow regardless of its load when two successive
+ * decreases, which halve its streams, reduce the time between tokens by less
+ * than a tenth. A single decrease might be judged by streams that started
+ * before it.
  */
 const INEFFECTIVE_RATIO = 0.9;
 const MAX_INEFFECTIVE_DECREASES = 2;
 
-/** Such an engine is held to its own pace, times this. */
+/**
+ * The target of an engine that is slow regardless of load: its own time between
+ * tokens, times this.
+ */
 const TOKEN_INTERVAL_SLACK = 1.2;
 
-/** Weight of the newest use in the share that misses the goal: 1 in 20. */
+/** Weight of the newest request in the rate of missed targets: 1 in 20. */
 const MISS_RATE_WEIGHT = 0.05;
 
-/** More than two misses in about 20 uses: the goal is for 95 in 100. */
+/**
+ * Highest accepted rate of missed targets: about two misses in 20 requests
+ * exceed it, since 95 of 100 requests are to meet the target.
+ */
 const MAX_MISS_RATE = 0.08;
 
-/** What is left after a slow spell; gentle, since another follows if needed. */
+/**
+ * Factor of one decrease. It is moderate, since another decrease follows if
+ * needed.
+ */
 const DECREASE_FACTOR = 0.7;
 
 /**
- * An upstream that stays slow with one request in flight is not slow from its
- * load: after this its pace is taken for its new normal.
+ * An upstream that stays slow with one request in flight is not slow because of
+ * its load. After this time its latency becomes its new baseline.
  */
 const BASELINE_RESET_MS = 60_000;
 
-/** Decreases that did not help, and the limit before the first of them. */
+/**
+ * Successive decreases that did not reduce the time between tokens, and the
+ * limit before the first of them.
+ */
 interface IneffectiveDecreases {
   readonly count: number;
   readonly tokenIntervalMs: number;
   readonly limit: number;
 }
 
-/** Makes a limit that starts at the configured maximum. */
+/** Creates a limit that starts at the configured maximum. */
 export function createAdaptiveLimit(
   options: AdaptiveLimitOptions,
 ): AdaptiveLimit {
@@ -115,7 +135,7 @@
   let reportedLimit = maxSlots;
 
   const breaker = createCircuitBreaker((state, reason) => {
-    // It comes back with few slots and earns the others.
+    // A recovered upstream restarts with the minimum; the limit then increases.
     if (state === "closed") limit = MIN_SLOTS;
     if (state === "open") {
       slowStartThreshold = Math.max(slowStartThreshold, limit / 2);
@@ -136,7 +156,8 @@
       case "open":
         return 0;
       case "half-open":
-        // Those stuck since before it opened keep their slots; one more probes.
+        // Requests from before the opening that have not ended keep their
+        // slots; one more slot is for the probe.
         return countRequestsBeforeOpening() + 1;
     }
   }
@@ -162,19 +183,17 @@
   function tryGetSlowReason(): string | undefined {
     const slowdown = firstByteLatency.getSlowdown();
     if (slowdown > SLOWDOWN_THRESHOLD) {
-      return `The first byte takes ${
-        slowdown.toFixed(1)
-      } times its normal time`;
+      return `Time to first byte is ${slowdown.toFixed(1)} times the baseline`;
     }
     if (missRate <= MAX_MISS_RATE) return undefined;
     const recentMs = tokenIntervals.getRecentMs().toFixed(0);
-    return `The time between tokens, ${recentMs} ms, misses its goal too often`;
+    return `Time between tokens (${recentMs} ms) misses its target too often`;
   }
 
   /**
-   * Whether the last decreases helped the time between tokens too little. Then
-   * the engine does not slow down from its load, and holding it to ever fewer
-   * streams would waste it.
+   * Whether the last decreases had too little effect on the time between
+   * tokens. In that case the engine is not slow because of its load, and
+   * reducing its streams further would waste it.
    */
   function isSlowRegardlessOfLoad(): boolean {
     if (missRate <= MAX_MISS_RATE) return false;
@@ -196,7 +215,9 @@
     limit = Math.max(limit, ineffective?.limit ?? 0);
     ineffective = undefined;
     missRate = 0;
-    reportChange("Its own time between tokens is over the goal");
+    reportChange(
+      "Time between tokens exceeds the target regardless of load",
+    );
   }
 
   function decrease(nowMs: number, reason: string): void {
@@ -205,7 +226,8 @@
     if (limit >= slowStartThreshold) {
       slowStartThreshold = Math.max(MIN_SLOTS, limit / 2);
     }
-    // From what is in flight: a limit that was never reached slows nothing down.
+    // The decrease starts from the requests in flight: lowering a limit that
+    // was never reached would have no effect.
     const inFlight = Math.max(1, startedMs.size + 1);
     limit = Math.min(limit, Math.max(MIN_SLOTS, inFlight)) * DECREASE_FACTOR;
     limit = clamp(limit, MIN_SLOTS, maxSlots);
@@ -216,13 +238,15 @@
   function increase(inFlight: number): void {
     atMinimumSinceMs = undefined;
     ineffective = undefined;
-    // Only a limit that was about reached has shown that it can be borne.
+    // Only a limit that was nearly reached has shown that the upstream can bear
+    // it.
     if (inFlight < limit / 2) return;
-    // Up to half of what it bore before it doubles with each round of answers;
-    // above, it grows by one with each round.
+    // Below the slow-start threshold, half of the limit before the last
+    // slowdown, the limit doubles with each round of requests; above the
+    // threshold it grows by one with each round.
     limit += limit < slowStartThreshold ? 1 : 1 / limit;
     limit = clamp(limit, MIN_SLOTS, maxSlots);
-    reportChange("It keeps its pace");
+    reportChange("Latency is normal");
   }
 
   function resetBaselineIfSlowAtMinimum(nowMs: number): void {
@@ -237,12 +261,12 @@
 
   function adapt(use: SlotUse, startMs: number, nowMs: number): void {
     const slowReason = use.result === "failed"
-      ? "A use failed"
+      ? "A request failed"
       : tryGetSlowReason();
     if (slowReason === undefined) {
       if (!missesTarget(use)) increase(startedMs.size + 1);
     } else if (startMs > lastDecreaseMs) {
-      // One slow spell shows in all that was in flight; it counts once.
+      // A slowdown affects all requests in flight; it counts once.
       if (isSlowRegardlessOfLoad()) acceptTokenInterval();
       else decrease(nowMs, slowReason);
     }
@@ -254,29 +278,31 @@
     getState: breaker.getState,
     observeStart(slot, nowMs) {
       startedMs.set(slot, nowMs);
-      // A host that died gives nothing back; its slots must not add up here.
+      // A dead host never releases its slots; they must not accumulate here.
       while (startedMs.size > 2 * maxSlots) {
         startedMs.delete(startedMs.keys().next().value!);
       }
     },
     observeEnd(use, nowMs) {
-      // A slot from before a change of owner: it began before all known here.
+      // An unknown slot was granted by a previous owner, so its request started
+      // before all that are known here.
       const startMs = startedMs.get(use.slot) ?? -Infinity;
       startedMs.delete(use.slot);
-      // What began before a decrease shows the load before it.
+      // A request that started before the last decrease reflects the load
+      // before it.
       const isFresh = startMs > lastDecreaseMs;
       if (use.result === "answered" && isFresh) observeLatency(use);
       const slots = Math.floor(limit);
       if (breaker.getState() === "closed") adapt(use, startMs, nowMs);
       const { result } = use;
       breaker.observeEnd({ result, startedMs: startMs, slots }, nowMs);
-      reportChange("A use ended");
+      reportChange("A request ended");
     },
     observeUnused: (slot) => void startedMs.delete(slot),
     setMaxSlots(value) {
       if (value === maxSlots) return;
-      // A limit that nothing had lowered follows the maximum up; one that was
-      // earned under load stays, and grows on from there.
+      // A limit at the maximum follows a raised maximum. A limit that was
+      // lowered under load stays and increases from there.
       const wasAtMaximum = limit >= maxSlots;
       maxSlots = value;
       limit = wasAtMaximum ? maxSlots : clamp(limit, MIN_SLOTS, maxSlots);
--- a/src/slots/adaptive_limit_test.ts
+++ b/src/slots/adaptive_limit_test.ts
@@ -1,5 +1,5 @@
 /**
- * Tests of the adaptive limit against a fake upstream in virtual time.
+ * Tests the adaptive limit against a fake upstream in virtual time.
  *
  * @module
  */
@@ -18,12 +18,14 @@
   readonly result: "answered" | "failed";
 }
 
-/** How the upstream serves a use that starts now with so many others. */
+/** How the upstream serves a request that starts beside `inFlight` others. */
 type Serve = (inFlight: number) => Omit<Use, "slot" | "endMs"> & {
   readonly lastsMs: number;
 };
 
-/** A limit under a backlog that takes every slot as soon as it may. */
+/**
+ * Creates a limit under a backlog that uses every slot as soon as it is free.
+ */
 function createFixture(maxSlots: number) {
   const clock = createManualClock(1_000);
   const changes: string[] = [];
@@ -71,7 +73,7 @@
   });
 }
 
-/** Holds each use until the silence limit of a stream ends it. */
+/** Each request hangs until the time-out of a silent stream ends it. */
 const stall: Serve = () => ({
   lastsMs: 5_000,
   firstByteMs: 0,
@@ -79,9 +81,10 @@
   result: "failed",
 });
 
-test("an upstream that slows down, stalls and recovers is followed", () => {
-  // Callers wait although engines have room: one engine became ten times slower
-  // and then silent, and went on drawing its full share of the requests.
+test("the limit follows an upstream that slows, stalls and recovers", () => {
+  // Guards against callers waiting although engines have free slots: one engine
+  // became ten times slower and then silent, and still received its full share
+  // of the requests.
   fc.assert(
     fc.property(
       fc.integer({ min: 4, max: 64 }),
@@ -110,9 +113,10 @@
   );
 });
 
-test("a mix of long and short prompts leaves the limit alone", () => {
-  // First-byte times lie up to 20 times apart because prompts do. One slow use
-  // beside the fastest was taken for a slow engine, and half of it idled.
+test("a mix of long and short prompts does not lower the limit", () => {
+  // Times to first byte differ up to 20 times because prompts do. Guards
+  // against taking one slow request beside the fastest for a slow engine, which
+  // left half of the engine idle.
   const seeds = fc.integer({ min: 1, max: 1e6 });
   fc.assert(
     fc.property(seeds, (seed) => {
@@ -135,14 +139,14 @@
   );
 });
 
-test("an engine keeps the time between tokens by holding fewer streams", () => {
-  // Readers see text come in jerks: the engine takes all streams that its memory
-  // holds, and each of them gets a token too seldom.
+test("fewer streams keep an engine's time between tokens on target", () => {
+  // Guards against stuttering responses: an engine that accepts all streams
+  // that fit its memory serves each of them tokens too rarely.
   const fixture = createFixture(64);
   const serve: Serve = (inFlight) =>
     answer(50, 15 + 0.8 * Math.max(0, inFlight - 8))(inFlight);
   fixture.run(120_000, serve);
-  // 31 ms is reached at 28 streams.
+  // The engine reaches 31 ms at 28 streams.
   const limits: number[] = [];
   for (let round = 0; round < 60; round++) {
     fixture.run(1_000, serve);
@@ -153,15 +157,16 @@
   assert.ok(mean >= 20, `mean ${mean}`);
 });
 
-test("an engine that is slow by itself keeps its streams", () => {
-  // An engine whose tokens come every 40 ms even alone was held to one stream,
-  // in the hope of a goal that it can't reach, and its callers queued.
+test("an engine that is slow regardless of load keeps its streams", () => {
+  // Guards against limiting an engine to one stream, and letting its callers
+  // queue, for a target that it cannot meet: its tokens come every 40 ms even
+  // with one stream.
   const fixture = createFixture(32);
   fixture.run(60_000, answer(50, 40));
   assert.ok(fixture.limit.get() >= 24, `${fixture.limit.get()}`);
 });
 
-test("one failure spell counts once and each change is told", () => {
+test("a burst of failures counts once and changes are reported", () => {
   const fixture = createFixture(32);
   fixture.run(2_000, answer(50));
   let served = 0;
@@ -174,9 +179,10 @@
   assert.ok(fixture.changes.length > 0);
 });
 
-test("a lasting change of pace is learned", () => {
-  // A new model takes four times as long for its first byte. At one slot for
-  // good, three quarters of the engine would never be used again.
+test("a lasting change of latency becomes the new baseline", () => {
+  // A new model takes four times as long to its first byte. Guards against
+  // limiting it to one slot for ever, which would leave three quarters of the
+  // engine unused.
   const fixture = createFixture(16);
   fixture.run(10_000, answer(50));
   fixture.run(20_000, answer(200));
@@ -185,7 +191,7 @@
   assert.equal(fixture.limit.get(), 16);
 });
 
-test("in any run of uses the limit keeps to its range", () => {
+test("the limit stays in its range for any sequence of requests", () => {
   const use = fc.record({
     slot: fc.nat(20),
     result: fc.constantFrom<"answered" | "failed">("answered", "failed"),
@@ -213,11 +219,11 @@
   );
 });
 
-test("a changed maximum of the configuration is in force at once", () => {
-  // An operator lowers max_slots of an engine that runs out of memory, and the
-  // version is said to be in force everywhere; yet the engine gets as many
-  // requests as before until its slots change hands, since their owner made its
-  // limit from the old files.
+test("a changed maximum of the configuration applies at once", () => {
+  // An operator lowers max_slots of an engine that runs out of memory. Guards
+  // against an owner that keeps the limit of the old configuration until
+  // ownership changes, while the new version is reported to be in force
+  // everywhere.
   const { limit, changes } = createFixture(16);
   limit.setMaxSlots(2);
   assert.equal(limit.get(), 2);
@@ -229,7 +235,7 @@
   ]);
 });
 
-test("a limit that was lowered under load is not raised by the files", () => {
+test("a raised maximum does not raise a limit lowered under load", () => {
   const { limit, run } = createFixture(16);
   const failing = () => ({
     lastsMs: 20,
--- a/src/slots/circuit_breaker.ts
+++ b/src/slots/circuit_breaker.ts
@@ -1,58 +1,75 @@
 /**
- * Takes an upstream out when its uses fail one after the other, and probes it
- * for its return with one use at a time.
+ * Circuit breaker: stops sending requests to an upstream when they fail one
+ * after the other, and probes the upstream with one request at a time.
  *
- * Load: an upstream that stalls or refuses connections under a full backlog.
- * Harm prevented: each freed slot draws the next waiting request into a failure
- * that takes seconds to show, so the upstream eats requests faster than its
- * healthy neighbours serve them.
+ * Load: an upstream stalls or refuses connections while every team has a
+ * backlog. Failure prevented: each freed slot sends the next waiting request
+ * into a failure that takes seconds to detect, so the failing upstream consumes
+ * requests faster than healthy upstreams serve them.
  *
  * @module
  */
 
-/** Closed: in use. Open: taken out. Half-open: one use probes it. */
+/**
+ * Closed: requests are sent. Open: none are sent. Half-open: one request probes
+ * the upstream.
+ */
 export type BreakerState = "closed" | "open" | "half-open";
 
-/** How a use ended, as far as the breaker needs it. */
+/** How a request that used a slot ended. */
 export interface UseEnd {
   readonly result: "answered" | "failed";
   readonly startedMs: number;
-  /** Slots that the upstream had when the use ended. */
+  /** Slots that the upstream had when the request ended. */
   readonly slots: number;
 }
 
-/** The state of one upstream as its owner sees it. */
+/** Circuit breaker of one upstream, at the upstream's owner. */
 export interface CircuitBreaker {
   getState(): BreakerState;
-  /** A use that began at the time given has ended. */
+  /** Records the end of a request. */
   observeEnd(end: UseEnd, nowMs: number): void;
-  /** The probe has been in flight since the time given. */
+  /**
+   * Moves the state on by time; `probeSinceMs` is the start of the probe in
+   * flight.
+   */
   tick(probeSinceMs: number | undefined, nowMs: number): void;
-  /** Whether a use that began then began after the breaker opened. */
+  /**
+   * Whether a request that started at the given time started after the breaker
+   * opened.
+   */
   isProbe(startedMs: number): boolean;
 }
 
 /**
- * Failures in a row that open it. One may be the request's own fault, and so
- * may be its retry; three without an answer between them are the upstream's.
- * With fewer slots than that, as many as there are: a stalled upstream that is
- * held to one slot would need three times the silence limit.
+ * Consecutive failures that open the breaker. One failure may be caused by the
+ * request itself, and so may the failure of its retry; three without a success
+ * between them are caused by the upstream. An upstream with fewer slots needs
+ * only as many failures as it has slots: with a single slot, three would take a
+ * stalled upstream three times the time-out of a silent stream.
  */
 const FAILURE_THRESHOLD = 3;
 
-/** First pause before a probe: about the time of a restart of a plain service. */
+/** Time before the first probe: about the restart time of a plain service. */
 const INITIAL_OPEN_MS = 1_000;
 
-/** Longest pause: each probe may cost a caller the silence limit of a stream. */
+/**
+ * Longest time before a probe. Each probe may cost a caller the time-out of a
+ * silent stream.
+ */
 const MAX_OPEN_MS = 16_000;
 
 /**
- * A silent stream is cut after 5 s, so a probe that still runs after this gets
- * tokens. Without this a long answer would hold a sound upstream at one slot.
+ * A silent stream is cut off after 5 s, so a probe that still runs after this
+ * time receives tokens. Without this rule a long answer would hold a healthy
+ * upstream at one slot.
  */
 const PROBE_SUCCESS_MS = 6_000;
 
-/** Makes a closed breaker; `onChange` is told each change with its reason. */
+/**
+ * Creates a closed circuit breaker; `onChange` receives each change of state
+ * with its reason.
+ */
 export function createCircuitBreaker(
   onChange: (state: BreakerState, reason: string) => void,
 ): CircuitBreaker {
@@ -79,7 +96,7 @@
 
   function observeProbe(result: UseEnd["result"], nowMs: number): void {
     if (result === "answered") {
-      close("The probe was answered");
+      close("The probe succeeded");
       return;
     }
     openMs = Math.min(openMs * 2, MAX_OPEN_MS);
@@ -96,24 +113,25 @@
           if (failures < Math.max(1, Math.min(FAILURE_THRESHOLD, slots))) {
             return;
           }
-          open(nowMs, `${failures} uses failed in a row`);
+          open(nowMs, `${failures} requests failed in a row`);
           return;
         case "open":
           return;
         case "half-open":
-          // What began before the opening ends late and tells nothing new.
+          // A request from before the opening ends late and carries no new
+          // information.
           if (startedMs > openedMs) observeProbe(result, nowMs);
           return;
       }
     },
     tick(probeSinceMs, nowMs) {
       if (state === "open" && nowMs - openedMs >= openMs) {
-        setState("half-open", `Probed after ${openMs} ms`);
+        setState("half-open", `Probing after ${openMs} ms`);
       } else if (
         state === "half-open" && probeSinceMs !== undefined &&
         nowMs - probeSinceMs >= PROBE_SUCCESS_MS
       ) {
-        close(`The probe runs for ${PROBE_SUCCESS_MS} ms`);
+        close(`The probe has been running for ${PROBE_SUCCESS_MS} ms`);
       }
     },
   };
--- a/src/slots/kept_slots.ts
+++ b/src/slots/kept_slots.ts
@@ -1,9 +1,10 @@
 /**
- * Slots that stay at this host while nobody else waits, so that a request that
- * comes next starts without a message.
+ * Idle slots that this host keeps while no request waits at other hosts, so
+ * that its next request starts without a message to the owner.
  *
- * Load: most of the day no team is backlogged. Harm prevented: three messages
- * for each request, which at the goal size would take the whole control budget.
+ * Load: most of the day no team has a backlog. Failure prevented: each request
+ * costs three messages, which at the planned fleet size would use up the whole
+ * budget for control traffic.
  *
  * @module
  */
@@ -11,30 +12,31 @@
 import { getOrCreate } from "../core/mod.ts";
 
 /**
- * A kept slot idles here so long at most before it goes back. Callers' gaps are
- * shorter at today's rates; longer, and the owner's hint of free slots lies.
+ * Longest time that a kept slot stays idle before it is returned, in ms. At
+ * expected request rates a caller's next request comes sooner. A longer time
+ * would make the owner's hint of free slots wrong.
  */
 export const MAX_IDLE_MS = 2_000;
 
-/** A slot that was put by. */
+/** An idle slot. */
 export interface KeptSlot {
   readonly upstream: string;
   readonly slot: number;
   readonly sinceMs: number;
 }
 
-/** The idle slots kept at one host. */
+/** The idle slots of one host. */
 export interface KeptSlots {
   add(service: string, slot: KeptSlot): void;
-  /** The one used last, taken out: the others then expire. */
+  /** Removes and returns the slot used last, so that surplus slots expire. */
   tryTake(service: string): KeptSlot | undefined;
-  /** Takes out all of one upstream. */
+  /** Removes and returns all slots of the upstream. */
   takeByUpstream(upstream: string): readonly KeptSlot[];
-  /** Takes out those that idled too long. */
+  /** Removes and returns the slots that have been idle for too long. */
   takeExpired(nowMs: number): readonly KeptSlot[];
 }
 
-/** Makes an empty store. */
+/** Creates an empty set of kept slots. */
 export function createKeptSlots(): KeptSlots {
   const byService = new Map<string, KeptSlot[]>();
 
--- a/src/slots/latency_tracker.ts
+++ b/src/slots/latency_tracker.ts
@@ -1,46 +1,55 @@
 /**
- * Tells whether an upstream is slower than it is on its own, from the times of
- * its own uses.
+ * Detects that an upstream has become slower than its own baseline, from the
+ * latencies of its requests.
  *
- * Load: long and short requests mixed, on an upstream that slows down as a
- * whole. Harm prevented: one long prompt taken for a slow upstream, or a slow
- * upstream for a run of long prompts. So averages of the logarithm are compared
- * and not single times: they move by ratios, and one far value moves them
- * little.
+ * Load: long and short requests are mixed, on an upstream that slows down as a
+ * whole. Failure prevented: one long prompt is taken for a slow upstream, or a
+ * slow upstream for a series of long prompts. Averages of the logarithm are
+ * therefore compared, not single latencies: they express ratios, and a single
+ * outlier moves them little.
  *
  * @module
  */
 
-/** The newest value's weight in the average of late: about the last 16 uses. */
+/**
+ * Weight of the newest value in the recent average: about the last 16 requests.
+ */
 const RECENT_WEIGHT = 1 / 16;
 
-/** And in the long average: about the last 256 uses. */
+/**
+ * Weight of the newest value in the long-term average: about the last 256
+ * requests.
+ */
 const LONG_TERM_WEIGHT = 1 / 256;
 
 /**
- * Uses before anything is judged; fewer say too little about a mix, the more so
- * since the short ones of a first round end first.
+ * Number of requests before a slowdown is reported. Fewer say too little about
+ * a mix of prompts, particularly since the short requests of the first batch
+ * end first.
  */
 const MIN_VALUES = 32;
 
 /**
- * The base rises by this for each use while the long average is above it, so
- * that load which grows by small steps does not pass for the normal.
+ * The baseline rises by this for each request while the long-term average is
+ * above it, so that load that grows in small steps is not taken for normal.
  */
 const BASELINE_DRIFT = 0.001;
 
-/** The pace of one upstream. */
+/** Tracks one kind of latency of one upstream. */
 export interface LatencyTracker {
   observe(valueMs: number): void;
-  /** How many times slower than its base it has been of late; 1 is normal. */
+  /**
+   * How many times slower than its baseline the upstream has recently been; 1
+   * is normal.
+   */
   getSlowdown(): number;
-  /** The pace of late, in ms. */
+  /** The recent average latency, in ms. */
   getRecentMs(): number;
-  /** Takes the pace of late for the normal one. */
+  /** Makes the recent average the baseline. */
   resetBaseline(): void;
 }
 
-/** Makes a watch that knows nothing. */
+/** Creates a tracker without any values. */
 export function createLatencyTracker(): LatencyTracker {
   let count = 0;
   let recent = 0;
@@ -49,7 +58,7 @@
 
   return {
     observe(valueMs) {
-      // Below a millisecond the clock's grain would look like a ratio.
+      // Below 1 ms the resolution of the clock would look like a ratio.
       const value = Math.log(Math.max(1, valueMs));
       count++;
       recent += Math.max(RECENT_WEIGHT, 1 / count) * (value - recent);
--- a/src/slots/mod.ts
+++ b/src/slots/mod.ts
@@ -1,5 +1,6 @@
 /**
- * Slots of upstreams: who owns them, who asks, who holds.
+ * Distributes the slots of upstreams: the owner of an upstream grants its
+ * slots, and entry hosts request, hold and release them.
  *
  * @module
  */
--- a/src/slots/pick.ts
+++ b/src/slots/pick.ts
@@ -1,30 +1,34 @@
 /**
- * Which waiting team gets the next slot of an upstream.
+ * Selects the waiting team that gets the next slot of an upstream.
  *
- * Load: more requests than slots, of many teams, in both regions. Harm
- * prevented: one team is served ahead of another beyond the bound, or answers
- * cross the regional link, which is billed, for a difference of no weight.
+ * Load: there are more requests than slots, from many teams in both regions.
+ * Failure prevented: one team is served ahead of another by more than the
+ * fairness bound, or responses cross the regional link, which is billed by
+ * volume, for an insignificant difference between teams.
  *
  * @module
  */
 
 import type { GrantTarget, WaitingByTeam } from "./waiting_teams.ts";
 
-/** What a pick decides from besides who waits. */
+/** Input of a pick policy. */
 export interface PickInput {
   readonly waiting: WaitingByTeam;
   getCounter(team: string): number;
-  /** How far a team of the other region must be behind to go first. */
+  /** Added to the counter of a team that waits only in other regions. */
   readonly crossRegionPenalty: number;
 }
 
-/** Picks who is next; `undefined` when nobody waits. */
+/**
+ * Picks the team and host that get the next slot; `undefined` when none waits.
+ */
 export type PickPolicy = (input: PickInput) => GrantTarget | undefined;
 
 /**
- * The team with the lowest counter, and of it the host where it has waited
- * longest. A team that waits only in the other region counts as further ahead
- * by the penalty: while the regions are level nothing crosses the link.
+ * Picks the team with the lowest counter, and of its hosts the one where it has
+ * waited longest. The penalty is added to the counter of a team that waits only
+ * in another region, so that no response crosses the regional link while the
+ * regions are about equally served.
  */
 export function tryPickLowestCounter(
   input: PickInput,
--- a/src/slots/reported_wants.ts
+++ b/src/slots/reported_wants.ts
@@ -1,6 +1,7 @@
 /**
- * What this host has told each owner that it wants, so that only changes are
- * sent, and so that a withdrawal reaches every owner that was asked.
+ * The numbers of waiting requests that this host has reported to each owner, so
+ * that it sends only changes, and so that a withdrawal reaches every owner that
+ * it asked.
  *
  * @module
  */
@@ -9,18 +10,21 @@
 import { needsReport } from "./upstream_selection.ts";
 import type { Want } from "./types.ts";
 
-/** The wants told, by upstream and team. */
+/** The reported numbers of waiting requests, by upstream and team. */
 export interface ReportedWants {
-  /** Tells the number that waits; false when what is told will do. */
+  /**
+   * Records the current number as reported; returns false when the number
+   * reported before suffices and nothing needs to be sent.
+   */
   update(want: Want, upstream: string): boolean;
-  /** The owner of the upstream has taken one off by a grant. */
+  /** Deducts a request that the owner has granted, as the owner does. */
   deductGrant(upstream: string, team: string): void;
-  /** Forgets what was told, since its owner changed or forgot. */
+  /** Clears what was reported, after the owner changed or lost its state. */
   clear(upstream: string): void;
   hasAny(upstream: string): boolean;
 }
 
-/** Makes the record with nothing told. */
+/** Creates the record, with nothing reported. */
 export function createReportedWants(): ReportedWants {
   const byUpstream = new Map<string, Map<string, number>>();
   return {
--- a/src/slots/slot_client.ts
+++ b/src/slots/slot_client.ts
@@ -1,7 +1,7 @@
 /**
- * The entry host's side of slots: asks owners for slots while requests wait
- * here, gives each granted slot to the oldest request of its team, keeps slots
- * while nobody else waits, and returns them otherwise.
+ * The entry host's side of slots: requests slots from owners while requests
+ * wait at this host, gives each granted slot to the oldest request of its team,
+ * keeps slots while no other host needs them, and returns them otherwise.
  *
  * @module
  */
@@ -27,49 +27,59 @@
 import { createSlotRequester, type SlotRequester } from "./slot_requester.ts";
 import { createReportedWants } from "./reported_wants.ts";
 
-/** How the use of a slot ended, as the request's run tells it. */
+/** How a request that used a slot ended, as reported by the request. */
 export type SlotEnd = Omit<Release, "upstream" | "slot" | "team">;
 
-/** A slot in the hands of a request. */
+/** A slot held by a request. */
 export interface SlotHandle {
   readonly upstream: Upstream;
-  /** Gives the slot back; later calls do nothing. */
+  /** Releases the slot; further calls have no effect. */
   release(end: SlotEnd): void;
 }
 
-/** What the entry side needs of the process. */
+/** Dependencies of the slot client, supplied by the process. */
 export interface SlotClientHost {
   nowMs(): number;
   getCandidates(service: string): Candidates;
   tryGetUpstream(id: string): Upstream | undefined;
-  /** Whether the upstream takes no new work. */
+  /** Whether the upstream is being drained and takes no new requests. */
   isLeaving(upstream: string): boolean;
   /** Sends to the owner of the upstream, which may be this host. */
   sendRequest(req: SlotRequest): void;
   sendRelease(release: Release): void;
   sendKeptUses(uses: KeptUses): void;
-  /** Takes in an owner's hint of its free slots. */
+  /** Receives the owner's hint of how many slots it can still grant. */
   onFreeHint(upstream: string, free: number): void;
 }
 
-/** The entry side of all services at one host. */
+/** Slots of all services, as seen from one entry host. */
 export interface SlotClient {
-  /** Queues the request; `start` is called with its slot, maybe at once. */
+  /**
+   * Queues the request; calls `start` with the granted slot, possibly at once.
+   */
   wait(req: AdmittedRequest, start: (slot: SlotHandle) => void): void;
-  /** Takes a waiting request back; false when its slot came already. */
+  /** Removes a waiting request; returns false when it already has its slot. */
   cancel(req: AdmittedRequest): boolean;
   receiveGrant(grant: Grant): void;
   receiveRecall(recall: Recall): void;
-  /** Tells the owner of the upstream all, after a change of owner or link. */
+  /**
+   * Sends the full state to the owner of the upstream, after the owner changed
+   * or the connection to it was lost.
+   */
   resync(upstream: string): void;
-  /** Sends what has changed; called a few milliseconds after a change. */
+  /**
+   * Sends the changes to the owners; called a few milliseconds after a change.
+   */
   flush(): void;
   getQueues(service: string): TeamQueues<SlotHandle>;
-  /** Whether slots of the upstream are used, kept or asked for here. */
+  /** Whether this host uses, keeps or has requested slots of the upstream. */
   isUsing(upstream: string): boolean;
 }
 
-/** Uses of kept slots are told so often, in ms: the owner's limit lags by it. */
+/**
+ * How often the host reports requests on kept slots to their owner, in ms. The
+ * owner's adaptive limit reacts with this delay.
+ */
 export const KEPT_USES_INTERVAL_MS = 500;
 
 interface Service {
@@ -79,13 +89,16 @@
 
 const UNUSED_END: SlotEnd = { cost: 0, firstByteMs: 0, result: "unused" };
 
-/** Makes the entry side with empty queues. */
+/** Creates a slot client with empty queues. */
 export function createSlotClient(host: SlotClientHost): SlotClient {
   const services = new Map<string, Service>();
   const reportedWants = createReportedWants();
   const kept = createKeptSlots();
   const keepableUpstreams = new Set<string>();
-  /** Slots that requests use here, by upstream. */
+  /**
+   * Teams by slot number of the slots that requests of this host use, by
+   * upstream.
+   */
   const slotsInUse = new Map<string, Map<number, string>>();
   const keptUses = new Map<string, KeptUse[]>();
   let keptUsesDueMs = Infinity;
@@ -107,7 +120,6 @@
     return getOrCreate(services, service, () => createService(service));
   }
 
-  /** Takes the team's oldest request out of its queue. */
   function tryDequeue(
     service: string,
     team: string,
@@ -141,7 +153,10 @@
     };
   }
 
-  /** A kept slot must not bring new work to an upstream that leaves. */
+  /**
+   * Whether slots of the upstream may be kept: not while it is being drained,
+   * since a kept slot must not bring new requests to it.
+   */
   function mayKeepSlots(upstream: string): boolean {
     return keepableUpstreams.has(upstream) && !host.isLeaving(upstream);
   }
@@ -156,7 +171,10 @@
     );
   }
 
-  /** Gives the slot to the next request here, of its team first, or keeps it. */
+  /**
+   * Gives the slot to the next request at this host, preferring the slot's
+   * team; keeps the slot when no request waits.
+   */
   function reuseSlot(upstream: Upstream, slot: number, team: string): void {
     const { queues } = getService(upstream.service);
     for (const each of [team, ...queues.getCounts().keys()]) {
@@ -211,7 +229,8 @@
   function resync(upstreamId: string): void {
     const upstream = host.tryGetUpstream(upstreamId);
     keepableUpstreams.delete(upstreamId);
-    // The owner does not know them, or drops them since they aren't declared.
+    // A new owner does not know the idle kept slots, and an owner that receives
+    // the full state frees them, since they are not among the held slots.
     kept.takeByUpstream(upstreamId);
     reportedWants.clear(upstreamId);
     if (upstream === undefined) return;
--- a/src/slots/slot_client_test.ts
+++ b/src/slots/slot_client_test.ts
@@ -1,5 +1,5 @@
 /**
- * Tests of the entry host's side of slots.
+ * Tests the entry host's side of slots.
  *
  * @module
  */
@@ -78,9 +78,9 @@
   assert.deepEqual(releases, []);
 });
 
-test("a kept slot takes no new work to an upstream that leaves", () => {
-  // An engine is drained for an upgrade, and a request is cut off when it goes:
-  // the host had kept a slot there and used it for new work.
+test("a kept slot is not reused at an upstream that is being drained", () => {
+  // An engine is drained for an upgrade. Guards against a host that reuses a
+  // slot kept there for a new request, which is cut off when the engine stops.
   const { client, releases, leaving } = createFixture(1);
   const handles: SlotHandle[] = [];
   client.wait(createRequest("r1"), (handle) => handles.push(handle));
@@ -93,7 +93,7 @@
   assert.deepEqual(releases.map((each) => each.slot), [1]);
 });
 
-test("kept slots go back when the owner recalls them, or after idling", () => {
+test("kept slots are released when recalled or idle for too long", () => {
   const { client, releases, time } = createFixture(1);
   client.receiveGrant(createGrant(1, true));
   client.receiveRecall({ upstream: "engine-1", redeclare: false });
@@ -103,9 +103,10 @@
   assert.deepEqual(releases.map((each) => each.slot), [1, 2]);
 });
 
-test("a grant whose request is gone is returned unused", () => {
-  // Another team waits although a slot is free: its caller hung up while the
-  // grant was on its way, and nobody gave the slot back.
+test("a grant whose request was cancelled is released unused", () => {
+  // Guards against a lost slot while another team waits: the caller
+  // disconnected while the grant was in transit, and the host did not release
+  // the slot.
   const { client, releases } = createFixture(1);
   const req = createRequest("r1");
   client.wait(req, () => assert.fail("started"));
@@ -115,7 +116,7 @@
   assert.deepEqual(releases.map((each) => each.result), ["unused"]);
 });
 
-test("one owner is asked first, then more as the request waits", () => {
+test("more owners are asked the longer a request waits", () => {
   const { client, requests, time } = createFixture(20);
   client.wait(createRequest("r1"), () => {});
   const counts: number[] = [];
@@ -127,7 +128,7 @@
   assert.deepEqual(counts, [1, 2, 4, 20]);
 });
 
-test("all that was asked is withdrawn once nothing waits", () => {
+test("all slot requests are withdrawn once no request waits", () => {
   const { client, requests, time } = createFixture(8);
   const req = createRequest("r1");
   client.wait(req, () => {});
--- a/src/slots/slot_owner.ts
+++ b/src/slots/slot_owner.ts
@@ -1,14 +1,15 @@
 /**
- * Grants the slots of one upstream to the waiting hosts and takes them back.
+ * Grants the slots of one upstream to the hosts where requests wait, and takes
+ * them back.
  *
- * Load: more requests than slots, from hosts that see only their own callers.
- * Harm prevented: hosts together overrun the upstream, or a free slot idles
- * while a request waits at another host.
+ * Load: there are more requests than slots, at hosts that each see only their
+ * own callers. Failure prevented: the hosts together overload the upstream, or
+ * a free slot stays idle while a request waits at another host.
  *
- * Ownership is soft. Two owners for a moment over-admit and nothing worse, so
- * it needs no lease. While nobody waits, a host keeps the slots that it was
- * granted and uses them without a message; as soon as a request waits that
- * finds no free slot, the owner recalls what is kept.
+ * Ownership needs no lease: two owners at the same time can only admit too many
+ * requests for a moment. While no request waits, a host keeps the slots that it
+ * was granted and reuses them without a message. As soon as a waiting request
+ * finds no free slot, the owner recalls the kept slots.
  *
  * @module
  */
@@ -27,48 +28,59 @@
 } from "./types.ts";
 import { createWaitingTeams, type GrantTarget } from "./waiting_teams.ts";
 
-/** How a use of a slot ended. */
+/** How a request that used a slot ended. */
 export interface SlotRequestEnd extends KeptUse {
   readonly result: SlotResult;
 }
 
-/** What an owner needs of the process. */
+/** Dependencies of a slot owner, supplied by the process. */
 export interface SlotOwnerHost {
   nowMs(): number;
   /** The team's fleet-wide counter for the upstream's service. */
   getCounter(team: string): number;
-  /** Whether any request of the team waits for this upstream. */
+  /** Sets whether any request of the team waits for this upstream. */
   setWaiting(team: string, isWaiting: boolean): void;
-  /** Charges a request that begins; gives the cost units charged. */
+  /**
+   * Charges the team for a request that starts; returns the charged cost units.
+   */
   chargeStart(team: string): number;
-  /** Corrects the charge of a request that ended. */
+  /** Replaces the charge of a request that ended by its real cost. */
   chargeEnd(release: Release, charged: number): void;
-  /** Slots that may be in use at once, now. */
+  /** Number of slots that may currently be in use at once. */
   getLimit(): number;
   tryPick: PickPolicy;
   getCrossRegionPenalty(): number;
-  /** Whether the host is of the upstream's region. */
+  /** Whether the host is in the region of the upstream. */
   isSameRegion(entryHost: string): boolean;
-  /** False when there is no link to the host. */
+  /** Returns false when there is no connection to the host. */
   trySendGrant(entryHost: string, grant: Grant): boolean;
   sendRecall(entryHost: string, recall: Recall): void;
-  /** Tell the adaptive limit that a use began, and how it ended. */
+  /** Report the start and the end of a request to the adaptive limit. */
   onRequestStarted(slot: number): void;
   onRequestEnded(end: SlotRequestEnd): void;
 }
 
-/** The owner's side of one upstream's slots. */
+/** Grants the slots of one upstream. */
 export interface SlotOwner {
   receiveRequest(entryHost: string, req: SlotRequest): void;
   receiveRelease(entryHost: string, release: Release): void;
   receiveKeptUses(uses: KeptUses): void;
-  /** Forgets a host that is dead: its wants go, its slots are free. */
+  /**
+   * Removes a dead host: its waiting requests are dropped and its slots are
+   * freed.
+   */
   removeHost(entryHost: string): void;
-  /** Asks a host that came back for what it holds and wants. */
+  /** Asks a host that came back to send its held slots and waiting requests. */
   requestRedeclaration(entryHost: string): void;
-  /** Grants what is free, after the limit rose or an owner took over. */
+  /**
+   * Grants free slots, after the limit has risen or this host has become the
+   * owner.
+   */
   grantFreeSlots(): void;
-  /** Takes back the charges of requests in flight, when ownership moves on. */
+  /**
+   * Refunds the charges of requests in flight, when another host becomes the
+   * owner.
+   */
   refundAll(): void;
   getInUse(): number;
   getWaiting(): number;
@@ -82,7 +94,7 @@
 /** Requests of one team that wait at one host. */
 interface TeamRequests {
   readonly count: number;
-  /** When the oldest began to wait, in ms. */
+  /** When the oldest request began to wait, in monotonic milliseconds. */
   readonly sinceMs: number;
 }
 
@@ -95,8 +107,8 @@
 const NO_REQUESTS: TeamRequests = { count: 0, sinceMs: 0 };
 
 /**
- * Makes the owner's state for the upstream; no slot is in use. Slots are
- * numbered from the first given, so that successive owners use other numbers.
+ * Creates the owner of the upstream's slots, with no slot in use. Slot numbers
+ * start at `firstSlot`, so that successive owners use different numbers.
  */
 export function createSlotOwner(
   upstream: string,
@@ -143,8 +155,9 @@
   }
 
   /**
-   * Takes one off by a grant. The next request came later; until the host tells
-   * its age, the waiting ones are taken as evenly spread up to now.
+   * Deducts the granted request. The age of the next request is unknown until
+   * the host reports it, so the waiting requests are assumed to have arrived
+   * evenly between the oldest arrival and now.
    */
   function deductGrant(target: GrantTarget): void {
     const { count, sinceMs } = getState(target.entryHost).wants.get(
@@ -154,7 +167,7 @@
     setWant(target, { count: count - 1, sinceMs: sinceMs + gapMs });
   }
 
-  /** Tells the limit that nothing of this slot is in flight any more. */
+  /** Reports to the adaptive limit that no request uses this slot any more. */
   function reportUnused(slot: number): void {
     host.onRequestEnded({
       slot,
@@ -171,7 +184,10 @@
     return false;
   }
 
-  /** Slots known from grants stay charged; others were granted elsewhere. */
+  /**
+   * Slots that this owner granted stay charged; the others were granted by a
+   * previous owner and are not charged.
+   */
   function replaceHeld(
     state: EntryHostState,
     held: readonly HeldSlot[],
@@ -198,7 +214,8 @@
       if (target === undefined) return;
       grant(target);
     }
-    // Hosts may keep too many slots, too, when the limit fell or is zero.
+    // Kept slots are also recalled when the limit has fallen below the slots in
+    // use.
     const exceedsLimit = inUse > host.getLimit();
     if (waiting.getByTeam().size > 0 || exceedsLimit) recallKeptSlots();
   }
@@ -217,8 +234,9 @@
       keep: state.mayKeepSlots,
       free: Math.max(0, host.getLimit() - inUse - 1),
     });
-    // Without a link the slot would idle until the host is found dead. Its
-    // wants go too; it declares them anew once it has dialed again.
+    // Without a connection the slot would stay idle until the host is found
+    // dead. The host's waiting requests are dropped too; the host sends them
+    // again once it has reconnected.
     if (!isSent) {
       clearWants(entryHost);
       return;
@@ -228,7 +246,10 @@
     host.onRequestStarted(slot);
   }
 
-  /** A kept slot may idle at its host while a request waits at another. */
+  /**
+   * Recalls the kept slots, which may be idle while a request waits at another
+   * host.
+   */
   function recallKeptSlots(): void {
     for (const [entryHost, state] of entryHosts) {
       if (!state.mayKeepSlots) continue;
@@ -255,7 +276,7 @@
     receiveRelease(entryHost, release) {
       const state = getState(entryHost);
       const used = state.slots.get(release.slot);
-      // A release may come twice, or from before a reconnect.
+      // A release may arrive twice, or may have been sent before a reconnect.
       if (used === undefined) return;
       state.slots.delete(release.slot);
       inUse--;
@@ -266,7 +287,7 @@
     receiveKeptUses(uses) {
       for (const each of uses.uses) {
         host.onRequestEnded({ ...each, result: "answered" });
-        // A slot given back since then, in the same frame, is in no use.
+        // A slot that the same frame has released is no longer in use.
         if (isHeld(each.slot)) host.onRequestStarted(each.slot);
         else reportUnused(each.slot);
       }
--- a/src/slots/slot_owner_test.ts
+++ b/src/slots/slot_owner_test.ts
@@ -1,5 +1,5 @@
 /**
- * Tests of the owner's grants.
+ * Tests the grants of a slot owner.
  *
  * @module
  */
@@ -40,8 +40,8 @@
 });
 
 test("a dead host's slots are granted again", () => {
-  // A user's request waits although engines idle: the host that held all the
-  // slots died without giving them back, and nobody else may use them.
+  // Guards against slots that are lost with their host: a host that held all
+  // slots died without releasing them, so requests waited at idle engines.
   const { owner, grants } = createOwnerFixture(1);
   want(owner, "entry-1", "alder", 1);
   want(owner, "entry-2", "birch", 1);
@@ -51,7 +51,7 @@
   assert.equal(owner.getInUse(), 1);
 });
 
-test("a release that comes twice frees one slot", () => {
+test("a release that arrives twice frees one slot", () => {
   const { owner, grants } = createOwnerFixture(1);
   want(owner, "entry-1", "alder", 3);
   release(owner, "entry-1", grants[0]!.grant, 1);
@@ -60,9 +60,10 @@
   assert.equal(owner.getInUse(), 1);
 });
 
-test("a grant to a host without a link goes to the next host at once", () => {
-  // A request waits although a slot is free: the owner granted it to a host
-  // whose link had just broken, and would notice when the host is found dead.
+test("a slot is granted to the next host when a host is not connected", () => {
+  // Guards against a slot that stays idle while a request waits: the owner
+  // granted it to a host whose connection had just broken, and would notice
+  // only when the host is found dead.
   const { owner, grants, unreachable } = createOwnerFixture(1);
   unreachable.add("entry-1");
   want(owner, "entry-1", "alder", 1);
@@ -71,7 +72,7 @@
   assert.equal(owner.getInUse(), 1);
 });
 
-test("a host keeps its slot until another waits", () => {
+test("a host keeps its slot until a request waits at another host", () => {
   const { owner, grants, recalls } = createOwnerFixture(1);
   want(owner, "entry-1", "alder", 1);
   assert.equal(grants[0]!.grant.keep, true);
@@ -80,7 +81,7 @@
   assert.deepEqual(recalls.map((each) => each.to), ["entry-1"]);
 });
 
-test("the other region goes first only when it is behind by the penalty", () => {
+test("another region goes first only when behind by the penalty", () => {
   const { owner, grants } = createOwnerFixture(1);
   want(owner, "entry-1", "alder", 9);
   want(owner, "far-1", "birch", 1);
@@ -90,9 +91,9 @@
   assert.equal(grants[2]!.to, "far-1");
 });
 
-test("a host that declares anew replaces what it held and wanted", () => {
-  // Engines idle for good: a host restarted empty, and the owner still counts
-  // the slots that it held before.
+test("a full request replaces a host's held slots and requests", () => {
+  // Guards against engines that stay idle: a host restarted without slots, and
+  // the owner still counted the slots that it had held before.
   const { owner, grants } = createOwnerFixture(2);
   want(owner, "entry-1", "alder", 2);
   owner.receiveRequest("entry-1", {
@@ -104,10 +105,11 @@
   assert.equal(owner.getInUse(), 1);
 });
 
-test("a use told after its slot came back is not in flight", () => {
-  // An engine is silent and taken out. Uses of kept slots are told in batches,
-  // in the same frame as the return of their slots but read after it. They
-  // counted as in flight for good, and each probe let a dozen requests through.
+test("a request reported after its slot was released is not in flight", () => {
+  // Requests on kept slots are reported in batches, in the frame that also
+  // returns their slots but processed after the return. Guards against counting
+  // them as in flight for ever: with an open circuit breaker, each probe then
+  // let a dozen requests through.
   const { owner, grants, inFlight } = createOwnerFixture(4);
   want(owner, "entry-1", "alder", 1);
   const { grant } = grants[0]!;
@@ -117,9 +119,9 @@
   assert.deepEqual([...inFlight], []);
 });
 
-test("what a host lost is not in flight", () => {
-  // A host dies, another restarts and declares that it holds nothing. The limit
-  // went on counting their requests.
+test("requests of a dead or restarted host are not in flight", () => {
+  // One host dies, another restarts and reports that it holds no slots. Guards
+  // against a limit that goes on counting their requests.
   const { owner, inFlight } = createOwnerFixture(4);
   want(owner, "entry-1", "alder", 2);
   want(owner, "entry-2", "birch", 2);
--- a/src/slots/slot_requester.ts
+++ b/src/slots/slot_requester.ts
@@ -1,7 +1,7 @@
 /**
- * Asks the owners of one service's upstreams on behalf of the teams that wait
- * here. Work is done only for teams of which something changed, or whose wait
- * makes more owners worth asking.
+ * Requests slots from the owners of one service's upstreams for the teams with
+ * waiting requests at this host. Only teams are processed whose state has
+ * changed, or whose selection of upstreams is due for renewal.
  *
  * @module
  */
@@ -15,7 +15,7 @@
 import type { Want } from "./types.ts";
 import type { ReportedWants } from "./reported_wants.ts";
 
-/** What asking needs of the slot client. */
+/** Dependencies of a slot requester, supplied by the slot client. */
 export interface SlotRequesterHost {
   readonly queues: Pick<
     TeamQueues<never>,
@@ -27,13 +27,19 @@
   sendWants(upstream: string, wants: readonly Want[]): void;
 }
 
-/** The asking of one service. */
+/** Requests slots for one service. */
 export interface SlotRequester {
-  /** The number of the team's waiting requests, or what owners know, changed. */
+  /**
+   * Marks a team whose number of waiting requests, as counted here or as known
+   * to owners, has changed.
+   */
   markChanged(team: string): void;
-  /** Sends the wants that changed. */
+  /** Sends the changed numbers of waiting requests to the owners. */
   flush(): void;
-  /** All that waits here for the upstream, taken as told. */
+  /**
+   * Returns the waiting requests of all teams that have selected the upstream,
+   * and records them as reported.
+   */
   declare(upstream: string): readonly Want[];
 }
 
@@ -42,7 +48,7 @@
   readonly dueMs: number;
 }
 
-/** Makes the asking of a service for which nothing waits. */
+/** Creates a requester of a service without waiting requests. */
 export function createSlotRequester(host: SlotRequesterHost): SlotRequester {
   const teams = new Map<string, TeamSelection>();
   const changed = new Set<string>();
@@ -57,7 +63,9 @@
     };
   }
 
-  /** Decides anew whom to ask for the team; gives those no longer asked. */
+  /**
+   * Renews the team's selection of upstreams; returns those no longer selected.
+   */
   function reselect(want: Want, candidates: Candidates): readonly string[] {
     const { team, ageMs } = want;
     const previous = teams.get(team)?.upstreams ?? new Set<string>();
--- a/src/slots/types.ts
+++ b/src/slots/types.ts
@@ -1,18 +1,20 @@
 /**
- * What entry hosts and slot owners say to each other about one upstream. A slot
- * is the right to have one request in flight there.
+ * Messages between entry hosts and the slot owner of an upstream. A slot is the
+ * right to have one request in flight at that upstream.
  *
  * @module
  */
 
-/** How the use of a slot ended. */
+/**
+ * Result of the request that used a slot; "unused" when no request was sent.
+ */
 export type SlotResult = "answered" | "failed" | "unused";
 
-/** How many requests of a team wait at the sending host. */
+/** The requests of one team that wait for a slot at the sending host. */
 export interface Want {
   readonly team: string;
   readonly waiting: number;
-  /** How long the oldest of them has waited, in milliseconds. */
+  /** How long the oldest of these requests has waited, in milliseconds. */
   readonly ageMs: number;
 }
 
@@ -22,57 +24,73 @@
   readonly team: string;
 }
 
-/** Entry host to owner. */
+/** Entry host to owner: the requests that wait for a slot at the host. */
 export interface SlotRequest {
   readonly upstream: string;
   readonly wants: readonly Want[];
-  /** True: replaces all that the owner knew of this host. */
+  /**
+   * True when the message replaces everything that the owner knew of this host.
+   */
   readonly full: boolean;
-  /** With `full`: the slots that this host holds. */
+  /** The slots that this host holds; only filled in when `full` is true. */
   readonly held: readonly HeldSlot[];
 }
 
-/** Owner to entry host. */
+/** Owner to entry host: the host may use the slot for a request of the team. */
 export interface Grant {
   readonly upstream: string;
   readonly slot: number;
   readonly team: string;
-  /** True while nothing else waits: the host may use the slot again. */
+  /**
+   * True while no other request waits: the host may reuse the slot without
+   * asking.
+   */
   readonly keep: boolean;
-  /** Slots that the owner has left to grant, as a hint. */
+  /** Hint: the number of slots that the owner can still grant. */
   readonly free: number;
 }
 
-/** Owner to entry host: others wait, so return kept slots. */
+/**
+ * Owner to entry host: other requests wait, so the host returns its kept slots.
+ */
 export interface Recall {
   readonly upstream: string;
-  /** True: the owner forgot this host, which should tell it all anew. */
+  /**
+   * True when the owner has lost its state of this host, which then sends all
+   * its waiting requests and held slots again.
+   */
   readonly redeclare: boolean;
 }
 
-/** One use of a kept slot. */
+/** One request that used a kept slot. */
 export interface KeptUse {
   readonly slot: number;
   readonly firstByteMs: number;
-  /** Mean time between two tokens, in ms; 0 for none. */
+  /** Mean time between two tokens, in ms; 0 when there were fewer than two. */
   readonly tokenIntervalMs: number;
 }
 
-/** Entry host to owner: uses of kept slots since the last such message. */
+/**
+ * Entry host to owner: requests that used kept slots since the last message of
+ * this kind.
+ */
 export interface KeptUses {
   readonly upstream: string;
   readonly uses: readonly KeptUse[];
 }
 
-/** Entry host to owner. */
+/** Entry host to owner: a slot is free, with the cost of its request. */
 export interface Release {
   readonly upstream: string;
   readonly slot: number;
   readonly team: string;
-  /** Service used, in cost units. */
+  /** Cost of the request, in cost units. */
   readonly cost: number;
   readonly firstByteMs: number;
-  /** Mean time between two tokens, in ms; 0 or absent for none. */
+  /**
+   * Mean time between two tokens, in ms; 0 or absent when there were fewer than
+   * two.
+   */
   readonly tokenIntervalMs?: number;
   readonly result: SlotResult;
 }
--- a/src/slots/upstream_selection.ts
+++ b/src/slots/upstream_selection.ts
@@ -1,10 +1,12 @@
 /**
- * How many upstreams a host asks for a slot, and for how many slots.
+ * Selects the upstreams of which a host requests a slot, and decides when an
+ * owner needs to be told how many requests wait.
  *
- * Load: a few free slots, or none, on many upstreams. Harm prevented: a request
- * asked of every owner at once is granted by several; all but one of the slots
- * idle for a round trip and each costs two messages. Asked of one only, it waits
- * while another has room.
+ * Load: there are few free slots, or none, on many upstreams. Failure
+ * prevented: a request for which a slot is requested from every owner at once
+ * is granted several; all but one of them stay idle for a round trip, and each
+ * costs two messages. If only one owner is asked, the request waits while
+ * another upstream has a free slot.
  *
  * @module
  */
@@ -12,36 +14,37 @@
 import { decideCrossing } from "../placement/mod.ts";
 import type { Upstream } from "../types.ts";
 
-/** Upstreams that a service's requests may use, the preferred first. */
+/** The upstreams that requests of a service may use, in order of preference. */
 export interface Candidates {
-  /** Of the own region. */
+  /** Upstreams in the region of this host. */
   readonly near: readonly Upstream[];
-  /** Of other regions that can be reached. */
+  /** Upstreams in other regions that are reachable. */
   readonly far: readonly Upstream[];
 }
 
 /**
- * One upstream is asked first, and twice as many after each such wait of the
- * team's oldest request, in ms. Under contention a slot of one upstream comes
- * free about each 160 ms, at today's sizes and at the goal, so nearly all
- * requests are granted before a fifth is asked; each more that is asked costs a
- * want and a withdrawal.
+ * The number of upstreams asked starts at one and doubles each time that the
+ * team's oldest request has waited this long, in ms. Under contention a slot of
+ * one upstream becomes free about every 160 ms, at the current and at the
+ * planned fleet size, so nearly all requests are granted a slot before a fifth
+ * upstream is asked. Each further upstream costs a request message and a
+ * withdrawal.
  */
 export const DOUBLING_INTERVAL_MS = 100;
 
-/** What the choice of upstreams is made from. */
+/** Input of the selection of upstreams. */
 export interface SelectionInput {
-  /** How long the team's oldest request has waited here, in ms. */
+  /** How long the team's oldest request has waited at this host, in ms. */
   readonly ageMs: number;
   readonly candidates: Candidates;
-  /** Upstreams that were asked for the team before. */
+  /** Upstreams that the team's previous selection contains. */
   readonly previous: ReadonlySet<string>;
 }
 
 /**
- * Whom to ask for a team. Each team widens by its own wait, so that the backlog
- * of one doesn't make the others ask every owner. What is asked already stays
- * asked until the team waits no more.
+ * Selects the upstreams to ask for a team. The number grows with the team's own
+ * wait, so that the backlog of one team does not make the others ask every
+ * owner. An upstream stays selected until the team has no waiting requests.
  */
 export function selectUpstreams(input: SelectionInput): ReadonlySet<string> {
   const { ageMs, candidates, previous } = input;
@@ -61,7 +64,10 @@
   return selected;
 }
 
-/** How long the choice for a request of the age holds, in ms. */
+/**
+ * How long a selection is valid when the oldest request has the given age, in
+ * ms.
+ */
 export function getSelectionLifetimeMs(
   ageMs: number,
   hasAllInRegion: boolean,
@@ -75,20 +81,24 @@
   return 2 ** Math.min(MAX_DOUBLINGS, Math.floor(ageMs / DOUBLING_INTERVAL_MS));
 }
 
-/** More upstreams than this are not of one service in one region. */
+/**
+ * Limits the exponent: no service has more than 65,536 upstreams in one region.
+ */
 const MAX_DOUBLINGS = 16;
 
 /**
- * Upstreams that left and waits that grew long enough to cross the regional
- * link are seen so often, in ms.
+ * How often a selection that contains all upstreams of the region is renewed,
+ * in ms. The renewal drops upstreams that have left, and adds those of other
+ * regions once the wait is long enough.
  */
 const RENEWAL_INTERVAL_MS = 100;
 
 /**
- * Whether an owner that believes in so many waiting requests needs to be told
- * of the present number. It is told before the last one is granted, so that the
- * team never seems idle there. Believed too many, the grant is returned, which
- * is rarer than a correction for each request that was served elsewhere.
+ * Whether an owner that knows of `reported` waiting requests needs to be told
+ * the current number. It is told before the last known request is granted, so
+ * that the team never seems to have no waiting requests there. When the owner
+ * knows of too many requests, the surplus grant is returned; this is rarer than
+ * a correction would be for each request that another upstream has served.
  */
 export function needsReport(waiting: number, reported: number): boolean {
   if (waiting === 0) return reported > 0;
--- a/src/slots/waiting_teams.ts
+++ b/src/slots/waiting_teams.ts
@@ -1,24 +1,25 @@
 /**
- * Who waits for an upstream, kept by team, so that a grant looks at each waiting
- * team once and not at each host: with 29 backlogged teams on 390 hosts that is
- * 29 steps instead of 11,310, and then one for each host of the picked team.
+ * The hosts where requests wait for an upstream, indexed by team, so that a
+ * grant looks at each waiting team once and not at each host. With 29
+ * backlogged teams on 390 hosts these are 29 steps instead of 11,310, followed
+ * by one step for each host of the picked team.
  *
  * @module
  */
 
 import { getOrCreate } from "../core/mod.ts";
 
-/** Since when a team waits at each host, in ms; the oldest is next. */
+/** When the team's oldest request began to wait, in ms, by host. */
 export interface WaitingHosts {
-  /** Hosts of the upstream's own region. */
+  /** Hosts in the region of the upstream. */
   readonly sameRegion: ReadonlyMap<string, number>;
   readonly otherRegions: ReadonlyMap<string, number>;
 }
 
-/** What a pick chooses from. */
+/** The waiting hosts of each waiting team. */
 export type WaitingByTeam = ReadonlyMap<string, WaitingHosts>;
 
-/** A host and the team there that gets the next slot. */
+/** A team at an entry host. */
 export interface GrantTarget {
   readonly entryHost: string;
   readonly team: string;
@@ -26,7 +27,7 @@
 
 /** The teams that wait for one upstream, with their hosts. */
 export interface WaitingTeams {
-  /** The pick's oldest request waits since the time given. */
+  /** Sets when the team's oldest request at the host began to wait. */
   set(
     target: GrantTarget,
     options: { isSameRegion: boolean; sinceMs: number },
@@ -41,7 +42,7 @@
   readonly otherRegions: Map<string, number>;
 }
 
-/** Makes an index in which nobody waits. */
+/** Creates an empty index. */
 export function createWaitingTeams(): WaitingTeams {
   const byTeam = new Map<string, Hosts>();
   return {
