--- a/src/fleet/fleet.ts
+++ b/src/fleet/fleet.ts
@@ -160,7 +160,7 @@
   function takeOver(upstream: Upstream, mayHaveOther: boolean): void {
     owned.take(upstream, mayHaveOther);
     for (const entryHost of early.take(upstream.id)) {
-      owned.tryGet(upstream.id)?.requestRedeclaration(entryHost);
+      owned.tryGet(upstream.id)?.requestResync(entryHost);
     }
   }
 
--- a/src/fleet/owned_upstreams.ts
+++ b/src/fleet/owned_upstreams.ts
@@ -229,9 +229,7 @@
       for (const { owner } of owned.values()) owner.removeHost(entryHost);
     },
     askToRedeclare(entryHost) {
-      for (const { owner } of owned.values()) {
-        owner.requestRedeclaration(entryHost);
-      }
+      for (const { owner } of owned.values()) owner.requestResync(entryHost);
     },
     tick() {
       const nowMs = host.clock.monotonicMs();
--- a/src/measure/baselines.ts
+++ b/src/measure/baselines.ts
@@ -92,8 +92,8 @@
 ): GrantTarget | undefined {
   let picked: GrantTarget | undefined;
   let least = Infinity;
-  for (const [team, { sameRegion, otherRegions }] of input.waiting) {
-    for (const entryHost of [...sameRegion.keys(), ...otherRegions.keys()]) {
+  for (const [team, { local, remote }] of input.waiting) {
+    for (const entryHost of [...local.keys(), ...remote.keys()]) {
       const key = getKey({ entryHost, team });
       if (key >= least) continue;
       least = key;
--- a/src/slots/adaptive_limit.ts
+++ b/src/slots/adaptive_limit.ts
@@ -126,9 +126,9 @@
   const tokenIntervals = createLatencyTracker();
   const startedMs = new Map<number, number>();
   let limit = maxSlots;
-  let slowStartThreshold = maxSlots;
+  let doublingLimit = maxSlots;
   let missRate = 0;
-  let targetTokenIntervalMs = TOKEN_INTERVAL_TARGET_MS;
+  let tokenTargetMs = TOKEN_INTERVAL_TARGET_MS;
   let ineffective: IneffectiveDecreases | undefined;
   let lastDecreaseMs = -Infinity;
   let atMinimumSinceMs: number | undefined;
@@ -137,9 +137,7 @@
   const breaker = createCircuitBreaker((state, reason) => {
     // A recovered upstream restarts with the minimum; the limit then increases.
     if (state === "closed") limit = MIN_SLOTS;
-    if (state === "open") {
-      slowStartThreshold = Math.max(slowStartThreshold, limit / 2);
-    }
+    if (state === "open") doublingLimit = Math.max(doublingLimit, limit / 2);
     reportChange(reason);
   });
 
@@ -177,7 +175,7 @@
   }
 
   function missesTarget(use: SlotUse): boolean {
-    return use.tokenIntervalMs > targetTokenIntervalMs;
+    return use.tokenIntervalMs > tokenTargetMs;
   }
 
   function tryGetSlowReason(): string | undefined {
@@ -199,7 +197,7 @@
     if (missRate <= MAX_MISS_RATE) return false;
     const tokenIntervalMs = tokenIntervals.getRecentMs();
     ineffective ??= { count: -1, tokenIntervalMs: 0, limit };
-    const isIneffective = tokenIntervalMs > targetTokenIntervalMs &&
+    const isIneffective = tokenIntervalMs > tokenTargetMs &&
       tokenIntervalMs > ineffective.tokenIntervalMs * INEFFECTIVE_RATIO;
     ineffective = {
       ...ineffective,
@@ -211,7 +209,7 @@
 
   function acceptTokenInterval(): void {
     const slackMs = tokenIntervals.getRecentMs() * TOKEN_INTERVAL_SLACK;
-    targetTokenIntervalMs = Math.max(TOKEN_INTERVAL_TARGET_MS, slackMs);
+    tokenTargetMs = Math.max(TOKEN_INTERVAL_TARGET_MS, slackMs);
     limit = Math.max(limit, ineffective?.limit ?? 0);
     ineffective = undefined;
     missRate = 0;
@@ -223,9 +221,7 @@
   function decrease(nowMs: number, reason: string): void {
     lastDecreaseMs = nowMs;
     missRate = 0;
-    if (limit >= slowStartThreshold) {
-      slowStartThreshold = Math.max(MIN_SLOTS, limit / 2);
-    }
+    if (limit >= doublingLimit) doublingLimit = Math.max(MIN_SLOTS, limit / 2);
     // The decrease starts from the requests in flight: lowering a limit that
     // was never reached would have no effect.
     const inFlight = Math.max(1, startedMs.size + 1);
@@ -241,10 +237,10 @@
     // Only a limit that was nearly reached has shown that the upstream can bear
     // it.
     if (inFlight < limit / 2) return;
-    // Below the slow-start threshold, half of the limit before the last
-    // slowdown, the limit doubles with each round of requests; above the
-    // threshold it grows by one with each round.
-    limit += limit < slowStartThreshold ? 1 : 1 / limit;
+    // Below `doublingLimit`, half of the limit before the last slowdown, the
+    // limit doubles with each round of requests (slow start); above it, the
+    // limit grows by one with each round.
+    limit += limit < doublingLimit ? 1 : 1 / limit;
     limit = clamp(limit, MIN_SLOTS, maxSlots);
     reportChange("Latency is normal");
   }
@@ -253,9 +249,7 @@
     if (atMinimumSinceMs === undefined) return;
     if (nowMs - atMinimumSinceMs < BASELINE_RESET_MS) return;
     firstByteLatency.resetBaseline();
-    if (tokenIntervals.getRecentMs() > targetTokenIntervalMs) {
-      acceptTokenInterval();
-    }
+    if (tokenIntervals.getRecentMs() > tokenTargetMs) acceptTokenInterval();
     atMinimumSinceMs = undefined;
   }
 
@@ -306,9 +300,9 @@
       const wasAtMaximum = limit >= maxSlots;
       maxSlots = value;
       limit = wasAtMaximum ? maxSlots : clamp(limit, MIN_SLOTS, maxSlots);
-      slowStartThreshold = wasAtMaximum
+      doublingLimit = wasAtMaximum
         ? maxSlots
-        : Math.min(slowStartThreshold, maxSlots);
+        : Math.min(doublingLimit, maxSlots);
       reportChange("The configuration changed its maximum");
     },
     tick(nowMs) {
--- a/src/slots/circuit_breaker.ts
+++ b/src/slots/circuit_breaker.ts
@@ -48,7 +48,7 @@
  * only as many failures as it has slots: with a single slot, three would take a
  * stalled upstream three times the time-out of a silent stream.
  */
-const FAILURE_THRESHOLD = 3;
+const FAILURE_LIMIT = 3;
 
 /** Time before the first probe: about the restart time of a plain service. */
 const INITIAL_OPEN_MS = 1_000;
@@ -110,9 +110,7 @@
       switch (state) {
         case "closed":
           failures = result === "failed" ? failures + 1 : 0;
-          if (failures < Math.max(1, Math.min(FAILURE_THRESHOLD, slots))) {
-            return;
-          }
+          if (failures < Math.max(1, Math.min(FAILURE_LIMIT, slots))) return;
           open(nowMs, `${failures} requests failed in a row`);
           return;
         case "open":
--- a/src/slots/pick.ts
+++ b/src/slots/pick.ts
@@ -35,13 +35,13 @@
 ): GrantTarget | undefined {
   let picked: { team: string; hosts: ReadonlyMap<string, number> } | undefined;
   let lowest = Infinity;
-  for (const [team, { sameRegion, otherRegions }] of input.waiting) {
-    const isSameRegion = sameRegion.size > 0;
+  for (const [team, { local, remote }] of input.waiting) {
+    const isSameRegion = local.size > 0;
     const counter = input.getCounter(team) +
       (isSameRegion ? 0 : input.crossRegionPenalty);
     if (counter >= lowest) continue;
     lowest = counter;
-    picked = { team, hosts: isSameRegion ? sameRegion : otherRegions };
+    picked = { team, hosts: isSameRegion ? local : remote };
   }
   if (picked === undefined) return undefined;
   return { team: picked.team, entryHost: getOldest(picked.hosts) };
--- a/src/slots/slot_owner.ts
+++ b/src/slots/slot_owner.ts
@@ -71,7 +71,7 @@
    */
   removeHost(entryHost: string): void;
   /** Asks a host that came back to send its held slots and waiting requests. */
-  requestRedeclaration(entryHost: string): void;
+  requestResync(entryHost: string): void;
   /**
    * Grants free slots, after the limit has risen or this host has become the
    * owner.
@@ -168,7 +168,7 @@
   }
 
   /** Reports to the adaptive limit that no request uses this slot any more. */
-  function reportUnused(slot: number): void {
+  function markUnused(slot: number): void {
     host.onRequestEnded({
       slot,
       firstByteMs: 0,
@@ -193,10 +193,8 @@
     held: readonly HeldSlot[],
   ): void {
     const known = new Map(state.slots);
-    const heldSlots = new Set(held.map((each) => each.slot));
-    for (const slot of known.keys()) {
-      if (!heldSlots.has(slot)) reportUnused(slot);
-    }
+    const heldIds = new Set(held.map((each) => each.slot));
+    for (const slot of known.keys()) if (!heldIds.has(slot)) markUnused(slot);
     state.slots.clear();
     for (const { slot, team } of held) {
       state.slots.set(slot, known.get(slot) ?? { team, charged: 0 });
@@ -289,7 +287,7 @@
         host.onRequestEnded({ ...each, result: "answered" });
         // A slot that the same frame has released is no longer in use.
         if (isHeld(each.slot)) host.onRequestStarted(each.slot);
-        else reportUnused(each.slot);
+        else markUnused(each.slot);
       }
       grantFreeSlots();
     },
@@ -299,10 +297,10 @@
       clearWants(entryHost);
       inUse -= state.slots.size;
       entryHosts.delete(entryHost);
-      for (const slot of state.slots.keys()) reportUnused(slot);
+      for (const slot of state.slots.keys()) markUnused(slot);
       grantFreeSlots();
     },
-    requestRedeclaration(entryHost) {
+    requestResync(entryHost) {
       host.sendRecall(entryHost, { upstream, redeclare: true });
     },
     grantFreeSlots,
--- a/src/slots/waiting_teams.ts
+++ b/src/slots/waiting_teams.ts
@@ -12,8 +12,9 @@
 /** When the team's oldest request began to wait, in ms, by host. */
 export interface WaitingHosts {
   /** Hosts in the region of the upstream. */
-  readonly sameRegion: ReadonlyMap<string, number>;
-  readonly otherRegions: ReadonlyMap<string, number>;
+  readonly local: ReadonlyMap<string, number>;
+  /** Hosts in other regions. */
+  readonly remote: ReadonlyMap<string, number>;
 }
 
 /** The waiting hosts of each waiting team. */
@@ -38,8 +39,8 @@
 }
 
 interface Hosts {
-  readonly sameRegion: Map<string, number>;
-  readonly otherRegions: Map<string, number>;
+  readonly local: Map<string, number>;
+  readonly remote: Map<string, number>;
 }
 
 /** Creates an empty index. */
@@ -48,10 +49,10 @@
   return {
     set({ entryHost, team }, { isSameRegion, sinceMs }) {
       const hosts = getOrCreate(byTeam, team, () => ({
-        sameRegion: new Map<string, number>(),
-        otherRegions: new Map<string, number>(),
+        local: new Map<string, number>(),
+        remote: new Map<string, number>(),
       }));
-      (isSameRegion ? hosts.sameRegion : hosts.otherRegions).set(
+      (isSameRegion ? hosts.local : hosts.remote).set(
         entryHost,
         sinceMs,
       );
@@ -59,11 +60,9 @@
     remove({ entryHost, team }) {
       const hosts = byTeam.get(team);
       if (hosts === undefined) return;
-      hosts.sameRegion.delete(entryHost);
-      hosts.otherRegions.delete(entryHost);
-      if (hosts.sameRegion.size + hosts.otherRegions.size === 0) {
-        byTeam.delete(team);
-      }
+      hosts.local.delete(entryHost);
+      hosts.remote.delete(entryHost);
+      if (hosts.local.size + hosts.remote.size === 0) byTeam.delete(team);
     },
     has: (team) => byTeam.has(team),
     getByTeam: () => byTeam,
