--- a/src/slots/slot_owner.ts
+++ b/src/slots/slot_owner.ts
@@ -1,14 +1,15 @@
 /**
- * Grants the slots of one upstream to the waiting hosts and takes them back.
+ * Grants the slots of one upstream to the hosts where requests wait, and takes
+ * them back.
  *
- * Load: more requests than slots, from hosts that see only their own callers.
- * Harm prevented: hosts together overrun the upstream, or a free slot idles
- * while a request waits at another host.
+ * Load: there are more requests than slots, at hosts that each see only their
+ * own callers. Failure prevented: the hosts together overload the upstream, or
+ * a free slot stays idle while a request waits at another host.
  *
- * Ownership is soft. Two owners for a moment over-admit and nothing worse, so
- * it needs no lease. While nobody waits, a host keeps the slots that it was
- * granted and uses them without a message; as soon as a request waits that
- * finds no free slot, the owner recalls what is kept.
+ * Ownership needs no lease: two owners at the same time can only admit too many
+ * requests for a moment. While no request waits, a host keeps the slots that it
+ * was granted and reuses them without a message. As soon as a waiting request
+ * finds no free slot, the owner recalls the kept slots.
  *
  * @module
  */
@@ -25,133 +26,150 @@
   SlotRequest,
   SlotResult,
 } from "./types.ts";
-import { createWaitingTeams, type Pick } from "./waiting_teams.ts";
+import { createWaitingTeams, type GrantTarget } from "./waiting_teams.ts";
 
-/** How a use of a slot ended. */
-export interface SlotUseEnd extends KeptUse {
+/** How a request that used a slot ended. */
+export interface SlotRequestEnd extends KeptUse {
   readonly result: SlotResult;
 }
 
-/** What an owner needs of the process. */
+/** Dependencies of a slot owner, supplied by the process. */
 export interface SlotOwnerHost {
   nowMs(): number;
   /** The team's fleet-wide counter for the upstream's service. */
   getCounter(team: string): number;
-  /** Whether any request of the team waits for this upstream. */
+  /** Sets whether any request of the team waits for this upstream. */
   setWaiting(team: string, isWaiting: boolean): void;
-  /** Charges a request that begins; gives the cost units charged. */
+  /**
+   * Charges the team for a request that starts; returns the charged cost units.
+   */
   chargeStart(team: string): number;
-  /** Corrects the charge of a request that ended. */
+  /** Replaces the charge of a request that ended by its real cost. */
   chargeEnd(release: Release, charged: number): void;
-  /** Slots that may be in use at once, now. */
+  /** Number of slots that may currently be in use at once. */
   getLimit(): number;
   tryPick: PickPolicy;
-  getFarPenalty(): number;
-  /** Whether the host is of the upstream's region. */
-  isNear(entryHost: string): boolean;
-  /** False when there is no link to the host. */
+  getCrossRegionPenalty(): number;
+  /** Whether the host is in the region of the upstream. */
+  isSameRegion(entryHost: string): boolean;
+  /** Returns false when there is no connection to the host. */
   trySendGrant(entryHost: string, grant: Grant): boolean;
   sendRecall(entryHost: string, recall: Recall): void;
-  /** Tell the adaptive limit that a use began, and how it ended. */
-  onStarted(slot: number): void;
-  onEnded(end: SlotUseEnd): void;
+  /** Report the start and the end of a request to the adaptive limit. */
+  onRequestStarted(slot: number): void;
+  onRequestEnded(end: SlotRequestEnd): void;
 }
 
-/** The owner's side of one upstream's slots. */
+/** Grants the slots of one upstream. */
 export interface SlotOwner {
   receiveRequest(entryHost: string, req: SlotRequest): void;
   receiveRelease(entryHost: string, release: Release): void;
   receiveKeptUses(uses: KeptUses): void;
-  /** Forgets a host that is dead: its wants go, its slots are free. */
-  forgetHost(entryHost: string): void;
-  /** Asks a host that came back for what it holds and wants. */
-  askToRedeclare(entryHost: string): void;
-  /** Grants what is free, after the limit rose or an owner took over. */
-  grantFree(): void;
-  /** Takes back the charges of requests in flight, when ownership moves on. */
+  /**
+   * Removes a dead host: its waiting requests are dropped and its slots are
+   * freed.
+   */
+  removeHost(entryHost: string): void;
+  /** Asks a host that came back to send its held slots and waiting requests. */
+  requestResync(entryHost: string): void;
+  /**
+   * Grants free slots, after the limit has risen or this host has become the
+   * owner.
+   */
+  grantFreeSlots(): void;
+  /**
+   * Refunds the charges of requests in flight, when another host becomes the
+   * owner.
+   */
   refundAll(): void;
   getInUse(): number;
   getWaiting(): number;
 }
 
-interface UsedSlot {
+interface ChargedSlot {
   readonly team: string;
   readonly charged: number;
 }
 
 /** Requests of one team that wait at one host. */
-interface Waiting {
+interface TeamRequests {
   readonly count: number;
-  /** When the oldest began to wait, in ms. */
+  /** When the oldest request began to wait, in monotonic milliseconds. */
   readonly sinceMs: number;
 }
 
-interface Holder {
-  readonly wants: Map<string, Waiting>;
-  readonly slots: Map<number, UsedSlot>;
-  mayKeep: boolean;
+interface EntryHostState {
+  readonly wants: Map<string, TeamRequests>;
+  readonly slots: Map<number, ChargedSlot>;
+  mayKeepSlots: boolean;
 }
 
-const NONE: Waiting = { count: 0, sinceMs: 0 };
+const NO_REQUESTS: TeamRequests = { count: 0, sinceMs: 0 };
 
 /**
- * Makes the owner's state for the upstream; no slot is in use. Slots are
- * numbered from the first given, so that successive owners use other numbers.
+ * Creates the owner of the upstream's slots, with no slot in use. Slot numbers
+ * start at `firstSlot`, so that successive owners use different numbers.
  */
 export function createSlotOwner(
   upstream: string,
   host: SlotOwnerHost,
   firstSlot = 1,
 ): SlotOwner {
-  const holders = new Map<string, Holder>();
+  const entryHosts = new Map<string, EntryHostState>();
   const waiting = createWaitingTeams();
   let inUse = 0;
   let nextSlot = firstSlot;
 
-  function getHolder(entryHost: string): Holder {
-    return getOrCreate(holders, entryHost, () => ({
+  function getState(entryHost: string): EntryHostState {
+    return getOrCreate(entryHosts, entryHost, () => ({
       wants: new Map(),
       slots: new Map(),
-      mayKeep: false,
+      mayKeepSlots: false,
     }));
   }
 
-  function setWant(pick: Pick, want: Waiting): void {
-    const { entryHost, team } = pick;
-    const holder = getHolder(entryHost);
+  function setWant(target: GrantTarget, want: TeamRequests): void {
+    const { entryHost, team } = target;
+    const state = getState(entryHost);
     const wasWaiting = waiting.has(team);
     if (want.count > 0) {
       const { sinceMs } = want;
-      waiting.set(pick, { isNear: host.isNear(entryHost), sinceMs });
-      holder.wants.set(team, want);
+      waiting.set(target, {
+        isSameRegion: host.isSameRegion(entryHost),
+        sinceMs,
+      });
+      state.wants.set(team, want);
     } else {
-      holder.wants.delete(team);
-      waiting.remove(pick);
+      state.wants.delete(team);
+      waiting.remove(target);
     }
     const isWaiting = waiting.has(team);
     if (isWaiting !== wasWaiting) host.setWaiting(team, isWaiting);
   }
 
-  function dropWants(entryHost: string): void {
-    const holder = getHolder(entryHost);
-    for (const team of [...holder.wants.keys()]) {
-      setWant({ entryHost, team }, NONE);
+  function clearWants(entryHost: string): void {
+    const state = getState(entryHost);
+    for (const team of [...state.wants.keys()]) {
+      setWant({ entryHost, team }, NO_REQUESTS);
     }
   }
 
   /**
-   * Takes one off by a grant. The next request came later; until the host tells
-   * its age, the waiting ones are taken as evenly spread up to now.
+   * Deducts the granted request. The age of the next request is unknown until
+   * the host reports it, so the waiting requests are assumed to have arrived
+   * evenly between the oldest arrival and now.
    */
-  function countGrant(pick: Pick): void {
-    const { count, sinceMs } = getHolder(pick.entryHost).wants.get(pick.team)!;
+  function deductGrant(target: GrantTarget): void {
+    const { count, sinceMs } = getState(target.entryHost).wants.get(
+      target.team,
+    )!;
     const gapMs = (host.nowMs() - sinceMs) / count;
-    setWant(pick, { count: count - 1, sinceMs: sinceMs + gapMs });
+    setWant(target, { count: count - 1, sinceMs: sinceMs + gapMs });
   }
 
-  /** Tells the limit that nothing of this slot is in flight any more. */
-  function endUnused(slot: number): void {
-    host.onEnded({
+  /** Reports to the adaptive limit that no request uses this slot any more. */
+  function markUnused(slot: number): void {
+    host.onRequestEnded({
       slot,
       firstByteMs: 0,
       tokenIntervalMs: 0,
@@ -160,69 +178,80 @@
   }
 
   function isHeld(slot: number): boolean {
-    for (const holder of holders.values()) {
-      if (holder.slots.has(slot)) return true;
+    for (const state of entryHosts.values()) {
+      if (state.slots.has(slot)) return true;
     }
     return false;
   }
 
-  /** Slots known from grants stay charged; others were granted elsewhere. */
-  function replaceHeld(holder: Holder, held: readonly HeldSlot[]): void {
-    const known = new Map(holder.slots);
-    const heldSlots = new Set(held.map((each) => each.slot));
-    for (const slot of known.keys()) if (!heldSlots.has(slot)) endUnused(slot);
-    holder.slots.clear();
+  /**
+   * Slots that this owner granted stay charged; the others were granted by a
+   * previous owner and are not charged.
+   */
+  function replaceHeld(
+    state: EntryHostState,
+    held: readonly HeldSlot[],
+  ): void {
+    const known = new Map(state.slots);
+    const heldIds = new Set(held.map((each) => each.slot));
+    for (const slot of known.keys()) if (!heldIds.has(slot)) markUnused(slot);
+    state.slots.clear();
     for (const { slot, team } of held) {
-      holder.slots.set(slot, known.get(slot) ?? { team, charged: 0 });
+      state.slots.set(slot, known.get(slot) ?? { team, charged: 0 });
     }
-    inUse += holder.slots.size - known.size;
+    inUse += state.slots.size - known.size;
   }
 
-  function grantFree(): void {
+  function grantFreeSlots(): void {
     while (inUse < host.getLimit()) {
-      const pick = host.tryPick({
+      const target = host.tryPick({
         waiting: waiting.getByTeam(),
         getCounter: host.getCounter,
-        farPenalty: host.getFarPenalty(),
+        crossRegionPenalty: host.getCrossRegionPenalty(),
       });
-      if (pick === undefined) return;
-      grant(pick);
+      if (target === undefined) return;
+      grant(target);
     }
-    // Hosts may keep too many slots, too, when the limit fell or is zero.
-    const isOver = inUse > host.getLimit();
-    if (waiting.getByTeam().size > 0 || isOver) recallKept();
+    // Kept slots are also recalled when the limit has fallen below the slots in
+    // use.
+    const exceedsLimit = inUse > host.getLimit();
+    if (waiting.getByTeam().size > 0 || exceedsLimit) recallKeptSlots();
   }
 
-  function grant(pick: Pick): void {
-    const { entryHost, team } = pick;
-    const holder = getHolder(entryHost);
-    countGrant(pick);
+  function grant(target: GrantTarget): void {
+    const { entryHost, team } = target;
+    const state = getState(entryHost);
+    deductGrant(target);
     const slot = nextSlot++;
     const othersWait = waiting.getByTeam().size > 0;
-    holder.mayKeep = !othersWait && host.isNear(entryHost);
+    state.mayKeepSlots = !othersWait && host.isSameRegion(entryHost);
     const isSent = host.trySendGrant(entryHost, {
       upstream,
       slot,
       team,
-      keep: holder.mayKeep,
+      keep: state.mayKeepSlots,
       free: Math.max(0, host.getLimit() - inUse - 1),
     });
-    // Without a link the slot would idle until the host is found dead. Its
-    // wants go too; it declares them anew once it has dialed again.
+    // Without a connection the slot would stay idle until the host is found
+    // dead. The host's waiting requests are dropped too; the host sends them
+    // again once it has reconnected.
     if (!isSent) {
-      dropWants(entryHost);
+      clearWants(entryHost);
       return;
     }
-    holder.slots.set(slot, { team, charged: host.chargeStart(team) });
+    state.slots.set(slot, { team, charged: host.chargeStart(team) });
     inUse++;
-    host.onStarted(slot);
+    host.onRequestStarted(slot);
   }
 
-  /** A kept slot may idle at its host while a request waits at another. */
-  function recallKept(): void {
-    for (const [entryHost, holder] of holders) {
-      if (!holder.mayKeep) continue;
-      holder.mayKeep = false;
+  /**
+   * Recalls the kept slots, which may be idle while a request waits at another
+   * host.
+   */
+  function recallKeptSlots(): void {
+    for (const [entryHost, state] of entryHosts) {
+      if (!state.mayKeepSlots) continue;
+      state.mayKeepSlots = false;
       host.sendRecall(entryHost, { upstream, redeclare: false });
     }
   }
@@ -230,55 +259,55 @@
   return {
     receiveRequest(entryHost, req) {
       if (req.full) {
-        replaceHeld(getHolder(entryHost), req.held);
+        replaceHeld(getState(entryHost), req.held);
         const wanted = new Set(req.wants.map((want) => want.team));
-        for (const team of [...getHolder(entryHost).wants.keys()]) {
-          if (!wanted.has(team)) setWant({ entryHost, team }, NONE);
+        for (const team of [...getState(entryHost).wants.keys()]) {
+          if (!wanted.has(team)) setWant({ entryHost, team }, NO_REQUESTS);
         }
       }
       const nowMs = host.nowMs();
       for (const { team, waiting: count, ageMs } of req.wants) {
         setWant({ entryHost, team }, { count, sinceMs: nowMs - ageMs });
       }
-      grantFree();
+      grantFreeSlots();
     },
     receiveRelease(entryHost, release) {
-      const holder = getHolder(entryHost);
-      const used = holder.slots.get(release.slot);
-      // A release may come twice, or from before a reconnect.
+      const state = getState(entryHost);
+      const used = state.slots.get(release.slot);
+      // A release may arrive twice, or may have been sent before a reconnect.
       if (used === undefined) return;
-      holder.slots.delete(release.slot);
+      state.slots.delete(release.slot);
       inUse--;
       host.chargeEnd(release, used.charged);
-      host.onEnded({ tokenIntervalMs: 0, ...release });
-      grantFree();
+      host.onRequestEnded({ tokenIntervalMs: 0, ...release });
+      grantFreeSlots();
     },
     receiveKeptUses(uses) {
       for (const each of uses.uses) {
-        host.onEnded({ ...each, result: "answered" });
-        // A slot given back since then, in the same frame, is in no use.
-        if (isHeld(each.slot)) host.onStarted(each.slot);
-        else endUnused(each.slot);
+        host.onRequestEnded({ ...each, result: "answered" });
+        // A slot that the same frame has released is no longer in use.
+        if (isHeld(each.slot)) host.onRequestStarted(each.slot);
+        else markUnused(each.slot);
       }
-      grantFree();
+      grantFreeSlots();
     },
-    forgetHost(entryHost) {
-      const holder = holders.get(entryHost);
-      if (holder === undefined) return;
-      dropWants(entryHost);
-      inUse -= holder.slots.size;
-      holders.delete(entryHost);
-      for (const slot of holder.slots.keys()) endUnused(slot);
-      grantFree();
+    removeHost(entryHost) {
+      const state = entryHosts.get(entryHost);
+      if (state === undefined) return;
+      clearWants(entryHost);
+      inUse -= state.slots.size;
+      entryHosts.delete(entryHost);
+      for (const slot of state.slots.keys()) markUnused(slot);
+      grantFreeSlots();
     },
-    askToRedeclare(entryHost) {
+    requestResync(entryHost) {
       host.sendRecall(entryHost, { upstream, redeclare: true });
     },
-    grantFree,
+    grantFreeSlots,
     refundAll() {
-      for (const [entryHost, holder] of holders) {
-        dropWants(entryHost);
-        for (const [slot, { team, charged }] of holder.slots) {
+      for (const [entryHost, state] of entryHosts) {
+        clearWants(entryHost);
+        for (const [slot, { team, charged }] of state.slots) {
           const unused = { cost: 0, firstByteMs: 0, result: "unused" as const };
           host.chargeEnd({ upstream, slot, team, ...unused }, charged);
         }
@@ -287,8 +316,8 @@
     getInUse: () => inUse,
     getWaiting() {
       let count = 0;
-      for (const holder of holders.values()) {
-        for (const want of holder.wants.values()) count += want.count;
+      for (const state of entryHosts.values()) {
+        for (const want of state.wants.values()) count += want.count;
       }
       return count;
     },
