--- a/src/admission/admission.ts
+++ b/src/admission/admission.ts
@@ -32,9 +32,9 @@
   /** Expected time until a slot, in ms. */
   readonly expectedWaitMs: number;
   /** Least time from a slot to the first byte that was seen of late, in ms. */
-  readonly leastServiceMs: number;
+  readonly minFirstByteMs: number;
   /** Time from a slot to the end within which nine in ten runs keep, in ms. */
-  readonly longServiceMs: number;
+  readonly p90RunMs: number;
   /** Time that the caller gives, in ms. */
   readonly remainingMs: number;
   /** From 0 up to 1; spreads the callers that are told to come back. */
@@ -105,7 +105,11 @@
  * nothing is lost by trying.
  */
 function getNeededMs(input: AdmissionInput): number {
-  const { expectedWaitMs, leastServiceMs, longServiceMs } = input;
+  const {
+    expectedWaitMs,
+    minFirstByteMs: leastServiceMs,
+    p90RunMs: longServiceMs,
+  } = input;
   if (expectedWaitMs === 0) return leastServiceMs;
   return expectedWaitMs * ADMISSION_MARGIN + longServiceMs;
 }
@@ -155,14 +159,14 @@
  * lost while thousands wait. Harm prevented: they wait to their deadlines for
  * nothing, and their callers learn too late to go elsewhere.
  */
-export function isHopeless(
+export function isDeadlineUnreachable(
   input: {
     readonly expectedWaitMs: number;
-    readonly leastServiceMs: number;
+    readonly minFirstByteMs: number;
     readonly remainingMs: number;
   },
 ): boolean {
-  const { expectedWaitMs, leastServiceMs, remainingMs } = input;
+  const { expectedWaitMs, minFirstByteMs: leastServiceMs, remainingMs } = input;
   if (leastServiceMs > remainingMs) return true;
   return expectedWaitMs > GIVE_UP_MARGIN * remainingMs;
 }
--- a/src/admission/backlog.ts
+++ b/src/admission/backlog.ts
@@ -12,7 +12,7 @@
   type Admission,
   decideAdmission,
   getRetryAfterMs,
-  isHopeless,
+  isDeadlineUnreachable,
   type QueueUse,
 } from "./admission.ts";
 import { createRunTimes, type RunTime, type RunTimes } from "./run_times.ts";
@@ -123,13 +123,17 @@
 
   function sweepLine(line: Line): void {
     const nowMs = host.clock.monotonicMs();
-    const leastServiceMs = getRunTimes(line.service).getLeastFirstByteMs();
+    const minFirstByteMs = getRunTimes(line.service).getMinFirstByteMs();
     let ahead = 0;
     for (const { req, giveUp } of [...line.waiting.values()]) {
       const expectedWaitMs = line.pace.getWaitMs(ahead, nowMs);
       const remainingMs = req.deadlineMs - nowMs;
       if (
-        isHopeless({ expectedWaitMs, leastServiceMs, remainingMs })
+        isDeadlineUnreachable({
+          expectedWaitMs,
+          minFirstByteMs: minFirstByteMs,
+          remainingMs,
+        })
       ) {
         leave(req, "gave-up");
         giveUp(getRetryAfterMs(expectedWaitMs, host.random()));
@@ -165,8 +169,8 @@
         hostUse,
         bodyBytes,
         expectedWaitMs: getWaitMs(line, teamQueued),
-        leastServiceMs: getRunTimes(req.service).getLeastFirstByteMs(),
-        longServiceMs: getRunTimes(req.service).getLongMs(),
+        minFirstByteMs: getRunTimes(req.service).getMinFirstByteMs(),
+        p90RunMs: getRunTimes(req.service).getP90RunMs(),
         remainingMs: req.deadlineMs - host.clock.monotonicMs(),
         random: host.random(),
       });
--- a/src/admission/run_times.ts
+++ b/src/admission/run_times.ts
@@ -20,39 +20,39 @@
 export interface RunTimes {
   observe(run: RunTime): void;
   /** Least time to the first byte of late, in ms; no run is quicker. */
-  getLeastFirstByteMs(): number;
+  getMinFirstByteMs(): number;
   /** Nine in ten runs take no longer, in ms; 0 while unknown. */
-  getLongMs(): number;
+  getP90RunMs(): number;
 }
 
 /** The least first-byte time rises by this for each run that is slower. */
-const LEAST_DRIFT = 1.01;
+const MIN_RISE_FACTOR = 1.01;
 
 /** Weight of the newest run: about the last hundred count. */
-const NEWEST_WEIGHT = 0.01;
+const EWMA_WEIGHT = 0.01;
 
 /** Standard deviations above the mean under which nine in ten values lie. */
-const NINE_IN_TEN = 1.28;
+const P90_Z_SCORE = 1.28;
 
 /** Makes run times that know nothing. */
 export function createRunTimes(): RunTimes {
-  let leastMs = Infinity;
+  let minMs = Infinity;
   let runs = 0;
   // Of the logarithm: run times differ by factors.
-  let mean = 0;
-  let variance = 0;
+  let logMean = 0;
+  let logVariance = 0;
 
   return {
     observe({ firstByteMs, runMs }) {
-      leastMs = Math.min(leastMs * LEAST_DRIFT, firstByteMs);
+      minMs = Math.min(minMs * MIN_RISE_FACTOR, firstByteMs);
       runs++;
-      const weight = Math.max(NEWEST_WEIGHT, 1 / runs);
-      const difference = Math.log(Math.max(1, runMs)) - mean;
-      mean += weight * difference;
-      variance = (1 - weight) * (variance + weight * difference ** 2);
+      const weight = Math.max(EWMA_WEIGHT, 1 / runs);
+      const difference = Math.log(Math.max(1, runMs)) - logMean;
+      logMean += weight * difference;
+      logVariance = (1 - weight) * (logVariance + weight * difference ** 2);
     },
-    getLeastFirstByteMs: () => runs === 0 ? 0 : leastMs,
-    getLongMs: () =>
-      runs === 0 ? 0 : Math.exp(mean + NINE_IN_TEN * Math.sqrt(variance)),
+    getMinFirstByteMs: () => runs === 0 ? 0 : minMs,
+    getP90RunMs: () =>
+      runs === 0 ? 0 : Math.exp(logMean + P90_Z_SCORE * Math.sqrt(logVariance)),
   };
 }
