--- a/src/admission/backlog.ts
+++ b/src/admission/backlog.ts
@@ -16,7 +16,7 @@
   type QueueUse,
 } from "./admission.ts";
 import { createRunTimes, type RunTime, type RunTimes } from "./run_times.ts";
-import { createPace, type Pace } from "./wait_estimate.ts";
+import { createWaitEstimator, type WaitEstimator } from "./wait_estimate.ts";
 
 /** What the backlog needs of the process. */
 export interface BacklogHost {
@@ -73,7 +73,7 @@
   readonly team: string;
   readonly service: string;
   readonly waiting: Map<AdmittedRequest, Waiting>;
-  readonly pace: Pace;
+  readonly waitEstimator: WaitEstimator;
 }
 
 interface MutableUse {
@@ -103,7 +103,7 @@
       team,
       service,
       waiting: new Map(),
-      pace: createPace(),
+      waitEstimator: createWaitEstimator(),
     }));
   }
 
@@ -118,7 +118,7 @@
 
   /** Time until a slot for a request behind so many others of its line. */
   function getWaitMs(line: Line | undefined, ahead: number): number {
-    return line?.pace.getWaitMs(ahead, host.clock.monotonicMs()) ?? 0;
+    return line?.waitEstimator.getWaitMs(ahead, host.clock.monotonicMs()) ?? 0;
   }
 
   function sweepLine(line: Line): void {
@@ -126,7 +126,7 @@
     const minFirstByteMs = getRunTimes(line.service).getMinFirstByteMs();
     let ahead = 0;
     for (const { req, giveUp } of [...line.waiting.values()]) {
-      const expectedWaitMs = line.pace.getWaitMs(ahead, nowMs);
+      const expectedWaitMs = line.waitEstimator.getWaitMs(ahead, nowMs);
       const remainingMs = req.deadlineMs - nowMs;
       if (
         isDeadlineUnreachable({
@@ -149,7 +149,7 @@
     if (line === undefined || waiting === undefined) return;
     line.waiting.delete(req);
     const nowMs = host.clock.monotonicMs();
-    line.pace.leave(how, nowMs - waiting.sinceMs, nowMs);
+    line.waitEstimator.recordDequeued(how, nowMs - waiting.sinceMs, nowMs);
     addUse(req.team, -1, -waiting.bytes);
   }
 
@@ -179,7 +179,7 @@
       const line = getLine(req.team, req.service);
       const sinceMs = host.clock.monotonicMs();
       line.waiting.set(req, { req, bytes, sinceMs, giveUp });
-      line.pace.enter(sinceMs);
+      line.waitEstimator.recordEnqueued(sinceMs);
       addUse(req.team, 1, bytes);
     },
     leave,
--- a/src/admission/wait_estimate.ts
+++ b/src/admission/wait_estimate.ts
@@ -16,55 +16,59 @@
  * Past starts fade over so long. A team starts about one request a second at a
  * host; a mean of five gaps would err by half, one of twenty errs by a quarter.
  */
-const MEMORY_MS = 20_000;
+const DECAY_TIME_MS = 20_000;
 
 /**
  * A start sooner than this found a free slot: longer than a grant takes between
  * two data centres of a region (two round trips of 3 ms), shorter than any wait
  * that a caller would notice.
  */
-const NO_QUEUE_MS = 50;
+const FREE_SLOT_WAIT_MS = 50;
 
 /** The pace at which one team's requests start. */
-export interface Pace {
+export interface WaitEstimator {
   /** A request begins to wait. */
-  enter(nowMs: number): void;
+  recordEnqueued(nowMs: number): void;
   /** A request leaves the queue, after so long, with a slot or without. */
-  leave(how: "started" | "gave-up", waitedMs: number, nowMs: number): void;
+  recordDequeued(
+    exit: "started" | "gave-up",
+    waitedMs: number,
+    nowMs: number,
+  ): void;
   /** Milliseconds until a slot for a request behind so many others. */
   getWaitMs(ahead: number, nowMs: number): number;
 }
 
 /** Makes a pace that knows nothing and expects no wait. */
-export function createPace(): Pace {
+export function createWaitEstimator(): WaitEstimator {
   let waiting = 0;
-  let atMs = 0;
+  let updatedMs = 0;
   // Both fade alike, so that their quotient is the mean gap of late.
   let starts = 0;
   let backloggedMs = 0;
-  let quietSinceMs = 0;
+  let noStartSinceMs = 0;
 
   function advance(nowMs: number): void {
-    const left = Math.exp(-(nowMs - atMs) / MEMORY_MS);
-    starts *= left;
-    backloggedMs *= left;
+    const decay = Math.exp(-(nowMs - updatedMs) / DECAY_TIME_MS);
+    starts *= decay;
+    backloggedMs *= decay;
     // Only time with a backlog says anything about the fleet.
-    if (waiting > 0) backloggedMs += MEMORY_MS * (1 - left);
-    atMs = nowMs;
+    if (waiting > 0) backloggedMs += DECAY_TIME_MS * (1 - decay);
+    updatedMs = nowMs;
   }
 
   return {
-    enter(nowMs) {
+    recordEnqueued(nowMs) {
       advance(nowMs);
-      if (waiting === 0) quietSinceMs = nowMs;
+      if (waiting === 0) noStartSinceMs = nowMs;
       waiting++;
     },
-    leave(how, waitedMs, nowMs) {
+    recordDequeued(exit, waitedMs, nowMs) {
       advance(nowMs);
       waiting--;
-      if (how === "gave-up") return;
-      quietSinceMs = nowMs;
-      if (waitedMs < NO_QUEUE_MS) {
+      if (exit === "gave-up") return;
+      noStartSinceMs = nowMs;
+      if (waitedMs < FREE_SLOT_WAIT_MS) {
         // The queue is first in, first out: this start shows that all before it
         // are gone and a slot was free, so what was learned before is void.
         starts = 0;
@@ -77,9 +81,12 @@
       if (waiting === 0) return 0;
       advance(nowMs);
       // While nothing starts, the silence itself is the best guess of the gap.
-      const silenceMs = nowMs - quietSinceMs;
+      const sinceStartMs = nowMs - noStartSinceMs;
       const gapMs = starts > 0 ? backloggedMs / starts : 0;
-      return Math.max(gapMs * ahead, silenceMs < NO_QUEUE_MS ? 0 : silenceMs);
+      return Math.max(
+        gapMs * ahead,
+        sinceStartMs < FREE_SLOT_WAIT_MS ? 0 : sinceStartMs,
+      );
     },
   };
 }
