--- a/src/admission/admission_test.ts
+++ b/src/admission/admission_test.ts
@@ -41,7 +41,7 @@
     const req = createRequest(team, timeoutMs);
     const decision = decide(req, bodyBytes);
     if (decision.kind === "admitted") {
-      backlog.enter(req, bodyBytes, () => givenUp.push(req));
+      backlog.enqueue(req, bodyBytes, () => givenUp.push(req));
     }
     return { req, decision };
   }
@@ -88,7 +88,7 @@
     const waiting = [1, 2, 3, 4].map(() => arrive("alder").req);
     for (const req of waiting) {
       clock.advance(100);
-      backlog.leave(req, "started");
+      backlog.dequeue(req, "started");
     }
     clock.advance(600_000);
   }
@@ -109,7 +109,7 @@
       for (let round = 0; round < rounds; round++) {
         clock.advance(gapMs * burst);
         for (let each = 0; each < burst; each++) {
-          backlog.leave(waiting.shift()!, "started");
+          backlog.dequeue(waiting.shift()!, "started");
           waiting.push(arrive("alder", 100, 1e9).req);
         }
       }
@@ -133,7 +133,7 @@
   const late = arrive("alder", 100, 30_000).req;
   const patient = arrive("alder", 100, 600_000).req;
   clock.advance(200);
-  backlog.leave(served, "started");
+  backlog.dequeue(served, "started");
   let atMs = 0;
   for (; givenUp.length === 0 && atMs < 30_000; atMs += 200) {
     clock.advance(200);
@@ -142,7 +142,7 @@
   assert.deepEqual(givenUp, [late]);
   assert.ok(atMs <= 20_000, `given up after ${atMs} ms`);
   assert.equal(backlog.getUse().requests, 1);
-  backlog.leave(patient, "gave-up");
+  backlog.dequeue(patient, "gave-up");
   assert.deepEqual(backlog.getUse(), { requests: 0, bytes: 0 });
 });
 
@@ -151,7 +151,7 @@
   const waiting = Array.from({ length: 30 }, () => arrive("alder").req);
   for (let each = 0; each < 10; each++) {
     clock.advance(500);
-    backlog.leave(waiting.shift()!, "started");
+    backlog.dequeue(waiting.shift()!, "started");
   }
   const refused = decide(createRequest("alder"), 100, 20);
   assert.equal(refused.kind, "refused");
--- a/src/admission/backlog.ts
+++ b/src/admission/backlog.ts
@@ -26,7 +26,7 @@
 }
 
 /** A request that asks to come in. */
-export interface Entrant {
+export interface AdmissionRequest {
   readonly req: AdmittedRequest;
   readonly bodyBytes: number;
   /** The team's limit for one service at one host. */
@@ -35,22 +35,22 @@
 }
 
 /** How a request left the queue. */
-export type Leaving = "started" | "gave-up";
+export type QueueExit = "started" | "gave-up";
 
 /** The waiting requests of one host. */
 export interface Backlog {
   /** Decides on a request; changes nothing. */
-  decide(entrant: Entrant): Admission;
+  decide(request: AdmissionRequest): Admission;
   /** The request waits; `giveUp` is called when its deadline is out of reach. */
-  enter(
+  enqueue(
     req: AdmittedRequest,
     bodyBytes: number,
     giveUp: (retryAfterMs: number) => void,
   ): void;
   /** The request waits no more; later calls do nothing. */
-  leave(req: AdmittedRequest, how: Leaving): void;
+  dequeue(req: AdmittedRequest, exit: QueueExit): void;
   /** A run of the service was answered. */
-  observeRun(service: string, run: RunTime): void;
+  recordRun(service: string, run: RunTime): void;
   /** Gives up each request whose deadline can't be met any more. */
   sweep(): void;
   getUse(): QueueUse;
@@ -61,7 +61,7 @@
   getRetryAfterMs(team: string, service: string): number;
 }
 
-interface Waiting {
+interface WaitingRequest {
   readonly req: AdmittedRequest;
   readonly bytes: number;
   readonly sinceMs: number;
@@ -69,10 +69,10 @@
 }
 
 /** One team's requests for one service, oldest first. */
-interface Line {
+interface RequestQueue {
   readonly team: string;
   readonly service: string;
-  readonly waiting: Map<AdmittedRequest, Waiting>;
+  readonly waiting: Map<AdmittedRequest, WaitingRequest>;
   readonly waitEstimator: WaitEstimator;
 }
 
@@ -85,7 +85,7 @@
 
 /** Makes an empty backlog. */
 export function createBacklog(host: BacklogHost): Backlog {
-  const lines = new Map<string, Line>();
+  const queues = new Map<string, RequestQueue>();
   const teamUses = new Map<string, MutableUse>();
   const hostUse: MutableUse = { requests: 0, bytes: 0 };
   const runTimes = new Map<string, RunTimes>();
@@ -94,12 +94,15 @@
     return getOrCreate(runTimes, service, createRunTimes);
   }
 
-  function tryGetLine(team: string, service: string): Line | undefined {
-    return lines.get(`${service}/${team}`);
+  function tryGetQueue(
+    team: string,
+    service: string,
+  ): RequestQueue | undefined {
+    return queues.get(`${service}/${team}`);
   }
 
-  function getLine(team: string, service: string): Line {
-    return getOrCreate(lines, `${service}/${team}`, () => ({
+  function getQueue(team: string, service: string): RequestQueue {
+    return getOrCreate(queues, `${service}/${team}`, () => ({
       team,
       service,
       waiting: new Map(),
@@ -117,16 +120,16 @@
   }
 
   /** Time until a slot for a request behind so many others of its line. */
-  function getWaitMs(line: Line | undefined, ahead: number): number {
-    return line?.waitEstimator.getWaitMs(ahead, host.clock.monotonicMs()) ?? 0;
+  function getWaitMs(queue: RequestQueue | undefined, ahead: number): number {
+    return queue?.waitEstimator.getWaitMs(ahead, host.clock.monotonicMs()) ?? 0;
   }
 
-  function sweepLine(line: Line): void {
+  function sweepQueue(queue: RequestQueue): void {
     const nowMs = host.clock.monotonicMs();
-    const minFirstByteMs = getRunTimes(line.service).getMinFirstByteMs();
+    const minFirstByteMs = getRunTimes(queue.service).getMinFirstByteMs();
     let ahead = 0;
-    for (const { req, giveUp } of [...line.waiting.values()]) {
-      const expectedWaitMs = line.waitEstimator.getWaitMs(ahead, nowMs);
+    for (const { req, giveUp } of [...queue.waiting.values()]) {
+      const expectedWaitMs = queue.waitEstimator.getWaitMs(ahead, nowMs);
       const remainingMs = req.deadlineMs - nowMs;
       if (
         isDeadlineUnreachable({
@@ -135,7 +138,7 @@
           remainingMs,
         })
       ) {
-        leave(req, "gave-up");
+        dequeue(req, "gave-up");
         giveUp(getRetryAfterMs(expectedWaitMs, host.random()));
       } else {
         ahead++;
@@ -143,24 +146,24 @@
     }
   }
 
-  function leave(req: AdmittedRequest, how: Leaving): void {
-    const line = tryGetLine(req.team, req.service);
-    const waiting = line?.waiting.get(req);
-    if (line === undefined || waiting === undefined) return;
-    line.waiting.delete(req);
+  function dequeue(req: AdmittedRequest, exit: QueueExit): void {
+    const queue = tryGetQueue(req.team, req.service);
+    const waiting = queue?.waiting.get(req);
+    if (queue === undefined || waiting === undefined) return;
+    queue.waiting.delete(req);
     const nowMs = host.clock.monotonicMs();
-    line.waitEstimator.recordDequeued(how, nowMs - waiting.sinceMs, nowMs);
+    queue.waitEstimator.recordDequeued(exit, nowMs - waiting.sinceMs, nowMs);
     addUse(req.team, -1, -waiting.bytes);
   }
 
   function getTeamQueued(team: string, service: string): number {
-    return tryGetLine(team, service)?.waiting.size ?? 0;
+    return tryGetQueue(team, service)?.waiting.size ?? 0;
   }
 
   return {
     decide({ req, bodyBytes, maxQueued, isDraining }) {
-      const line = tryGetLine(req.team, req.service);
-      const teamQueued = line?.waiting.size ?? 0;
+      const queue = tryGetQueue(req.team, req.service);
+      const teamQueued = queue?.waiting.size ?? 0;
       return decideAdmission({
         isDraining,
         teamQueued,
@@ -168,36 +171,36 @@
         teamUse: teamUses.get(req.team) ?? NO_USE,
         hostUse,
         bodyBytes,
-        expectedWaitMs: getWaitMs(line, teamQueued),
+        expectedWaitMs: getWaitMs(queue, teamQueued),
         minFirstByteMs: getRunTimes(req.service).getMinFirstByteMs(),
         p90RunMs: getRunTimes(req.service).getP90RunMs(),
         remainingMs: req.deadlineMs - host.clock.monotonicMs(),
         random: host.random(),
       });
     },
-    enter(req, bytes, giveUp) {
-      const line = getLine(req.team, req.service);
+    enqueue(req, bytes, giveUp) {
+      const queue = getQueue(req.team, req.service);
       const sinceMs = host.clock.monotonicMs();
-      line.waiting.set(req, { req, bytes, sinceMs, giveUp });
-      line.waitEstimator.recordEnqueued(sinceMs);
+      queue.waiting.set(req, { req, bytes, sinceMs, giveUp });
+      queue.waitEstimator.recordEnqueued(sinceMs);
       addUse(req.team, 1, bytes);
     },
-    leave,
-    observeRun: (service, run) => getRunTimes(service).observe(run),
+    dequeue: dequeue,
+    recordRun: (service, run) => getRunTimes(service).record(run),
     sweep() {
-      for (const line of lines.values()) {
-        if (line.waiting.size > 0) sweepLine(line);
+      for (const queue of queues.values()) {
+        if (queue.waiting.size > 0) sweepQueue(queue);
       }
     },
     getUse: () => ({ ...hostUse }),
     getTeamQueued,
     getExpectedWaitMs(team, service) {
-      const line = tryGetLine(team, service);
-      return getWaitMs(line, Math.max(0, (line?.waiting.size ?? 0) - 1));
+      const queue = tryGetQueue(team, service);
+      return getWaitMs(queue, Math.max(0, (queue?.waiting.size ?? 0) - 1));
     },
     getRetryAfterMs(team, service) {
-      const line = tryGetLine(team, service);
-      const waitMs = getWaitMs(line, line?.waiting.size ?? 0);
+      const queue = tryGetQueue(team, service);
+      const waitMs = getWaitMs(queue, queue?.waiting.size ?? 0);
       return getRetryAfterMs(waitMs, host.random());
     },
   };
--- a/src/admission/run_times.ts
+++ b/src/admission/run_times.ts
@@ -18,7 +18,7 @@
 
 /** The run times of one service. */
 export interface RunTimes {
-  observe(run: RunTime): void;
+  record(run: RunTime): void;
   /** Least time to the first byte of late, in ms; no run is quicker. */
   getMinFirstByteMs(): number;
   /** Nine in ten runs take no longer, in ms; 0 while unknown. */
@@ -43,7 +43,7 @@
   let logVariance = 0;
 
   return {
-    observe({ firstByteMs, runMs }) {
+    record({ firstByteMs, runMs }) {
       minMs = Math.min(minMs * MIN_RISE_FACTOR, firstByteMs);
       runs++;
       const weight = Math.max(EWMA_WEIGHT, 1 / runs);
--- a/src/measure/admitted_load.ts
+++ b/src/measure/admitted_load.ts
@@ -100,11 +100,11 @@
       service: SERVICE,
       cost: call.cost,
       timeoutMs,
-      onStart: (started) => backlog.leave(started, "started"),
+      onStart: (started) => backlog.dequeue(started, "started"),
       onEnd: (ended) => endRun(call, ended, { deadlineMs, runs }),
     });
     if (req.state !== "waiting") return;
-    backlog.enter(req, bodyBytes, () => {
+    backlog.enqueue(req, bodyBytes, () => {
       call.host.fleet.slots.cancel(req);
       req.state = "cancelled";
       end(call, deadlineMs, "given-up");
@@ -123,10 +123,10 @@
       const runMs = req.endedMs! - req.startedMs!;
       const firstByteMs = Math.min(runMs, 100);
       budget.recordSuccess(call.team, SERVICE);
-      backlog.observeRun(SERVICE, { firstByteMs, runMs });
+      backlog.recordRun(SERVICE, { firstByteMs, runMs });
       end(call, deadlineMs, "answered");
     } else if (req.state === "cancelled") {
-      backlog.leave(req, "gave-up");
+      backlog.dequeue(req, "gave-up");
       end(call, deadlineMs, "timed-out");
     } else if (
       runs < MAX_RUNS && clock.monotonicMs() < deadlineMs &&
--- a/src/requests/use_slot.ts
+++ b/src/requests/use_slot.ts
@@ -82,7 +82,7 @@
   const end = { cost: progress.cost, firstByteMs, tokenIntervalMs, result };
   if (isAnswered && firstByteMs > 0) {
     const runMs = firstByteMs + progress.tokenWaitMs;
-    host.backlog.observeRun(admitted.service, { firstByteMs, runMs });
+    host.backlog.recordRun(admitted.service, { firstByteMs, runMs });
   }
   if (leftover === undefined) {
     slot.release(end);
@@ -140,16 +140,16 @@
         return;
       }
       held.slot = slot;
-      host.backlog.leave(admitted, "started");
+      host.backlog.dequeue(admitted, "started");
       resume(Effect.void);
     };
-    host.backlog.enter(admitted, use.bodyBytes, (retryAfterMs) => {
+    host.backlog.enqueue(admitted, use.bodyBytes, (retryAfterMs) => {
       host.slots.cancel(admitted);
       resume(rejectLate(progress, "deadlineLost", retryAfterMs));
     });
     host.slots.wait(admitted, start);
     return Effect.sync(() => {
-      host.backlog.leave(admitted, "gave-up");
+      host.backlog.dequeue(admitted, "gave-up");
       host.slots.cancel(admitted);
     });
   });
