--- a/src/admission/admission_test.ts
+++ b/src/admission/admission_test.ts
@@ -114,12 +114,12 @@
         }
       }
       const realMs = 40 * gapMs;
-      const patient = decide(createRequest("alder", realMs * 3));
-      const hurried = decide(createRequest("alder", realMs * 1.2));
-      assert.equal(patient.kind, "admitted");
-      assert.equal(hurried.kind, "refused");
-      assert.equal(hurried.reason, "deadline-unreachable");
-      assert.ok(hurried.retryAfterMs <= Math.max(1_000, realMs * 2.5));
+      const longDeadline = decide(createRequest("alder", realMs * 3));
+      const shortDeadline = decide(createRequest("alder", realMs * 1.2));
+      assert.equal(longDeadline.kind, "admitted");
+      assert.equal(shortDeadline.kind, "refused");
+      assert.equal(shortDeadline.reason, "deadline-unreachable");
+      assert.ok(shortDeadline.retryAfterMs <= Math.max(1_000, realMs * 2.5));
     }),
     { numRuns: 50 },
   );
@@ -130,8 +130,8 @@
   // what was clear long before, and their callers came too late elsewhere.
   const { arrive, backlog, clock, givenUp } = createFixture();
   const served = arrive("alder").req;
-  const late = arrive("alder", 100, 30_000).req;
-  const patient = arrive("alder", 100, 600_000).req;
+  const unreachable = arrive("alder", 100, 30_000).req;
+  const longDeadline = arrive("alder", 100, 600_000).req;
   clock.advance(200);
   backlog.dequeue(served, "started");
   let atMs = 0;
@@ -139,10 +139,10 @@
     clock.advance(200);
     backlog.sweep();
   }
-  assert.deepEqual(givenUp, [late]);
+  assert.deepEqual(givenUp, [unreachable]);
   assert.ok(atMs <= 20_000, `given up after ${atMs} ms`);
   assert.equal(backlog.getUse().requests, 1);
-  backlog.dequeue(patient, "gave-up");
+  backlog.dequeue(longDeadline, "gave-up");
   assert.deepEqual(backlog.getUse(), { requests: 0, bytes: 0 });
 });
 
--- a/src/admission/backlog.ts
+++ b/src/admission/backlog.ts
@@ -134,7 +134,7 @@
       if (
         isDeadlineUnreachable({
           expectedWaitMs,
-          minFirstByteMs: minFirstByteMs,
+          minFirstByteMs,
           remainingMs,
         })
       ) {
@@ -185,7 +185,7 @@
       queue.waitEstimator.recordEnqueued(sinceMs);
       addUse(req.team, 1, bytes);
     },
-    dequeue: dequeue,
+    dequeue,
     recordRun: (service, run) => getRunTimes(service).record(run),
     sweep() {
       for (const queue of queues.values()) {
--- a/src/admission/retry_budget.ts
+++ b/src/admission/retry_budget.ts
@@ -16,13 +16,13 @@
 import { type Clock, getOrCreate } from "../core/mod.ts";
 
 /** Retries earned by one success: one retry for ten successes. */
-const EARNED_PER_SUCCESS = 0.1;
+const CREDIT_PER_SUCCESS = 0.1;
 
 /**
  * What was earned fades over so long: a day of successes must not pay for a
  * flood of retries in the minute of the outage.
  */
-const MEMORY_MS = 10_000;
+const CREDIT_DECAY_MS = 10_000;
 
 /**
  * Retries of the host that no success has paid for, so that a team which sends
@@ -42,14 +42,14 @@
 }
 
 interface Budget {
-  saved: number;
-  atMs: number;
+  credit: number;
+  updatedMs: number;
 }
 
 /** Sizes of the budgets. */
 export interface RetryBudgetOptions {
   /** Retries earned by one success. */
-  readonly earnedPerSuccess: number;
+  readonly creditPerSuccess: number;
   /** Retries of this host that no success has paid for. */
   getReserve(): number;
   /** The reserve is full again after so long, in ms. */
@@ -57,7 +57,7 @@
 }
 
 const defaultOptions: RetryBudgetOptions = {
-  earnedPerSuccess: EARNED_PER_SUCCESS,
+  creditPerSuccess: CREDIT_PER_SUCCESS,
   getReserve: () => RESERVE,
   reserveRefillMs: RESERVE * RESERVE_REFILL_MS,
 };
@@ -76,16 +76,16 @@
  * fades only in the window after it, and a host that starts anew has a full
  * reserve again.
  */
-const FLEET_USE = 0.45;
+const FLEET_LIMIT_SHARE = 0.45;
 
 /** The options of one of so many hosts that together keep to the limit. */
-export function getFleetOptions(
+export function getFleetRetryOptions(
   limit: FleetRetryLimit,
   countHosts: () => number,
 ): RetryBudgetOptions {
   return {
-    earnedPerSuccess: limit.share * FLEET_USE,
-    getReserve: () => limit.reserve * FLEET_USE / countHosts(),
+    creditPerSuccess: limit.share * FLEET_LIMIT_SHARE,
+    getReserve: () => limit.reserve * FLEET_LIMIT_SHARE / countHosts(),
     reserveRefillMs: limit.windowMs,
   };
 }
@@ -103,17 +103,21 @@
   function getBudget(team: string, service: string): Budget {
     const nowMs = clock.monotonicMs();
     const key = `${team}/${service}`;
-    const budget = getOrCreate(budgets, key, () => ({ saved: 0, atMs: nowMs }));
-    budget.saved *= Math.exp(-(nowMs - budget.atMs) / MEMORY_MS);
-    budget.atMs = nowMs;
+    const budget = getOrCreate(
+      budgets,
+      key,
+      () => ({ credit: 0, updatedMs: nowMs }),
+    );
+    budget.credit *= Math.exp(-(nowMs - budget.updatedMs) / CREDIT_DECAY_MS);
+    budget.updatedMs = nowMs;
     return budget;
   }
 
   function tryTakeReserve(): boolean {
     const nowMs = clock.monotonicMs();
-    const full = options.getReserve();
-    const grown = (nowMs - reserveAtMs) * full / options.reserveRefillMs;
-    reserve = Math.min(full, reserve + grown);
+    const capacity = options.getReserve();
+    const refilled = (nowMs - reserveAtMs) * capacity / options.reserveRefillMs;
+    reserve = Math.min(capacity, reserve + refilled);
     reserveAtMs = nowMs;
     if (reserve < 1) return false;
     reserve--;
@@ -122,12 +126,12 @@
 
   return {
     recordSuccess(team, service) {
-      getBudget(team, service).saved += options.earnedPerSuccess;
+      getBudget(team, service).credit += options.creditPerSuccess;
     },
     tryTake(team, service) {
       const budget = getBudget(team, service);
-      if (budget.saved < 1) return tryTakeReserve();
-      budget.saved--;
+      if (budget.credit < 1) return tryTakeReserve();
+      budget.credit--;
       return true;
     },
   };
--- a/src/admission/retry_budget_test.ts
+++ b/src/admission/retry_budget_test.ts
@@ -8,7 +8,7 @@
 import { test } from "node:test";
 import fc from "fast-check";
 import { createManualClock } from "../core/mod.ts";
-import { createRetryBudget, getFleetOptions } from "./retry_budget.ts";
+import { createRetryBudget, getFleetRetryOptions } from "./retry_budget.ts";
 
 const step = fc.record({
   team: fc.constantFrom("alder", "birch", "cedar"),
@@ -78,7 +78,7 @@
     const clock = createManualClock(0);
     const budgets = Array.from(
       { length: hosts },
-      () => createRetryBudget(clock, getFleetOptions(limit, () => hosts)),
+      () => createRetryBudget(clock, getFleetRetryOptions(limit, () => hosts)),
     );
     const retriedAtMs: number[] = [];
     for (let request = 0; request < 90 * perSecond; request++) {
--- a/src/entry/entry.ts
+++ b/src/entry/entry.ts
@@ -7,7 +7,7 @@
 
 import * as Effect from "effect/Effect";
 import * as Fiber from "effect/Fiber";
-import { createRetryBudget, getFleetOptions } from "../admission/mod.ts";
+import { createRetryBudget, getFleetRetryOptions } from "../admission/mod.ts";
 import { createWorkingClock, getOrCreate } from "../core/mod.ts";
 import type { Decision } from "../diagnostics/mod.ts";
 import {
@@ -255,7 +255,7 @@
     crashes,
     retryBudget: createRetryBudget(
       clock,
-      getFleetOptions(retries, () => getAlive().length),
+      getFleetRetryOptions(retries, () => getAlive().length),
     ),
     tryGetRoutes: knowledge.tryGetRoutes,
     getDistance,
