--- a/src/queue/shared_capacity_test.ts
+++ b/src/queue/shared_capacity_test.ts
@@ -195,14 +195,14 @@
   // Guards against hosts that each learn a prefill limit from their own answers
   // only. Such limits differ widely, and the host with the highest one takes
   // all of an upstream's capacity, which the hosts share.
-  for (const demand of [1.2, 2]) {
+  for (const demandFactor of [1.2, 2]) {
     const shares = getShares(simulate({
-      demandFactor: demand,
+      demandFactor,
       promptTokens: 2_800,
       teams: [{ hosts: [0] }, { hosts: [1] }],
       lateShares: [0.2, 0],
     }));
-    ok(getRatio(shares) >= 0.8, `${shares} at ${demand}`);
+    ok(getRatio(shares) >= 0.8, `${shares} at ${demandFactor}`);
   }
 });
 
@@ -211,14 +211,14 @@
   // race for each upstream that becomes free. Six hosts win six races of seven,
   // whatever teams they serve.
   for (const promptTokens of [2_800, 8_000, 17_000]) {
-    for (const demand of [2, 4]) {
+    for (const demandFactor of [2, 4]) {
       const shares = getShares(simulate({
-        demandFactor: demand,
+        demandFactor,
         promptTokens,
         teams: [{ hosts: [0] }, { hosts: [1, 2, 3, 4, 5, 6] }],
         lateShares: Array.from({ length: 7 }, () => 0.3),
       }));
-      const what = `${shares} of ${promptTokens} tokens at ${demand}`;
+      const what = `${shares} of ${promptTokens} tokens at ${demandFactor}`;
       ok(getRatio(shares) > 0.5, what);
     }
   }
@@ -229,7 +229,7 @@
   // No team exceeds such a share, so the team with the most hosts takes all real
   // capacity.
   for (const promptTokens of [2_800, 8_000, 17_000]) {
-    for (const statedFactor of [1, 3, 10]) {
+    for (const statedCapacityFactor of [1, 3, 10]) {
       const [steady, overloading] = simulate({
         demandFactor: 3,
         promptTokens,
@@ -238,13 +238,16 @@
           { hosts: [0, 1, 2, 3, 4, 5, 6], weight: 1.7 },
         ],
         lateShares: Array.from({ length: 7 }, () => 0.3),
-        statedCapacityFactor: statedFactor,
+        statedCapacityFactor,
       });
       const due = Math.min(steady!.asked, overloading!.begun) / 2;
       const what = `${steady!.begun} of ${due} due, ${
         overloading!.begun
-      } for the flood`;
-      ok(steady!.begun >= due, `${what}; ${promptTokens}, ${statedFactor}`);
+      } for the overloading team`;
+      ok(
+        steady!.begun >= due,
+        `${what}; ${promptTokens}, ${statedCapacityFactor}`,
+      );
     }
   }
 });
