--- a/src/admission/admission.ts
+++ b/src/admission/admission.ts
@@ -1,43 +1,46 @@
 /**
- * Admits a request or refuses it at once. A refusal is the final answer: the
- * request did not run, and the caller learns when to come back.
+ * Admits a request or refuses it at once. A refusal is final: the request has
+ * not run, and its caller is told when to retry.
  *
- * Load: a flood of one team, and saturation of a service for minutes. Harm
- * prevented: requests that can't be served in time take memory and, once they
- * start, slots from those that can; and a flood that fills the host's memory
- * shuts out the other teams.
+ * Load: one team sends far more than its share, or a service is saturated for
+ * minutes. Harm prevented: requests that can't be served in time take memory
+ * and, once they start, slots from those that can; and a single team that fills
+ * the host's memory shuts out all other teams.
  *
  * @module
  */
 
 import { clamp } from "../core/mod.ts";
 
-/** What waits, in requests and in bytes of their bodies. */
+/** Waiting requests: their number and the bytes of their bodies. */
 export interface QueueUse {
   readonly requests: number;
   readonly bytes: number;
 }
 
-/** What admission decides from. */
+/** Inputs of an admission decision. */
 export interface AdmissionInput {
   readonly isDraining: boolean;
-  /** Requests of the team that wait here for the service. */
+  /** Requests of the team that wait at this host for the service. */
   readonly teamQueued: number;
+  /** The limit on `teamQueued`. */
   readonly maxQueued: number;
-  /** All that waits here of the team, for any service. */
+  /** All waiting requests of the team at this host, for any service. */
   readonly teamUse: QueueUse;
-  /** All that waits here, of every team. */
+  /** All waiting requests at this host, of every team. */
   readonly hostUse: QueueUse;
   readonly bodyBytes: number;
-  /** Expected time until a slot, in ms. */
+  /** Expected wait for a slot, in ms. */
   readonly expectedWaitMs: number;
-  /** Least time from a slot to the first byte that was seen of late, in ms. */
+  /** Least recent time from a slot to the first byte of the answer, in ms. */
   readonly minFirstByteMs: number;
-  /** Time from a slot to the end within which nine in ten runs keep, in ms. */
+  /**
+   * 90th percentile of the time from a slot to the end of the answer, in ms.
+   */
   readonly p90RunMs: number;
-  /** Time that the caller gives, in ms. */
+  /** Time until the caller's deadline, in ms. */
   readonly remainingMs: number;
-  /** From 0 up to 1; spreads the callers that are told to come back. */
+  /** A random number from 0 up to 1; spreads the retries of refused callers. */
   readonly random: number;
 }
 
@@ -48,7 +51,7 @@
   | "host-full"
   | "deadline-unreachable";
 
-/** The decision. */
+/** The decision on a request. */
 export type Admission =
   | { readonly kind: "admitted" }
   | {
@@ -58,29 +61,38 @@
   };
 
 /**
- * Most that may wait at one host over all teams. The hosts are small: 64 MiB of
- * bodies stays well under their memory, and 10,000 waiting requests (each with
- * an open connection) under their file descriptors.
+ * Limit on the waiting requests of one host, over all teams. The hosts are
+ * small: 64 MiB of bodies is well below their memory, and 10,000 waiting
+ * requests, each with an open connection, are below their limit on file
+ * descriptors.
  */
 export const HOST_QUEUE_LIMIT: QueueUse = {
   requests: 10_000,
   bytes: 64 * 1024 * 1024,
 };
 
-/** A refused caller comes back no sooner, so that retries don't add load. */
+/**
+ * Least time after which a refused caller retries, so that retries add no load.
+ */
 const MIN_RETRY_AFTER_MS = 1_000;
 
-/** Nor later: by then the backlog that was seen says nothing any more. */
+/**
+ * Longest time after which a refused caller retries: by then the backlog is
+ * unrelated to the one that caused the refusal.
+ */
 const MAX_RETRY_AFTER_MS = 60_000;
 
-/** Callers that are refused together come back spread over this share more. */
+/**
+ * Retry times are lengthened by a random part of up to this share, so that
+ * callers that were refused together do not retry together.
+ */
 const RETRY_SPREAD = 0.25;
 
-/** Decides for one request. */
+/** Decides whether one request is admitted. */
 export function decideAdmission(input: AdmissionInput): Admission {
   if (input.isDraining) return refuse(input, "draining", 0);
   if (input.teamQueued >= input.maxQueued) {
-    // By then all that waits now has its slot.
+    // After the expected wait all requests that wait now have their slots.
     return refuse(input, "queue-full", input.expectedWaitMs);
   }
   if (!fitsHost(input)) return refuse(input, "host-full", input.expectedWaitMs);
@@ -93,33 +105,32 @@
 }
 
 /**
- * The expected wait must fit so many times: it errs, and a queue that reaches up
- * to the deadline keeps no slot busier than one that is half as long. At 1 the
- * goodput at twice the load is 88% of that at once the load, at 1.5 95%.
+ * Safety factor on the expected wait. The estimate has errors, and a queue as
+ * long as the deadline keeps slots no busier than one of half that length. At
+ * twice the load a factor of 1 gives 88% of the goodput at nominal load, and
+ * 1.5 gives 95%.
  */
 const ADMISSION_MARGIN = 2;
 
 /**
- * Behind a queue a request needs time for its run, too: a slot given to one that
- * ends late is taken from one that would have ended in time. With slots free
+ * Returns the time that a request needs before its deadline, in ms. Behind a
+ * queue this includes the time of its run: a slot given to a request that ends
+ * late is missing for one that would have ended in time. With free slots
  * nothing is lost by trying.
  */
 function getNeededMs(input: AdmissionInput): number {
-  const {
-    expectedWaitMs,
-    minFirstByteMs: leastServiceMs,
-    p90RunMs: longServiceMs,
-  } = input;
-  if (expectedWaitMs === 0) return leastServiceMs;
-  return expectedWaitMs * ADMISSION_MARGIN + longServiceMs;
+  const { expectedWaitMs, minFirstByteMs, p90RunMs } = input;
+  if (expectedWaitMs === 0) return minFirstByteMs;
+  return expectedWaitMs * ADMISSION_MARGIN + p90RunMs;
 }
 
 /**
- * Dynamic threshold: a team may hold as much as is still free. One flooding
- * team gets at most half of the memory, k of them k/(k+1) together, and what
- * stays free is there at once for a team that floods nothing. A fixed share for
- * each team would be too small to use at 290 teams; none at all lets the first
- * to flood shut out the rest.
+ * Whether the host's limits allow one more request of the team. The limit for a
+ * team is dynamic: it may use as much as is still free. A single team that
+ * sends without limit gets at most half of the memory, k such teams get k/(k+1)
+ * together, and the rest is available at once to the other teams. With 290
+ * teams a fixed share for each would be too small to be useful; without any
+ * limit the first team to send too much would shut out the rest.
  */
 function fitsHost(input: AdmissionInput): boolean {
   const { teamUse, hostUse, bodyBytes } = input;
@@ -141,23 +152,27 @@
   };
 }
 
-/** When to come back, from the time that the backlog needs; whole ms. */
+/**
+ * Time after which to retry, in whole ms, from the time that the backlog needs.
+ */
 export function getRetryAfterMs(waitMs: number, random: number): number {
   const spreadMs = waitMs * (1 + RETRY_SPREAD * random);
   return Math.ceil(clamp(spreadMs, MIN_RETRY_AFTER_MS, MAX_RETRY_AFTER_MS));
 }
 
 /**
- * A waiting request is given up only when its expected wait is longer than what
- * is left by this factor: the estimate errs, and a request that was admitted
- * should not leave over a small change of pace.
+ * A waiting request is given up only when its expected wait exceeds the
+ * remaining time by this factor. The estimate has errors, and an admitted
+ * request should not be given up because of a small change in the rate of
+ * starts.
  */
 const GIVE_UP_MARGIN = 1.5;
 
 /**
- * Whether a waiting request can't meet its deadline any more. Load: capacity is
- * lost while thousands wait. Harm prevented: they wait to their deadlines for
- * nothing, and their callers learn too late to go elsewhere.
+ * Whether a waiting request can no longer meet its deadline. Load: capacity is
+ * lost while thousands of requests wait. Harm prevented: they wait in vain
+ * until their deadlines, and their callers learn too late that they should go
+ * elsewhere.
  */
 export function isDeadlineUnreachable(
   input: {
@@ -166,7 +181,7 @@
     readonly remainingMs: number;
   },
 ): boolean {
-  const { expectedWaitMs, minFirstByteMs: leastServiceMs, remainingMs } = input;
-  if (leastServiceMs > remainingMs) return true;
+  const { expectedWaitMs, minFirstByteMs, remainingMs } = input;
+  if (minFirstByteMs > remainingMs) return true;
   return expectedWaitMs > GIVE_UP_MARGIN * remainingMs;
 }
--- a/src/admission/admission_test.ts
+++ b/src/admission/admission_test.ts
@@ -1,5 +1,5 @@
 /**
- * Tests of what is let in, what is refused and when callers come back.
+ * Tests of admissions, refusals and the retry times of refused callers.
  *
  * @module
  */
@@ -36,7 +36,7 @@
     return backlog.decide({ req, bodyBytes, maxQueued, isDraining: false });
   }
 
-  /** Asks to come in and, when admitted, waits. */
+  /** Decides on a new request and enqueues it if it is admitted. */
   function arrive(team: string, bodyBytes = 100, timeoutMs = 60_000) {
     const req = createRequest(team, timeoutMs);
     const decision = decide(req, bodyBytes);
@@ -48,10 +48,10 @@
   return { clock, backlog, createRequest, decide, arrive, givenUp };
 }
 
-test("a flood leaves room for every other team, and memory stays bounded", () => {
-  // One team sends large requests without end while its neighbours send one
-  // now and then. With one limit for the host alone, the flood fills it and the
-  // neighbours are refused although they use nothing.
+test("teams that send without limit leave room for another, and memory is bounded", () => {
+  // Guards against a limit for the whole host only. A team that sends large
+  // requests without end would fill it, and other teams that send rarely would
+  // be refused.
   const body = fc.integer({ min: 1, max: 1_000_000 });
   fc.assert(
     fc.property(
@@ -71,7 +71,7 @@
   );
 });
 
-test("the number that waits is bounded over all teams", () => {
+test("the number of waiting requests is bounded over all teams", () => {
   const { arrive, backlog } = createFixture();
   for (let team = 0; team < 40; team++) {
     for (let each = 0; each < 1_000; each++) arrive(`team-${team}`);
@@ -80,9 +80,9 @@
 });
 
 test("a pause of the callers is not taken for a slow fleet", () => {
-  // A team works off a burst, sends nothing for ten minutes and then sends
-  // again with a short deadline. Its requests were refused at once although
-  // slots were free, since the pause counted as the gap between two starts.
+  // A team's burst is served, the team sends nothing for ten minutes, and then
+  // sends requests with short deadlines. If the pause counted as the gap
+  // between two starts, these would be refused although slots are free.
   const { arrive, backlog, clock } = createFixture();
   for (let burst = 0; burst < 3; burst++) {
     const waiting = [1, 2, 3, 4].map(() => arrive("alder").req);
@@ -96,7 +96,7 @@
   assert.equal(arrive("alder", 100, 2_000).decision.kind, "admitted");
 });
 
-test("the expected wait is near the real one, whatever the size of bursts", () => {
+test("the expected wait is close to the real one for bursts of any size", () => {
   const load = fc.record({
     gapMs: fc.integer({ min: 20, max: 400 }),
     burst: fc.integer({ min: 1, max: 8 }),
@@ -125,9 +125,9 @@
   );
 });
 
-test("a request leaves the queue as soon as its deadline is out of reach", () => {
-  // All slots stall. Requests with 30 s to go waited the whole 30 s to be told
-  // what was clear long before, and their callers came too late elsewhere.
+test("a request is given up as soon as its deadline can't be met", () => {
+  // Guards against requests that wait for their whole 30 s while all slots
+  // stall, so that their callers turn to another service too late.
   const { arrive, backlog, clock, givenUp } = createFixture();
   const served = arrive("alder").req;
   const unreachable = arrive("alder", 100, 30_000).req;
@@ -146,7 +146,7 @@
   assert.deepEqual(backlog.getUse(), { requests: 0, bytes: 0 });
 });
 
-test("a full queue names the time that its backlog needs", () => {
+test("a refusal by a full queue gives the time that its backlog needs", () => {
   const { arrive, backlog, clock, decide, createRequest } = createFixture();
   const waiting = Array.from({ length: 30 }, () => arrive("alder").req);
   for (let each = 0; each < 10; each++) {
--- a/src/admission/backlog.ts
+++ b/src/admission/backlog.ts
@@ -1,7 +1,7 @@
 /**
- * All that waits at this host, over all teams and services: how many requests
- * and bytes, how fast each team's requests start, and which of them can't meet
- * their deadlines any more.
+ * The waiting requests of this host, over all teams and services: their number
+ * and bytes, the rate at which each team's requests start, and which requests
+ * can no longer meet their deadlines.
  *
  * @module
  */
@@ -18,46 +18,51 @@
 import { createRunTimes, type RunTime, type RunTimes } from "./run_times.ts";
 import { createWaitEstimator, type WaitEstimator } from "./wait_estimate.ts";
 
-/** What the backlog needs of the process. */
+/** Dependencies of the backlog, supplied by the process. */
 export interface BacklogHost {
   readonly clock: Clock;
-  /** A number from 0 up to 1. */
+  /** A random number from 0 up to, but not including, 1. */
   random(): number;
 }
 
-/** A request that asks to come in. */
+/** A request on whose admission is decided. */
 export interface AdmissionRequest {
   readonly req: AdmittedRequest;
   readonly bodyBytes: number;
-  /** The team's limit for one service at one host. */
+  /** Limit on the team's waiting requests for one service at one host. */
   readonly maxQueued: number;
   readonly isDraining: boolean;
 }
 
-/** How a request left the queue. */
+/** How a request left the queue: with a slot, or given up. */
 export type QueueExit = "started" | "gave-up";
 
 /** The waiting requests of one host. */
 export interface Backlog {
-  /** Decides on a request; changes nothing. */
+  /** Decides whether a request is admitted, without side effects. */
   decide(request: AdmissionRequest): Admission;
-  /** The request waits; `giveUp` is called when its deadline is out of reach. */
+  /**
+   * Adds a request; `giveUp` is called when its deadline can no longer be met,
+   * with the time after which to retry.
+   */
   enqueue(
     req: AdmittedRequest,
     bodyBytes: number,
     giveUp: (retryAfterMs: number) => void,
   ): void;
-  /** The request waits no more; later calls do nothing. */
+  /** Removes a request; further calls for it have no effect. */
   dequeue(req: AdmittedRequest, exit: QueueExit): void;
-  /** A run of the service was answered. */
+  /** Records the times of a run of the service that was answered. */
   recordRun(service: string, run: RunTime): void;
-  /** Gives up each request whose deadline can't be met any more. */
+  /** Gives up all requests whose deadlines can no longer be met. */
   sweep(): void;
   getUse(): QueueUse;
   getTeamQueued(team: string, service: string): number;
-  /** Expected time until the slot of the team's newest request, in ms. */
+  /** Expected wait of the team's newest request for its slot, in ms. */
   getExpectedWaitMs(team: string, service: string): number;
-  /** When a request of the team should come back, in ms. */
+  /**
+   * Time after which a refused request of the team should be retried, in ms.
+   */
   getRetryAfterMs(team: string, service: string): number;
 }
 
@@ -68,7 +73,7 @@
   readonly giveUp: (retryAfterMs: number) => void;
 }
 
-/** One team's requests for one service, oldest first. */
+/** The waiting requests of one team for one service, the oldest first. */
 interface RequestQueue {
   readonly team: string;
   readonly service: string;
@@ -83,7 +88,7 @@
 
 const NO_USE: QueueUse = { requests: 0, bytes: 0 };
 
-/** Makes an empty backlog. */
+/** Creates an empty backlog. */
 export function createBacklog(host: BacklogHost): Backlog {
   const queues = new Map<string, RequestQueue>();
   const teamUses = new Map<string, MutableUse>();
@@ -119,7 +124,7 @@
     if (use.requests === 0) teamUses.delete(team);
   }
 
-  /** Time until a slot for a request behind so many others of its line. */
+  /** Expected wait for a slot behind the given number of requests, in ms. */
   function getWaitMs(queue: RequestQueue | undefined, ahead: number): number {
     return queue?.waitEstimator.getWaitMs(ahead, host.clock.monotonicMs()) ?? 0;
   }
@@ -132,11 +137,7 @@
       const expectedWaitMs = queue.waitEstimator.getWaitMs(ahead, nowMs);
       const remainingMs = req.deadlineMs - nowMs;
       if (
-        isDeadlineUnreachable({
-          expectedWaitMs,
-          minFirstByteMs,
-          remainingMs,
-        })
+        isDeadlineUnreachable({ expectedWaitMs, minFirstByteMs, remainingMs })
       ) {
         dequeue(req, "gave-up");
         giveUp(getRetryAfterMs(expectedWaitMs, host.random()));
--- a/src/admission/mod.ts
+++ b/src/admission/mod.ts
@@ -1,5 +1,5 @@
 /**
- * Who gets in, and what those who don't are told.
+ * Admission of requests to this host, and limits on retries.
  *
  * @module
  */
--- a/src/admission/retry_budget.ts
+++ b/src/admission/retry_budget.ts
@@ -1,43 +1,47 @@
 /**
- * Limits retries to a share of a team's successes for a service, and a small
- * reserve of the host.
+ * Limits retries to a share of a team's successes for a service, plus a small
+ * reserve of each host.
  *
  * Load: an upstream or a whole service fails, and every request is retried, at
- * every host at once. Harm prevented: retries multiply the load on what is left
- * until nothing succeeds. No host asks another: each keeps to its share of its
- * own successes, so the fleet does too. Over any time of length t, with N
- * successes in it and in the 10 s before it, a host makes at most
- * `0.1 N + 5 + t / 10 s` retries, whatever the number of teams; and a team's
- * successes pay for no other team's retries.
+ * all hosts at once. Harm prevented: retries multiply the load on the remaining
+ * upstreams until no request succeeds. Hosts need no coordination for this:
+ * each limits its retries to a share of its own successes, and so the fleet
+ * keeps the same share. In any period t, with N successes in it and in the 10 s
+ * before it, a host makes at most `0.1 N + 5 + t / 10 s` retries, whatever the
+ * number of teams; and the successes of one team pay for no retries of another.
  *
  * @module
  */
 
 import { type Clock, getOrCreate } from "../core/mod.ts";
 
-/** Retries earned by one success: one retry for ten successes. */
+/** Retries earned by one success: ten successes earn one retry. */
 const CREDIT_PER_SUCCESS = 0.1;
 
 /**
- * What was earned fades over so long: a day of successes must not pay for a
- * flood of retries in the minute of the outage.
+ * Time constant of the exponential decay of earned retries. A day of successes
+ * must not pay for a burst of retries in the minute of an outage.
  */
 const CREDIT_DECAY_MS = 10_000;
 
 /**
- * Retries of the host that no success has paid for, so that a team which sends
- * a request an hour can be retried at all. One reserve for the host and not for
- * each team and service: 290 teams and 11 services would make 3,190 of them.
+ * Retries of a host that need no earlier success, so that a team that sends one
+ * request per hour gets retries at all. There is one reserve for the host
+ * rather than one for each team and service: with 290 teams and 11 services
+ * these would be 3,190 reserves.
  */
 const RESERVE = 5;
 
-/** The reserve grows by one in so long; over 390 hosts 39 retries a second. */
+/**
+ * Time in which the reserve is refilled by one retry. Over 390 hosts that
+ * allows 39 retries per second.
+ */
 const RESERVE_REFILL_MS = 10_000;
 
-/** The budgets of one host, by team and service. */
+/** The retry budgets of one host, by team and service. */
 export interface RetryBudget {
   recordSuccess(team: string, service: string): void;
-  /** Takes one retry from the budget; false when there is none. */
+  /** Takes one retry from the budget or the reserve; false if none is left. */
   tryTake(team: string, service: string): boolean;
 }
 
@@ -46,13 +50,13 @@
   updatedMs: number;
 }
 
-/** Sizes of the budgets. */
+/** Limits of the budgets. */
 export interface RetryBudgetOptions {
   /** Retries earned by one success. */
   readonly creditPerSuccess: number;
-  /** Retries of this host that no success has paid for. */
+  /** Size of this host's reserve, in retries. */
   getReserve(): number;
-  /** The reserve is full again after so long, in ms. */
+  /** Time in which an empty reserve is refilled, in ms. */
   readonly reserveRefillMs: number;
 }
 
@@ -62,23 +66,23 @@
   reserveRefillMs: RESERVE * RESERVE_REFILL_MS,
 };
 
-/** Limit on retries over all hosts, of one service. */
+/** Limit on the retries of one service over all hosts. */
 export interface FleetRetryLimit {
-  /** Retries for each request of the window. */
+  /** Retries per request in any period of `windowMs`. */
   readonly share: number;
   readonly windowMs: number;
-  /** Besides the share, over all hosts. */
+  /** Retries in addition to the share, over all hosts. */
   readonly reserve: number;
 }
 
 /**
- * Part of the fleet's limit that is used: hosts count apart, what they earned
- * fades only in the window after it, and a host that starts anew has a full
- * reserve again.
+ * Share of the fleet's limit that the hosts use. The rest is a margin: hosts
+ * count separately, earned retries decay only in the window after the
+ * successes, and a restarted host has a full reserve.
  */
 const FLEET_LIMIT_SHARE = 0.45;
 
-/** The options of one of so many hosts that together keep to the limit. */
+/** Returns the options with which all hosts together keep the limit. */
 export function getFleetRetryOptions(
   limit: FleetRetryLimit,
   countHosts: () => number,
@@ -90,7 +94,7 @@
   };
 }
 
-/** Makes budgets with nothing earned and a full reserve. */
+/** Creates budgets without earned retries and with a full reserve. */
 export function createRetryBudget(
   clock: Clock,
   options: RetryBudgetOptions = defaultOptions,
@@ -99,7 +103,7 @@
   let reserve = options.getReserve();
   let reserveAtMs = clock.monotonicMs();
 
-  /** The budget as it stands now, with what has faded taken off. */
+  /** Returns the budget after applying the decay up to now. */
   function getBudget(team: string, service: string): Budget {
     const nowMs = clock.monotonicMs();
     const key = `${team}/${service}`;
--- a/src/admission/retry_budget_test.ts
+++ b/src/admission/retry_budget_test.ts
@@ -1,5 +1,5 @@
 /**
- * Tests of the bound on retries.
+ * Tests of the limits on retries.
  *
  * @module
  */
@@ -18,9 +18,9 @@
   repeats: fc.integer({ min: 1, max: 40 }),
 });
 
-test("retries keep to a tenth of the successes and the host's reserve", () => {
-  // A service is down and each of its callers is retried. With ten retries saved
-  // for each team and service, a host with many teams sent thousands at once.
+test("retries never exceed a tenth of the successes plus the host's reserve", () => {
+  // Guards against a reserve for each team and service. When a service is down,
+  // a host with many teams would send thousands of retries at once.
   fc.assert(
     fc.property(fc.array(step, { maxLength: 60 }), (steps) => {
       const clock = createManualClock(0);
@@ -45,7 +45,7 @@
   );
 });
 
-test("a day of successes does not pay for a flood of retries", () => {
+test("a long time of successes does not pay for a burst of retries", () => {
   const clock = createManualClock(0);
   const budget = createRetryBudget(clock);
   for (let second = 0; second < 3_600; second++) {
@@ -54,26 +54,28 @@
   }
   let retries = 0;
   while (budget.tryTake("alder", "desk")) retries++;
-  // 10 s of 10 successes each second earn 10, and the reserve holds 5.
+  // 10 s with 10 successes per second earn 10 retries, and the reserve holds 5.
   assert.ok(retries >= 12 && retries <= 16, `${retries}`);
 });
 
-test("a quiet team's request can be retried", () => {
+test("a request of a team without successes can be retried", () => {
   const budget = createRetryBudget(createManualClock(0));
   assert.equal(budget.tryTake("quiet", "drafting-model"), true);
 });
 
-/** Hosts, requests a second and reserves of the deployments and of grown ones. */
+/**
+ * Hosts, requests per second and reserves of small and of large deployments.
+ */
 const fleets = [
   { hosts: 9, perSecond: 15, reserve: 58 },
   { hosts: 89, perSecond: 147, reserve: 218 },
 ];
 
 for (const { hosts, perSecond, reserve } of fleets) {
-  test(`${hosts} hosts together keep to the fleet's limit in every window`, () => {
-    // A service answers for a minute and then fails. Each host retries by what it
-    // knows alone; together they must not send more beyond the first of each
-    // request than a fifth of them and the reserve, in any ten seconds.
+  test(`${hosts} hosts together keep the fleet's limit in every window`, () => {
+    // A service answers for a minute and then fails. Each host decides on
+    // retries from its own counts. Together they must not send more retries, in
+    // any ten seconds, than a fifth of the requests plus the reserve.
     const limit = { share: 0.2, windowMs: 10_000, reserve };
     const clock = createManualClock(0);
     const budgets = Array.from(
--- a/src/admission/run_times.ts
+++ b/src/admission/run_times.ts
@@ -1,44 +1,53 @@
 /**
- * How long the runs of a service take, from its slot on.
+ * Estimates how long the runs of a service take, measured from the slot.
  *
- * Load: long and short requests mixed at saturation. Harm prevented: a request
- * waits until just before its deadline, gets a slot and ends too late; the
- * engine has worked for nobody. Costs are known only at the end and hints may
- * be wrong by ten, so the spread of past runs is the best guess.
+ * Load: a mix of long and short requests at saturation. Harm prevented: a
+ * request waits until shortly before its deadline, gets a slot and ends too
+ * late, so that the engine's work is wasted. The cost of a request is known
+ * only at its end, and callers' hints may be wrong by a factor of ten, so the
+ * distribution of past runs is the best estimate.
  *
  * @module
  */
 
-/** One run, in ms. */
+/** Times of one run, from its slot, in ms. */
 export interface RunTime {
   readonly firstByteMs: number;
-  /** From the slot to the end of the answer. */
+  /** Time from the slot to the end of the answer. */
   readonly runMs: number;
 }
 
-/** The run times of one service. */
+/** Statistics of the run times of one service. */
 export interface RunTimes {
   record(run: RunTime): void;
-  /** Least time to the first byte of late, in ms; no run is quicker. */
+  /** Least recent time to the first byte, in ms; 0 while unknown. */
   getMinFirstByteMs(): number;
-  /** Nine in ten runs take no longer, in ms; 0 while unknown. */
+  /** Estimated 90th percentile of the run time, in ms; 0 while unknown. */
   getP90RunMs(): number;
 }
 
-/** The least first-byte time rises by this for each run that is slower. */
+/**
+ * Factor by which the least time to the first byte rises with each slower run,
+ * so that it follows a service that becomes slower.
+ */
 const MIN_RISE_FACTOR = 1.01;
 
-/** Weight of the newest run: about the last hundred count. */
+/**
+ * Weight of the newest run in the moving averages: about the last 100 runs
+ * count.
+ */
 const EWMA_WEIGHT = 0.01;
 
-/** Standard deviations above the mean under which nine in ten values lie. */
+/**
+ * 90% of normally distributed values lie below mean + 1.28 standard deviations.
+ */
 const P90_Z_SCORE = 1.28;
 
-/** Makes run times that know nothing. */
+/** Creates statistics without any runs. */
 export function createRunTimes(): RunTimes {
   let minMs = Infinity;
   let runs = 0;
-  // Of the logarithm: run times differ by factors.
+  // Of the logarithms of the run times, which differ by factors.
   let logMean = 0;
   let logVariance = 0;
 
--- a/src/admission/wait_estimate.ts
+++ b/src/admission/wait_estimate.ts
@@ -1,49 +1,51 @@
 /**
- * Expected wait of a team's next request at this host for one service: how many
- * of its requests stand before it, times the time between two starts while the
- * team was backlogged.
+ * Estimates the wait of a team's next request for one service at this host: the
+ * number of its requests ahead, times the mean time between two starts while
+ * the team had requests waiting.
  *
- * Load: slots come back in bursts (a batch of answers ends together), and a
- * team pauses between its bursts. Harm prevented: a pause of the callers taken
- * for a slow fleet, so that the first requests after it are refused although
- * slots are free; and a stalled fleet taken for a quick one, because nothing
- * starts and so nothing is learned.
+ * Load: slots become free in bursts (a batch of answers ends together), and a
+ * team sends in bursts with pauses between them. Harm prevented: a pause of the
+ * callers is taken for a slow fleet, and the first requests after it are
+ * refused although slots are free; or a stalled fleet is taken for a fast one,
+ * because without starts there are no new measurements.
  *
  * @module
  */
 
 /**
- * Past starts fade over so long. A team starts about one request a second at a
- * host; a mean of five gaps would err by half, one of twenty errs by a quarter.
+ * Time constant of the exponential decay of past starts. A team starts about
+ * one request per second at a host: a mean of five gaps would have an error of
+ * a half, a mean of twenty has an error of a quarter.
  */
 const DECAY_TIME_MS = 20_000;
 
 /**
- * A start sooner than this found a free slot: longer than a grant takes between
- * two data centres of a region (two round trips of 3 ms), shorter than any wait
- * that a caller would notice.
+ * A request that starts after a shorter wait is taken to have found a free
+ * slot. The value is longer than a grant between two data centres of a region
+ * takes (two round trips of 3 ms), and shorter than any wait that a caller
+ * would notice.
  */
 const FREE_SLOT_WAIT_MS = 50;
 
-/** The pace at which one team's requests start. */
+/** Estimator of the waits of one team's requests for one service. */
 export interface WaitEstimator {
-  /** A request begins to wait. */
+  /** Records that a request was added to the queue. */
   recordEnqueued(nowMs: number): void;
-  /** A request leaves the queue, after so long, with a slot or without. */
+  /** Records that a request left the queue, with a slot or without. */
   recordDequeued(
     exit: "started" | "gave-up",
     waitedMs: number,
     nowMs: number,
   ): void;
-  /** Milliseconds until a slot for a request behind so many others. */
+  /** Expected wait for a slot behind the given number of requests, in ms. */
   getWaitMs(ahead: number, nowMs: number): number;
 }
 
-/** Makes a pace that knows nothing and expects no wait. */
+/** Creates an estimator without measurements, which expects no wait. */
 export function createWaitEstimator(): WaitEstimator {
   let waiting = 0;
   let updatedMs = 0;
-  // Both fade alike, so that their quotient is the mean gap of late.
+  // Both decay alike, so that their quotient is the recent mean gap.
   let starts = 0;
   let backloggedMs = 0;
   let noStartSinceMs = 0;
@@ -52,7 +54,7 @@
     const decay = Math.exp(-(nowMs - updatedMs) / DECAY_TIME_MS);
     starts *= decay;
     backloggedMs *= decay;
-    // Only time with a backlog says anything about the fleet.
+    // Only time with waiting requests indicates how fast the fleet is.
     if (waiting > 0) backloggedMs += DECAY_TIME_MS * (1 - decay);
     updatedMs = nowMs;
   }
@@ -69,8 +71,9 @@
       if (exit === "gave-up") return;
       noStartSinceMs = nowMs;
       if (waitedMs < FREE_SLOT_WAIT_MS) {
-        // The queue is first in, first out: this start shows that all before it
-        // are gone and a slot was free, so what was learned before is void.
+        // The queue is first in, first out: a start without a wait shows that
+        // no request was ahead and a slot was free, so older measurements are
+        // void.
         starts = 0;
         backloggedMs = 0;
       } else {
@@ -80,7 +83,8 @@
     getWaitMs(ahead, nowMs) {
       if (waiting === 0) return 0;
       advance(nowMs);
-      // While nothing starts, the silence itself is the best guess of the gap.
+      // While no request starts, the gap is at least the time since the last
+      // start, or since the queue was empty.
       const sinceStartMs = nowMs - noStartSinceMs;
       const gapMs = starts > 0 ? backloggedMs / starts : 0;
       return Math.max(
