--- a/src/fairness/counters.ts
+++ b/src/fairness/counters.ts
@@ -16,7 +16,11 @@
  */
 
 import { getOrCreate } from "../core/mod.ts";
-import { type Child, createChild, isFlagged } from "./children.ts";
+import {
+  type ChildState,
+  createChildState,
+  isBackloggedAtChild,
+} from "./children.ts";
 import type { CounterReport, CounterView, TeamService } from "./types.ts";
 
 /** What a node needs of the process. */
@@ -45,7 +49,7 @@
   /** Takes in a child's report and gives the view to send back. */
   receiveReport(child: string, report: CounterReport): CounterView;
   /** A dead child has nothing waiting; its service stays in the sums. */
-  forgetChild(child: string): void;
+  clearChildBacklog(child: string): void;
   /** The report for the parent; `undefined` when there is nothing to say. */
   tryGetReport(): CounterReport | undefined;
   receiveView(view: CounterView): void;
@@ -79,7 +83,7 @@
   floor: number;
   isWaiting: boolean;
   /** Backlogged anywhere, by the parent's last view. */
-  isBackloggedAbove: boolean;
+  isBackloggedAtParent: boolean;
   /** What the parent knows of this node's own backlog. */
   ackedBacklogged: boolean;
 }
@@ -92,7 +96,7 @@
 /** Makes a node that is a root and stands at zero. */
 export function createServiceCounters(host: CountersHost): ServiceCounters {
   const entries = new Map<string, Entry>();
-  const children = new Map<string, Child>();
+  const children = new Map<string, ChildState>();
   const snapshots = new Map<number, Snapshot>();
   let parent: string | undefined;
   let session = 0;
@@ -110,7 +114,7 @@
       base: 0,
       floor: 0,
       isWaiting: false,
-      isBackloggedAbove: false,
+      isBackloggedAtParent: false,
       ackedBacklogged: false,
     }));
   }
@@ -131,23 +135,23 @@
     raiseKnown(entry, level - (entry.sum - entry.acked));
   }
 
-  function isBackloggedBelow(team: string, entry: Entry): boolean {
+  function isBackloggedInSubtree(team: string, entry: Entry): boolean {
     if (entry.isWaiting) return true;
     const nowMs = host.nowMs();
     for (const child of children.values()) {
-      if (isFlagged(child, team, nowMs)) return true;
+      if (isBackloggedAtChild(child, team, nowMs)) return true;
     }
     return false;
   }
 
-  function isBackloggedEntry(team: string, entry: Entry): boolean {
-    return entry.isBackloggedAbove || isBackloggedBelow(team, entry);
+  function isBackloggedAnywhere(team: string, entry: Entry): boolean {
+    return entry.isBackloggedAtParent || isBackloggedInSubtree(team, entry);
   }
 
-  function getBacklogged(): readonly Entry[] {
+  function getBackloggedEntries(): readonly Entry[] {
     const found: Entry[] = [];
     for (const [team, entry] of entries) {
-      if (isBackloggedEntry(team, entry)) found.push(entry);
+      if (isBackloggedAnywhere(team, entry)) found.push(entry);
     }
     return found;
   }
@@ -161,7 +165,7 @@
 
   /** The root alone moves virtual time: only it sees every backlogged team. */
   function advanceAsRoot(): void {
-    const backlogged = getBacklogged();
+    const backlogged = getBackloggedEntries();
     if (backlogged.length === 0) return;
     const counters = backlogged.map(getCounter);
     const top = counters.reduce((most, each) => Math.max(most, each));
@@ -183,7 +187,7 @@
     }
   }
 
-  function applyReport(child: Child, report: CounterReport): void {
+  function applyReport(child: ChildState, report: CounterReport): void {
     child.sequence = report.sequence;
     largest = Math.max(largest, report.largest);
     for (const each of report.teams) {
@@ -201,8 +205,8 @@
     const reported = new Set(report.teams.map((each) => each.team));
     const teams: TeamService[] = [];
     for (const [team, entry] of entries) {
-      const backlogged = isBackloggedEntry(team, entry);
-      if (!backlogged && !reported.has(team) && !entry.isBackloggedAbove) {
+      const backlogged = isBackloggedAnywhere(team, entry);
+      if (!backlogged && !reported.has(team) && !entry.isBackloggedAtParent) {
         continue;
       }
       teams.push({ team, amount: getCounter(entry), backlogged, floor: 0 });
@@ -216,7 +220,7 @@
       [...entries].map(([team, entry]) => [team, {
         sum: entry.sum,
         floor: entry.floor,
-        backlogged: isBackloggedBelow(team, entry),
+        backlogged: isBackloggedInSubtree(team, entry),
       }]),
     );
   }
@@ -229,7 +233,7 @@
     if (backlogged !== entry.ackedBacklogged) return true;
     if (isFirst && backlogged) return true;
     const pending = Math.abs(entry.sum - entry.acked);
-    if (backlogged || entry.isBackloggedAbove) {
+    if (backlogged || entry.isBackloggedAtParent) {
       return pending > 0 || entry.floor > 0;
     }
     return pending > largest;
@@ -256,7 +260,7 @@
       if (each.backlogged) backlogged.add(each.team);
     }
     for (const [team, entry] of entries) {
-      entry.isBackloggedAbove = backlogged.has(team);
+      entry.isBackloggedAtParent = backlogged.has(team);
     }
   }
 
@@ -273,16 +277,16 @@
       const entry = getEntry(team);
       // A team that was idle earns no credit: it starts level with the lowest
       // backlogged team instead of collecting for the time it was away.
-      if (isWaiting && !isBackloggedEntry(team, entry)) {
-        const lowest = getLowest(getBacklogged());
+      if (isWaiting && !isBackloggedAnywhere(team, entry)) {
+        const lowest = getLowest(getBackloggedEntries());
         raise(entry, Math.max(virtualTime, lowest === Infinity ? 0 : lowest));
       }
       entry.isWaiting = isWaiting;
     },
-    isBacklogged: (team) => isBackloggedEntry(team, getEntry(team)),
+    isBacklogged: (team) => isBackloggedAnywhere(team, getEntry(team)),
     isContended(team) {
       for (const [other, entry] of entries) {
-        if (other !== team && isBackloggedEntry(other, entry)) return true;
+        if (other !== team && isBackloggedAnywhere(other, entry)) return true;
       }
       return false;
     },
@@ -292,8 +296,8 @@
       startSession();
     },
     receiveReport(name, report) {
-      const child = getOrCreate(children, name, createChild);
-      child.heardMs = host.nowMs();
+      const child = getOrCreate(children, name, createChildState);
+      child.lastReportMs = host.nowMs();
       if (child.session !== report.session) {
         const isOver = child.endedSessions.includes(report.session);
         if (!report.first || isOver) {
@@ -305,7 +309,7 @@
       if (parent === undefined) advanceAsRoot();
       return createView(report, child.sequence);
     },
-    forgetChild(name) {
+    clearChildBacklog(name) {
       children.get(name)?.backlogged.clear();
     },
     tryGetReport() {
@@ -315,7 +319,7 @@
       }
       const teams: TeamService[] = [];
       for (const [team, entry] of entries) {
-        const backlogged = isBackloggedBelow(team, entry);
+        const backlogged = isBackloggedInSubtree(team, entry);
         if (!isNews(entry, backlogged)) continue;
         const amount = entry.sum - entry.base;
         const floor = isFirst && backlogged ? entry.known : entry.floor;
@@ -353,7 +357,7 @@
   };
 }
 
-function beginSession(child: Child, session: number): void {
+function beginSession(child: ChildState, session: number): void {
   child.endedSessions = [child.session, ...child.endedSessions].slice(0, 4);
   child.session = session;
   child.sequence = 0;
--- a/src/fleet/counter_exchange.ts
+++ b/src/fleet/counter_exchange.ts
@@ -193,7 +193,7 @@
     forgetHost(peer) {
       for (const { counters } of nodes.values()) {
         for (let level = LEAF_LEVEL; level < ROOT_LEVEL; level++) {
-          counters.forgetChild(getChildName(peer, level));
+          counters.clearChildBacklog(getChildName(peer, level));
         }
       }
     },
--- a/src/measure/baselines.ts
+++ b/src/measure/baselines.ts
@@ -175,7 +175,7 @@
     },
     receiveView() {},
     forgetHost(peer) {
-      for (const counters of leaves.values()) counters.forgetChild(peer);
+      for (const counters of leaves.values()) counters.clearChildBacklog(peer);
     },
   };
 }
