--- a/src/fairness/counters.ts
+++ b/src/fairness/counters.ts
@@ -65,22 +65,22 @@
 export const MAX_SPREAD_REQUESTS = 8;
 
 /** A node without news still reports so often, to hear of others' backlog. */
-const IDLE_REPORT_MS = 2_000;
+const MAX_REPORT_GAP_MS = 2_000;
 
 /** Reports in flight that a late view may still acknowledge. */
-const MAX_SNAPSHOTS = 8;
+const MAX_UNACKED_SNAPSHOTS = 8;
 
-interface Entry {
+interface TeamEntry {
   /** Fleet-wide sum as the parent told it, with this node's sum up to `acked`. */
-  known: number;
+  knownSum: number;
   /** Service added at this node and below since the node's start. */
   sum: number;
   /** Part of `sum` that `known` contains. */
-  acked: number;
+  ackedSum: number;
   /** `acked` as the session began. */
-  base: number;
+  sessionBaseSum: number;
   /** A raise that the parent has not acknowledged; zero for none. */
-  floor: number;
+  pendingFloor: number;
   isWaiting: boolean;
   /** Backlogged anywhere, by the parent's last view. */
   isBackloggedAtParent: boolean;
@@ -95,47 +95,47 @@
 
 /** Makes a node that is a root and stands at zero. */
 export function createServiceCounters(host: CountersHost): ServiceCounters {
-  const entries = new Map<string, Entry>();
+  const entries = new Map<string, TeamEntry>();
   const children = new Map<string, ChildState>();
-  const snapshots = new Map<number, Snapshot>();
+  const unackedSnapshots = new Map<number, Snapshot>();
   let parent: string | undefined;
   let session = 0;
   let sequence = 0;
-  let isFirst = true;
+  let isSessionUnanswered = true;
   let virtualTime = 0;
   let largest = 0;
   let lastReportMs = -Infinity;
 
-  function getEntry(team: string): Entry {
+  function getEntry(team: string): TeamEntry {
     return getOrCreate(entries, team, () => ({
-      known: 0,
+      knownSum: 0,
       sum: 0,
-      acked: 0,
-      base: 0,
-      floor: 0,
+      ackedSum: 0,
+      sessionBaseSum: 0,
+      pendingFloor: 0,
       isWaiting: false,
       isBackloggedAtParent: false,
       ackedBacklogged: false,
     }));
   }
 
-  function getCounter(entry: Entry): number {
-    return entry.known + entry.sum - entry.acked;
+  function getCounter(entry: TeamEntry): number {
+    return entry.knownSum + entry.sum - entry.ackedSum;
   }
 
   /** Lifts the sum as the parent would know it; never lowers it. */
-  function raiseKnown(entry: Entry, floor: number): void {
-    if (entry.known >= floor) return;
-    entry.known = floor;
-    entry.floor = floor;
+  function raiseKnownSum(entry: TeamEntry, floor: number): void {
+    if (entry.knownSum >= floor) return;
+    entry.knownSum = floor;
+    entry.pendingFloor = floor;
   }
 
   /** Lifts the counter, with what is not yet acknowledged, to the level. */
-  function raise(entry: Entry, level: number): void {
-    raiseKnown(entry, level - (entry.sum - entry.acked));
+  function raise(entry: TeamEntry, level: number): void {
+    raiseKnownSum(entry, level - (entry.sum - entry.ackedSum));
   }
 
-  function isBackloggedInSubtree(team: string, entry: Entry): boolean {
+  function isBackloggedInSubtree(team: string, entry: TeamEntry): boolean {
     if (entry.isWaiting) return true;
     const nowMs = host.nowMs();
     for (const child of children.values()) {
@@ -144,19 +144,19 @@
     return false;
   }
 
-  function isBackloggedAnywhere(team: string, entry: Entry): boolean {
+  function isBackloggedAnywhere(team: string, entry: TeamEntry): boolean {
     return entry.isBackloggedAtParent || isBackloggedInSubtree(team, entry);
   }
 
-  function getBackloggedEntries(): readonly Entry[] {
-    const found: Entry[] = [];
+  function getBackloggedEntries(): readonly TeamEntry[] {
+    const found: TeamEntry[] = [];
     for (const [team, entry] of entries) {
       if (isBackloggedAnywhere(team, entry)) found.push(entry);
     }
     return found;
   }
 
-  function getLowest(backlogged: readonly Entry[]): number {
+  function getLowestCounter(backlogged: readonly TeamEntry[]): number {
     return backlogged.reduce(
       (lowest, entry) => Math.min(lowest, getCounter(entry)),
       Infinity,
@@ -164,25 +164,25 @@
   }
 
   /** The root alone moves virtual time: only it sees every backlogged team. */
-  function advanceAsRoot(): void {
+  function advanceVirtualTime(): void {
     const backlogged = getBackloggedEntries();
     if (backlogged.length === 0) return;
     const counters = backlogged.map(getCounter);
-    const top = counters.reduce((most, each) => Math.max(most, each));
+    const highest = counters.reduce((most, each) => Math.max(most, each));
     if (largest > 0) {
-      const lowestAllowed = top - MAX_SPREAD_REQUESTS * largest;
+      const lowestAllowed = highest - MAX_SPREAD_REQUESTS * largest;
       for (const entry of backlogged) raise(entry, lowestAllowed);
     }
-    virtualTime = Math.max(virtualTime, getLowest(backlogged));
+    virtualTime = Math.max(virtualTime, getLowestCounter(backlogged));
   }
 
   function startSession(): void {
     session = host.createSession();
     sequence = 0;
-    isFirst = true;
-    snapshots.clear();
+    isSessionUnanswered = true;
+    unackedSnapshots.clear();
     for (const entry of entries.values()) {
-      entry.base = entry.acked;
+      entry.sessionBaseSum = entry.ackedSum;
       entry.ackedBacklogged = false;
     }
   }
@@ -219,7 +219,7 @@
     return new Map(
       [...entries].map(([team, entry]) => [team, {
         sum: entry.sum,
-        floor: entry.floor,
+        floor: entry.pendingFloor,
         backlogged: isBackloggedInSubtree(team, entry),
       }]),
     );
@@ -229,34 +229,34 @@
    * Service of a team that waits nowhere is not urgent: once it waits it is told
    * at once, and until then at most one largest request is kept back.
    */
-  function isNews(entry: Entry, backlogged: boolean): boolean {
+  function hasUnreportedChange(entry: TeamEntry, backlogged: boolean): boolean {
     if (backlogged !== entry.ackedBacklogged) return true;
-    if (isFirst && backlogged) return true;
-    const pending = Math.abs(entry.sum - entry.acked);
+    if (isSessionUnanswered && backlogged) return true;
+    const unreported = Math.abs(entry.sum - entry.ackedSum);
     if (backlogged || entry.isBackloggedAtParent) {
-      return pending > 0 || entry.floor > 0;
+      return unreported > 0 || entry.pendingFloor > 0;
     }
-    return pending > largest;
+    return unreported > largest;
   }
 
   function acknowledge(snapshot: Snapshot): void {
     for (const [team, { sum, floor, backlogged }] of snapshot) {
       const entry = getEntry(team);
-      entry.known += sum - entry.acked;
-      entry.acked = sum;
+      entry.knownSum += sum - entry.ackedSum;
+      entry.ackedSum = sum;
       entry.ackedBacklogged = backlogged;
-      if (entry.floor === floor) entry.floor = 0;
+      if (entry.pendingFloor === floor) entry.pendingFloor = 0;
     }
   }
 
-  function adopt(view: CounterView): void {
+  function applyView(view: CounterView): void {
     const backlogged = new Set<string>();
     for (const each of view.teams) {
       const entry = getEntry(each.team);
       // A new parent may know less than this node does: it starts from the
       // floors of its children, which arrive one by one.
-      const least = isFirst ? entry.known : entry.floor;
-      entry.known = Math.max(each.amount, least);
+      const least = isSessionUnanswered ? entry.knownSum : entry.pendingFloor;
+      entry.knownSum = Math.max(each.amount, least);
       if (each.backlogged) backlogged.add(each.team);
     }
     for (const [team, entry] of entries) {
@@ -278,7 +278,7 @@
       // A team that was idle earns no credit: it starts level with the lowest
       // backlogged team instead of collecting for the time it was away.
       if (isWaiting && !isBackloggedAnywhere(team, entry)) {
-        const lowest = getLowest(getBackloggedEntries());
+        const lowest = getLowestCounter(getBackloggedEntries());
         raise(entry, Math.max(virtualTime, lowest === Infinity ? 0 : lowest));
       }
       entry.isWaiting = isWaiting;
@@ -306,7 +306,7 @@
         beginSession(child, report.session);
       }
       if (report.sequence > child.sequence) applyReport(child, report);
-      if (parent === undefined) advanceAsRoot();
+      if (parent === undefined) advanceVirtualTime();
       return createView(report, child.sequence);
     },
     clearChildBacklog(name) {
@@ -314,28 +314,30 @@
     },
     tryGetReport() {
       if (parent === undefined) {
-        advanceAsRoot();
+        advanceVirtualTime();
         return undefined;
       }
       const teams: TeamService[] = [];
       for (const [team, entry] of entries) {
         const backlogged = isBackloggedInSubtree(team, entry);
-        if (!isNews(entry, backlogged)) continue;
-        const amount = entry.sum - entry.base;
-        const floor = isFirst && backlogged ? entry.known : entry.floor;
+        if (!hasUnreportedChange(entry, backlogged)) continue;
+        const amount = entry.sum - entry.sessionBaseSum;
+        const floor = isSessionUnanswered && backlogged
+          ? entry.knownSum
+          : entry.pendingFloor;
         teams.push({ team, amount, backlogged, floor });
       }
       const nowMs = host.nowMs();
-      if (teams.length === 0 && nowMs - lastReportMs < IDLE_REPORT_MS) {
+      if (teams.length === 0 && nowMs - lastReportMs < MAX_REPORT_GAP_MS) {
         return undefined;
       }
       lastReportMs = nowMs;
       sequence++;
-      snapshots.set(sequence, takeSnapshot());
-      if (snapshots.size > MAX_SNAPSHOTS) {
-        snapshots.delete(snapshots.keys().next().value!);
+      unackedSnapshots.set(sequence, takeSnapshot());
+      if (unackedSnapshots.size > MAX_UNACKED_SNAPSHOTS) {
+        unackedSnapshots.delete(unackedSnapshots.keys().next().value!);
       }
-      return { sequence, session, first: isFirst, largest, teams };
+      return { sequence, session, first: isSessionUnanswered, largest, teams };
     },
     receiveView(view) {
       if (view.session !== session) return;
@@ -343,14 +345,14 @@
         startSession();
         return;
       }
-      const snapshot = snapshots.get(view.acked);
+      const snapshot = unackedSnapshots.get(view.acked);
       if (snapshot === undefined) return;
-      for (const each of [...snapshots.keys()]) {
-        if (each <= view.acked) snapshots.delete(each);
+      for (const each of [...unackedSnapshots.keys()]) {
+        if (each <= view.acked) unackedSnapshots.delete(each);
       }
       acknowledge(snapshot);
-      adopt(view);
-      isFirst = false;
+      applyView(view);
+      isSessionUnanswered = false;
       virtualTime = Math.max(virtualTime, view.virtualTime);
       largest = Math.max(largest, view.largest);
     },
