--- a/src/fairness/cost_estimate.ts
+++ b/src/fairness/cost_estimate.ts
@@ -13,10 +13,10 @@
 import { getOrCreate } from "../core/mod.ts";
 
 /** Weight of the newest cost, once as many costs are known. */
-const NEWEST_WEIGHT = 0.05;
+const EWMA_WEIGHT = 0.05;
 
 /** The estimates of one service at one host. */
-export interface CostEstimate {
+export interface CostEstimator {
   get(team: string): number;
   observe(team: string, cost: number): void;
 }
@@ -27,21 +27,21 @@
 }
 
 /** Makes estimates that start at the service's expected cost. */
-export function createCostEstimate(expectedCost: number): CostEstimate {
-  const means = new Map<string, Mean>();
-  const overall: Mean = { value: expectedCost, count: 0 };
+export function createCostEstimator(expectedCost: number): CostEstimator {
+  const teamMeans = new Map<string, Mean>();
+  const serviceMean: Mean = { value: expectedCost, count: 0 };
 
   function add(mean: Mean, cost: number): void {
     mean.count++;
-    const weight = Math.max(NEWEST_WEIGHT, 1 / mean.count);
+    const weight = Math.max(EWMA_WEIGHT, 1 / mean.count);
     mean.value += weight * (cost - mean.value);
   }
 
   return {
-    get: (team) => means.get(team)?.value ?? overall.value,
+    get: (team) => teamMeans.get(team)?.value ?? serviceMean.value,
     observe(team, cost) {
-      add(overall, cost);
-      add(getOrCreate(means, team, () => ({ value: 0, count: 0 })), cost);
+      add(serviceMean, cost);
+      add(getOrCreate(teamMeans, team, () => ({ value: 0, count: 0 })), cost);
     },
   };
 }
--- a/src/fleet/owned_upstreams.ts
+++ b/src/fleet/owned_upstreams.ts
@@ -7,8 +7,8 @@
 
 import { getOrCreate } from "../core/mod.ts";
 import {
-  type CostEstimate,
-  createCostEstimate,
+  type CostEstimator,
+  createCostEstimator,
   type ServiceCounters,
 } from "../fairness/mod.ts";
 import { getRegion } from "../placement/mod.ts";
@@ -80,15 +80,15 @@
   rest: OwnedHost,
 ): OwnedUpstreams {
   const owned = new Map<string, Owned>();
-  const estimates = new Map<string, CostEstimate>();
+  const estimates = new Map<string, CostEstimator>();
   /** Upstreams of this host for which a team waits, by service and team. */
   const waiting = new Map<string, Map<string, Set<string>>>();
 
-  function getEstimate(service: string): CostEstimate {
+  function getEstimate(service: string): CostEstimator {
     return getOrCreate(estimates, service, () => {
       const declared = host.getDeployment()?.services
         .find((each) => each.id === service);
-      return createCostEstimate(declared?.expectedCost ?? 1);
+      return createCostEstimator(declared?.expectedCost ?? 1);
     });
   }
 
