--- a/src/fairness/children.ts
+++ b/src/fairness/children.ts
@@ -1,29 +1,29 @@
 /**
- * What a node of the tree of counters remembers of each child.
+ * State that a node of the tree of service counters keeps of each child.
  *
  * @module
  */
 
-/** One child. */
+/** State of one child. */
 export interface ChildState {
   session: number;
-  /** Sessions that are over; a report of theirs that comes late adds nothing. */
+  /** Sessions that have ended; late reports of them are ignored. */
   endedSessions: readonly number[];
   sequence: number;
   lastReportMs: number;
-  /** Sums of the session, by team. */
+  /** Service reported in the session, by team. */
   readonly amounts: Map<string, number>;
   readonly backlogged: Set<string>;
 }
 
 /**
- * A child that was silent for so long has no backlog any more: it found another
- * parent, or it is dead and the membership will say so. Children report at
- * least every two seconds.
+ * A child without a report for this long is taken to have no backlog: it has
+ * another parent, or it is dead and membership will report so. Children report
+ * at least every two seconds.
  */
 export const CHILD_TIMEOUT_MS = 6_000;
 
-/** Makes a child that was never heard. */
+/** Creates the state of a child without any report. */
 export function createChildState(): ChildState {
   return {
     session: 0,
@@ -35,7 +35,7 @@
   };
 }
 
-/** Whether the child has told that the team is backlogged there. */
+/** Whether the child's last report says that the team is backlogged there. */
 export function isBackloggedAtChild(
   child: ChildState,
   team: string,
--- a/src/fairness/cost_estimate.ts
+++ b/src/fairness/cost_estimate.ts
@@ -1,21 +1,21 @@
 /**
- * What the next request of a team will probably cost, learned from the costs
- * that its requests turned out to have. Callers' hints do not enter: they are
- * wrong by ten either way, and a team could gain by hinting low.
+ * Estimates the cost of a team's next request from the final costs of its
+ * earlier ones. Callers' hints are not used: they are wrong by up to a factor
+ * of ten in either direction, and a team could gain by giving low hints.
  *
- * Load: many slots granted at once, with costs known only at the end. Harm
- * prevented: the team with the lowest counter takes every free slot before the
- * first of its requests has been charged.
+ * Load: many slots are granted at once, while costs are known only at the end
+ * of a request. Harm prevented: the team with the lowest counter takes all free
+ * slots before the first of its requests has been charged.
  *
  * @module
  */
 
 import { getOrCreate } from "../core/mod.ts";
 
-/** Weight of the newest cost, once as many costs are known. */
+/** Weight of the newest cost in a mean of at least 20 costs. */
 const EWMA_WEIGHT = 0.05;
 
-/** The estimates of one service at one host. */
+/** Cost estimates for one service at one host, by team. */
 export interface CostEstimator {
   get(team: string): number;
   observe(team: string, cost: number): void;
@@ -26,7 +26,7 @@
   count: number;
 }
 
-/** Makes estimates that start at the service's expected cost. */
+/** Creates an estimator that starts with the service's expected cost. */
 export function createCostEstimator(expectedCost: number): CostEstimator {
   const teamMeans = new Map<string, Mean>();
   const serviceMean: Mean = { value: expectedCost, count: 0 };
--- a/src/fairness/counters.ts
+++ b/src/fairness/counters.ts
@@ -1,16 +1,18 @@
 /**
  * One node in the tree of service counters of one service. A team's counter is
- * the service it has had over the fleet, divided by its weight; the next slot
- * goes to the waiting team with the lowest.
+ * the service that it has received over the fleet, divided by its weight. The
+ * next slot goes to the waiting team with the lowest counter.
  *
- * The tree: slot owner, data centre, region, root. A node adds what its children
- * report, reports its own sum to its parent and takes the parent's sums as its
- * view. Every message may be lost or come twice: a report carries the sum since
- * its session began, of which the parent adds only what is new, and a raise is
- * a floor, which two nodes may set without adding up.
+ * The levels of the tree are slot owner, data centre, region and root. A node
+ * adds up its children's reports, reports its own sum to its parent, and takes
+ * over the parent's sums (its view). Any message may be lost or duplicated. A
+ * report therefore carries the sum since its session began, of which the parent
+ * adds only the increase. A raise of a counter is sent as a floor, so that two
+ * nodes that raise the same counter do not raise it twice.
  *
- * Load: every team backlogged at once, spread unevenly over hosts. Harm
- * prevented: a team that is served by many hosts gets a share at each of them.
+ * Load: all teams are backlogged at once and spread unevenly over the hosts.
+ * Harm prevented: a team that is served by many hosts gets a full share at each
+ * of them.
  *
  * @module
  */
@@ -23,68 +25,82 @@
 } from "./children.ts";
 import type { CounterReport, CounterView, TeamService } from "./types.ts";
 
-/** What a node needs of the process. */
+/** Dependencies of a node, supplied by the process. */
 export interface CountersHost {
   nowMs(): number;
-  /** A session number that no earlier session of this node had. */
+  /** Returns a session number that no earlier session of this node had. */
   createSession(): number;
 }
 
 /** The counters of one service at one node. */
 export interface ServiceCounters {
-  /** The counter by which the team competes now. */
+  /** Returns the team's present counter. */
   get(team: string): number;
-  /** Adds service that the team got here, already divided by its weight. */
+  /**
+   * Adds service that the team received at this node, divided by its weight.
+   */
   charge(team: string, amount: number): void;
-  /** Takes in the whole service of one request, divided by the weight. */
+  /** Records the total service of one request, divided by the team's weight. */
   observeLargest(amount: number): void;
+  /** Returns the largest service of one request, divided by the weight. */
   getLargest(): number;
-  /** Says whether the team has requests waiting at this node. */
+  /** Sets whether the team has requests waiting at this node. */
   setWaiting(team: string, isWaiting: boolean): void;
   isBacklogged(team: string): boolean;
-  /** Whether any other team waits anywhere, as far as known here. */
+  /** Whether any other team waits anywhere, as far as this node knows. */
   isContended(team: string): boolean;
-  /** Changes the parent; a node without one is the root of its tree. */
+  /** Sets the parent; a node without a parent is the root of its tree. */
   setParent(parent: string | undefined): void;
-  /** Takes in a child's report and gives the view to send back. */
+  /** Applies a child's report and returns the view to send back. */
   receiveReport(child: string, report: CounterReport): CounterView;
-  /** A dead child has nothing waiting; its service stays in the sums. */
+  /**
+   * Clears the backlog of a child that is dead. Its service remains in the
+   * sums.
+   */
   clearChildBacklog(child: string): void;
-  /** The report for the parent; `undefined` when there is nothing to say. */
+  /** Returns the report for the parent; `undefined` if none is due. */
   tryGetReport(): CounterReport | undefined;
   receiveView(view: CounterView): void;
 }
 
 /**
- * A backlogged team is at most so many of the largest requests behind the one
- * furthest ahead. Without this cap a region that was cut off for an hour would
- * bring an hour's difference into the fleet, and the teams ahead would starve
- * until it is worked off. Eight keeps clear of the spread in normal use, which
- * the scenario `fairness` shows at below four.
+ * Largest difference between the counters of two backlogged teams, in units of
+ * the largest request. Without this cap a region that was partitioned for an
+ * hour would bring an hour's difference into the fleet, and the teams with the
+ * higher counters would starve until the others have caught up. Eight is well
+ * above the spread in normal operation, which the scenario `fairness` shows to
+ * be below four.
  */
 export const MAX_SPREAD_REQUESTS = 8;
 
-/** A node without news still reports so often, to hear of others' backlog. */
+/**
+ * Longest time between two reports. A node without changes reports as well,
+ * since the reply tells it the backlog at other nodes.
+ */
 const MAX_REPORT_GAP_MS = 2_000;
 
-/** Reports in flight that a late view may still acknowledge. */
+/** Reports that a late view may still acknowledge. */
 const MAX_UNACKED_SNAPSHOTS = 8;
 
+/** State of one team at this node. Sums are of service divided by weight. */
 interface TeamEntry {
-  /** Fleet-wide sum as the parent told it, with this node's sum up to `acked`. */
+  /**
+   * Fleet-wide sum known from the parent, with this node's sum up to
+   * `ackedSum`.
+   */
   knownSum: number;
-  /** Service added at this node and below since the node's start. */
+  /** Service added at this node and its descendants since the node's start. */
   sum: number;
-  /** Part of `sum` that `known` contains. */
+  /** Part of `sum` that `knownSum` contains. */
   ackedSum: number;
-  /** `acked` as the session began. */
+  /** Value of `ackedSum` when the session began. */
   sessionBaseSum: number;
-  /** A raise that the parent has not acknowledged; zero for none. */
+  /** Floor that the parent has not acknowledged yet; zero for none. */
   pendingFloor: number;
   isWaiting: boolean;
-  /** Backlogged anywhere, by the parent's last view. */
+  /** Whether the team is backlogged anywhere, by the parent's last view. */
   isBackloggedAtParent: boolean;
-  /** What the parent knows of this node's own backlog. */
+  /** Backlog of this node's subtree that the parent has acknowledged. */
   ackedBacklogged: boolean;
 }
 
@@ -93,7 +109,7 @@
   { readonly sum: number; readonly floor: number; readonly backlogged: boolean }
 >;
 
-/** Makes a node that is a root and stands at zero. */
+/** Creates a root node with all counters at zero. */
 export function createServiceCounters(host: CountersHost): ServiceCounters {
   const entries = new Map<string, TeamEntry>();
   const children = new Map<string, ChildState>();
@@ -123,14 +139,16 @@
     return entry.knownSum + entry.sum - entry.ackedSum;
   }
 
-  /** Lifts the sum as the parent would know it; never lowers it. */
+  /** Raises the sum known from the parent to a floor; never lowers it. */
   function raiseKnownSum(entry: TeamEntry, floor: number): void {
     if (entry.knownSum >= floor) return;
     entry.knownSum = floor;
     entry.pendingFloor = floor;
   }
 
-  /** Lifts the counter, with what is not yet acknowledged, to the level. */
+  /**
+   * Raises the counter, which includes unacknowledged service, to the level.
+   */
   function raise(entry: TeamEntry, level: number): void {
     raiseKnownSum(entry, level - (entry.sum - entry.ackedSum));
   }
@@ -163,7 +181,10 @@
     );
   }
 
-  /** The root alone moves virtual time: only it sees every backlogged team. */
+  /**
+   * Applies the cap on the spread and advances virtual time. Called at the root
+   * only, which alone knows of all backlogged teams.
+   */
   function advanceVirtualTime(): void {
     const backlogged = getBackloggedEntries();
     if (backlogged.length === 0) return;
@@ -192,7 +213,8 @@
     largest = Math.max(largest, report.largest);
     for (const each of report.teams) {
       const entry = getEntry(each.team);
-      // The floor leaves out what the child has yet to report, so it goes first.
+      // The floor does not contain service that the child has not reported yet,
+      // so it is applied before the amount.
       if (each.floor > 0) raise(entry, each.floor);
       entry.sum += each.amount - (child.amounts.get(each.team) ?? 0);
       child.amounts.set(each.team, each.amount);
@@ -226,8 +248,9 @@
   }
 
   /**
-   * Service of a team that waits nowhere is not urgent: once it waits it is told
-   * at once, and until then at most one largest request is kept back.
+   * Whether the parent has to be told of a team. The service of a team that
+   * waits nowhere is not urgent: it is reported as soon as the team waits, and
+   * until then the unreported service is at most that of the largest request.
    */
   function hasUnreportedChange(entry: TeamEntry, backlogged: boolean): boolean {
     if (backlogged !== entry.ackedBacklogged) return true;
@@ -253,8 +276,8 @@
     const backlogged = new Set<string>();
     for (const each of view.teams) {
       const entry = getEntry(each.team);
-      // A new parent may know less than this node does: it starts from the
-      // floors of its children, which arrive one by one.
+      // A new parent may know less than this node: it starts with the floors
+      // that its children report one after another.
       const least = isSessionUnanswered ? entry.knownSum : entry.pendingFloor;
       entry.knownSum = Math.max(each.amount, least);
       if (each.backlogged) backlogged.add(each.team);
@@ -275,8 +298,8 @@
     getLargest: () => largest,
     setWaiting(team, isWaiting) {
       const entry = getEntry(team);
-      // A team that was idle earns no credit: it starts level with the lowest
-      // backlogged team instead of collecting for the time it was away.
+      // An idle team earns no credit: it starts at the counter of the lowest
+      // backlogged team and gets no service for the time in which it was idle.
       if (isWaiting && !isBackloggedAnywhere(team, entry)) {
         const lowest = getLowestCounter(getBackloggedEntries());
         raise(entry, Math.max(virtualTime, lowest === Infinity ? 0 : lowest));
--- a/src/fairness/counters_test.ts
+++ b/src/fairness/counters_test.ts
@@ -1,6 +1,6 @@
 /**
- * Tests of the tree of counters: lost and doubled messages, raises, new parents
- * and cuts.
+ * Tests of the tree of service counters: lost and duplicated messages, raises,
+ * new parents and network partitions.
  *
  * @module
  */
@@ -43,7 +43,7 @@
   node.child.receiveView(root.receiveReport(node.name, report));
 }
 
-/** Enough rounds that news from each child has reached each other. */
+/** Runs enough rounds for changes at each child to reach all others. */
 function settle({ clock, children }: Nodes, root: ServiceCounters): void {
   for (let round = 0; round < 4; round++) {
     clock.advance(2_000);
@@ -65,10 +65,10 @@
   }),
 );
 
-test("each charge counts once, whatever is lost or comes twice", () => {
-  // A team is served less than its share for good: the acknowledgement of a
-  // report was lost, the child sent the same service again, and the parent
-  // added it a second time.
+test("each charge counts exactly once when messages are lost or duplicated", () => {
+  // Guards against service that is counted twice: the acknowledgement of a
+  // report is lost, the child sends the service again, and the parent adds it a
+  // second time. The team would be served less than its share forever.
   fc.assert(fc.property(fc.array(step, { maxLength: 60 }), (steps) => {
     const nodes = createNodes(3);
     const { root, children } = nodes;
@@ -100,9 +100,10 @@
   }));
 });
 
-test("a raise at two owners raises once", () => {
-  // A team that comes back waits twice as long as it should: two owners each
-  // lifted it to the level of the others, and the parent added both.
+test("a raise of a counter at two owners is applied once", () => {
+  // Two owners each raise the counter of a team that was idle to that of the
+  // others. If the parent added both raises, the team would wait twice as long
+  // as it should.
   const nodes = createNodes(2);
   const { root, children } = nodes;
   const [first, second] = children.map((each) => each.child);
@@ -119,9 +120,9 @@
   assert.equal(first!.get("birch"), 515);
 });
 
-test("a team that waits at another owner is not raised again", () => {
-  // A backlogged team loses what it is owed whenever its queue at one host runs
-  // dry for a moment while it waits at others.
+test("the counter of a team that waits at another owner is not raised", () => {
+  // Guards against a backlogged team that loses service due to it whenever its
+  // queue at one host is empty for a moment while it waits at other hosts.
   const nodes = createNodes(2);
   const { root, children } = nodes;
   const [first, second] = children.map((each) => each.child);
@@ -134,9 +135,10 @@
   assert.equal(second!.get("birch"), 0);
 });
 
-test("a parent that restarts empty takes over the counters", () => {
-  // All teams seem level after the parent's host was replaced, and one that had
-  // far more than its share goes on ahead of the others.
+test("a parent that restarts empty takes over the counters of its children", () => {
+  // Guards against lost counters when the parent's host is replaced: all teams
+  // would seem equal, and one that had far more than its share would keep its
+  // advantage.
   const nodes = createNodes(2);
   const { children, create } = nodes;
   const [first, second] = children.map((each) => each.child);
@@ -154,9 +156,10 @@
   }
 });
 
-test("after a cut of any length teams are apart by the cap at most", () => {
-  // Teams of one region get nothing for as long as the regions were apart: the
-  // others had been served less there, and are owed an hour of service.
+test("after a partition of any length counters differ by at most the cap", () => {
+  // Guards against starvation after a network partition between regions: teams
+  // that were served less in one region would be due the difference, an hour of
+  // service, and the others would get nothing meanwhile.
   fc.assert(fc.property(
     fc.integer({ min: 1, max: 1_000_000 }),
     fc.integer({ min: 1, max: 500 }),
@@ -182,7 +185,7 @@
   ));
 });
 
-test("a team that comes back from idling has no credit", () => {
+test("a team that was idle has no credit", () => {
   const nodes = createNodes(1);
   const { root, children } = nodes;
   const { child } = children[0]!;
@@ -193,9 +196,9 @@
   assert.equal(child.get("birch"), child.get("alder"));
 });
 
-test("the backlog of a child that fell silent ends", () => {
-  // A team is charged for service that takes nothing from anybody, since a dead
-  // host's team still seems to wait.
+test("the backlog of a child without reports expires", () => {
+  // Guards against a dead host whose teams still seem to wait. Others would be
+  // charged for service that takes nothing from any team.
   const nodes = createNodes(2);
   const { clock, root, children } = nodes;
   children[0]!.child.setWaiting("alder", true);
--- a/src/fairness/mod.ts
+++ b/src/fairness/mod.ts
@@ -1,5 +1,5 @@
 /**
- * Fair shares of each service over the fleet.
+ * Fair sharing of each service among the teams, over the whole fleet.
  *
  * @module
  */
--- a/src/fairness/types.ts
+++ b/src/fairness/types.ts
@@ -1,40 +1,46 @@
 /**
- * What the nodes of the tree of counters say to each other.
+ * Messages between the nodes of the tree of service counters.
  *
  * @module
  */
 
-/** Service of one team in a report or a view. */
+/** The service of one team in a report or a view. */
 export interface TeamService {
   readonly team: string;
   /**
-   * Normalised by weight. In a report: the sum since the session began. In a
-   * view: the sum over the fleet.
+   * Service divided by the team's weight. In a report: the sum since the
+   * session began. In a view: the sum over the fleet.
    */
   readonly amount: number;
+  /**
+   * Whether the team has requests waiting. In a report: in the child's subtree.
+   * In a view: anywhere, as far as the parent knows.
+   */
   readonly backlogged: boolean;
-  /** In a report: the parent's sum is at least this; zero for none. */
+  /** In a report: least value for the parent's sum; zero for none. */
   readonly floor: number;
 }
 
-/** What a child tells its parent. */
+/** Message from a child to its parent. */
 export interface CounterReport {
   readonly sequence: number;
-  /** Picked anew by the child for each parent. */
+  /** Number chosen by the child; each new parent gets a new session. */
   readonly session: number;
   /** True until the parent has answered in this session. */
   readonly first: boolean;
-  /** Largest service of one request, normalised by weight. */
+  /** Largest service of one request so far, divided by the weight. */
   readonly largest: number;
   readonly teams: readonly TeamService[];
 }
 
-/** What a parent tells its child. */
+/** Reply of a parent to a report of its child. */
 export interface CounterView {
   readonly session: number;
-  /** The highest report that the sums contain. */
+  /** Highest sequence number of the reports that the sums contain. */
   readonly acked: number;
-  /** True: the parent does not know the session; begin a new one. */
+  /**
+   * True: the parent does not know the session; the child must start a new one.
+   */
   readonly reset: boolean;
   readonly virtualTime: number;
   readonly largest: number;
