--- a/src/forwarding/pass_on_stream.ts
+++ b/src/forwarding/pass_on_stream.ts
@@ -12,8 +12,8 @@
 import { startTimeLimit } from "../core/mod.ts";
 import {
   type CallerLost,
-  createVanished,
-  onCallerLeft,
+  createDisconnected,
+  onCallerDisconnected,
 } from "../requests/caller.ts";
 import type { Call, ForwardHost } from "./call.ts";
 import { createEventFrames, type EventChunk } from "./event_frames.ts";
@@ -101,9 +101,9 @@
       silence?.[Symbol.dispose]();
       resume(answer.isWhole.pipe(Effect.flatMap(finish)));
     });
-    const watch = onCallerLeft(
+    const watch = onCallerDisconnected(
       caller,
-      () => resume(Effect.fail(createVanished())),
+      () => resume(Effect.fail(createDisconnected())),
     );
     return Effect.sync(() => {
       watch[Symbol.dispose]();
--- a/src/forwarding/pick_upstream.ts
+++ b/src/forwarding/pick_upstream.ts
@@ -15,7 +15,7 @@
   rankByLoad,
 } from "../placement/mod.ts";
 import type { Choice, PromptRefusal, WaitingPrompt } from "../queue/mod.ts";
-import { hasLeft } from "../requests/caller.ts";
+import { hasDisconnected } from "../requests/caller.ts";
 import { type Call, type ForwardHost, getLeftMs } from "./call.ts";
 import { createNotRun, Rejected } from "./replies.ts";
 import { getRestRetryMs } from "./retry_after.ts";
@@ -112,7 +112,7 @@
       size,
       workTokens,
       getChoices: keepChoices(host, call, prompt),
-      isWanted: () => !hasLeft(call.res),
+      isWanted: () => !hasDisconnected(call.res),
       start(id, { readingTokens, queuedTokens }) {
         const upstream = host.directory.getReady(call.service)
           .find((each) => each.id === id)!;
--- a/src/forwarding/read_body.ts
+++ b/src/forwarding/read_body.ts
@@ -11,8 +11,8 @@
 import { startTimeLimit } from "../core/mod.ts";
 import {
   type CallerLost,
-  createVanished,
-  onCallerLeft,
+  createDisconnected,
+  onCallerDisconnected,
 } from "../requests/caller.ts";
 import { Rejected } from "./replies.ts";
 
@@ -66,9 +66,9 @@
     );
     req.on("data", onData);
     req.on("end", onEnd);
-    const caller = onCallerLeft(
+    const caller = onCallerDisconnected(
       res,
-      () => finish(Effect.fail(createVanished())),
+      () => finish(Effect.fail(createDisconnected())),
     );
     return Effect.sync(stop);
   });
--- a/src/forwarding/serve.ts
+++ b/src/forwarding/serve.ts
@@ -11,9 +11,9 @@
 import { getDigest, startTimeLimit } from "../core/mod.ts";
 import {
   type CallerLost,
-  createVanished,
-  hasLeft,
-  onCallerLeft,
+  createDisconnected,
+  hasDisconnected,
+  onCallerDisconnected,
 } from "../requests/caller.ts";
 import { pickService, type Route, type RouteTable } from "../routing/mod.ts";
 import {
@@ -206,7 +206,7 @@
 }
 
 function checkCaller(res: ServerResponse): Effect.Effect<void, CallerLost> {
-  return hasLeft(res) ? Effect.fail(createVanished()) : Effect.void;
+  return hasDisconnected(res) ? Effect.fail(createDisconnected()) : Effect.void;
 }
 
 function createFault(what: string): Rejected {
@@ -265,9 +265,9 @@
 ): Effect.Effect<never, Rejected | CallerLost> {
   const { res } = call;
   return Effect.callback<never, Rejected | CallerLost>((resume) => {
-    const caller = onCallerLeft(
+    const caller = onCallerDisconnected(
       res,
-      () => resume(Effect.fail(createVanished())),
+      () => resume(Effect.fail(createDisconnected())),
     );
     const limit = startTimeLimit(
       Math.max(0, getLeftMs(host, call)),
--- a/src/requests/caller.ts
+++ b/src/requests/caller.ts
@@ -18,10 +18,10 @@
  * A caller that reads nothing for so long is given up, in ms: without the limit
  * a stopped reader would hold a slot for good.
  */
-export const CALLER_STALL_MS = 30_000;
+export const CALLER_READ_TIMEOUT_MS = 30_000;
 
 /** Pause between signs of life to a waiting caller, in ms. */
-export const CALLER_HEARTBEAT_MS = 5_000;
+export const CALLER_HEARTBEAT_INTERVAL_MS = 5_000;
 
 /** Writes, and waits until the caller has room for more. */
 export function writeToCaller(
@@ -29,14 +29,14 @@
   text: string,
 ): Effect.Effect<void, CallerLost> {
   return Effect.suspend(() => {
-    if (res.destroyed) return Effect.fail(createVanished());
+    if (res.destroyed) return Effect.fail(createDisconnected());
     if (res.write(text)) return Effect.void;
     return waitForDrain(res);
   });
 }
 
 /** The failure of a request whose caller closed its connection. */
-export function createVanished(): CallerLost {
+export function createDisconnected(): CallerLost {
   return new CallerLost({ reason: "The caller vanished" });
 }
 
@@ -44,7 +44,7 @@
  * Whether the caller closed its connection before it had its answer. The end of
  * what it sends is read two turns before Node destroys the response.
  */
-export function hasLeft(res: ServerResponse): boolean {
+export function hasDisconnected(res: ServerResponse): boolean {
   if (res.writableFinished) return false;
   return res.destroyed || res.req.socket.readableEnded;
 }
@@ -53,36 +53,36 @@
  * Runs once, as soon as the caller has left, and never before this returns;
  * disposing of it prevents that.
  */
-export function onCallerLeft(
+export function onCallerDisconnected(
   res: ServerResponse,
   run: () => void,
 ): Disposable {
   const { socket } = res.req;
-  let isOver = false;
+  let isStopped = false;
   function stop(): void {
-    isOver = true;
-    res.off("close", look);
-    socket.off("end", look);
+    isStopped = true;
+    res.off("close", check);
+    socket.off("end", check);
   }
-  function look(): void {
-    if (isOver || !hasLeft(res)) return;
+  function check(): void {
+    if (isStopped || !hasDisconnected(res)) return;
     stop();
     run();
   }
-  res.on("close", look);
-  socket.on("end", look);
-  queueMicrotask(look);
+  res.on("close", check);
+  socket.on("end", check);
+  queueMicrotask(check);
   return { [Symbol.dispose]: stop };
 }
 
 /** Fails as soon as the caller's connection closes; never succeeds. */
-export function watchCaller(
+export function failOnDisconnect(
   res: ServerResponse,
 ): Effect.Effect<never, CallerLost> {
   return Effect.callback<never, CallerLost>((resume) => {
-    const watch = onCallerLeft(
+    const watch = onCallerDisconnected(
       res,
-      () => resume(Effect.fail(createVanished())),
+      () => resume(Effect.fail(createDisconnected())),
     );
     return Effect.sync(() => watch[Symbol.dispose]());
   });
@@ -97,13 +97,14 @@
   res: ServerResponse,
 ): Effect.Effect<never> {
   // HTTP/1.0 knows no interim answers.
-  const takesInterim = req.httpVersionMajor === 1 && req.httpVersionMinor >= 1;
+  const acceptsInterim = req.httpVersionMajor === 1 &&
+    req.httpVersionMinor >= 1;
   return Effect.gen(function* () {
     while (true) {
-      yield* Effect.sleep(CALLER_HEARTBEAT_MS);
+      yield* Effect.sleep(CALLER_HEARTBEAT_INTERVAL_MS);
       if (res.destroyed || res.writableEnded) continue;
       if (!res.headersSent) {
-        if (takesInterim) res.writeProcessing();
+        if (acceptsInterim) res.writeProcessing();
       } else if (res.writableLength === 0) {
         res.write(": heartbeat\n\n");
       }
@@ -119,10 +120,10 @@
     res.once("drain", onDrain);
     return Effect.sync(() => res.off("drain", onDrain));
   });
-  const reason = `The caller read nothing for ${CALLER_STALL_MS} ms`;
+  const reason = `The caller read nothing for ${CALLER_READ_TIMEOUT_MS} ms`;
   return drained.pipe(
     Effect.timeoutOrElse({
-      duration: CALLER_STALL_MS,
+      duration: CALLER_READ_TIMEOUT_MS,
       orElse: () => {
         res.destroy();
         return Effect.fail(new CallerLost({ reason }));
--- a/src/requests/serve.ts
+++ b/src/requests/serve.ts
@@ -11,7 +11,7 @@
 import * as Effect from "effect/Effect";
 import type { AdmittedRequest } from "../types.ts";
 import { admit } from "./admit.ts";
-import { type CallerLost, sendHeartbeats, watchCaller } from "./caller.ts";
+import { type CallerLost, failOnDisconnect, sendHeartbeats } from "./caller.ts";
 import { recordEnd } from "./end.ts";
 import {
   parseCall,
@@ -48,7 +48,7 @@
     yield* admitAndRun(host, request, call, res);
   });
   return served.pipe(
-    Effect.raceFirst(watchCaller(res)),
+    Effect.raceFirst(failOnDisconnect(res)),
     Effect.raceFirst(sendHeartbeats(req, res)),
     Effect.catchTag(
       "RequestRejected",
