--- a/src/requests/admit.ts
+++ b/src/requests/admit.ts
@@ -8,7 +8,7 @@
 import * as Effect from "effect/Effect";
 import type { AdmittedRequest } from "../types.ts";
 import { type ParsedCall, reject, type RequestRejected } from "./parse.ts";
-import { createNotRun } from "./reply.ts";
+import { createNotRunReply } from "./reply.ts";
 import type { ServeHost } from "./types.ts";
 
 /** Admits the request or fails with the reply that refuses it. */
@@ -47,19 +47,19 @@
   const { retryAfterMs } = decision;
   switch (decision.reason) {
     case "draining":
-      return reject(createNotRun(503, "draining", { retryAfterMs }));
+      return reject(createNotRunReply(503, "draining", { retryAfterMs }));
     case "queue-full":
-      return reject(createNotRun(429, "queueFull", {
+      return reject(createNotRunReply(429, "queueFull", {
         args: [teamQueued, admitted.service],
         retryAfterMs,
       }));
     case "host-full":
-      return reject(createNotRun(503, "hostFull", {
+      return reject(createNotRunReply(503, "hostFull", {
         args: [host.backlog.getUse().requests],
         retryAfterMs,
       }));
     case "deadline-unreachable":
-      return reject(createNotRun(503, "deadlineUnreachable", {
+      return reject(createNotRunReply(503, "deadlineUnreachable", {
         args: [Math.round(call.timeoutMs)],
         retryAfterMs,
       }));
--- a/src/requests/end.ts
+++ b/src/requests/end.ts
@@ -9,8 +9,8 @@
 import type { AdmittedRequest } from "../types.ts";
 import type { UpstreamError } from "../upstreams/mod.ts";
 import {
-  createMayHaveRun,
-  createNotRun,
+  createMayHaveRunReply,
+  createNotRunReply,
   type FinalReply,
   OUTCOME_HEADER,
   REQUEST_HEADER,
@@ -18,7 +18,7 @@
 import type { Progress, RequestEnd, ServeHost } from "./types.ts";
 
 /** The reply for a request that is given up after its upstream failed. */
-export function toReply(
+export function createFailureReply(
   err: UpstreamError,
   admitted: AdmittedRequest,
   progress: Progress,
@@ -26,12 +26,12 @@
   if (progress.nextOffset > 0) {
     const last = progress.nextOffset - 1;
     const args = [last, admitted.service, err.reason];
-    return createMayHaveRun(502, "answerIncomplete", { args });
+    return createMayHaveRunReply(502, "answerIncomplete", { args });
   }
   const args = [admitted.service, err.reason];
   return progress.mayHaveRun
-    ? createMayHaveRun(502, "upstreamFailed", { args })
-    : createNotRun(502, "upstreamFailed", { args, retryAfterMs: 1_000 });
+    ? createMayHaveRunReply(502, "upstreamFailed", { args })
+    : createNotRunReply(502, "upstreamFailed", { args, retryAfterMs: 1_000 });
 }
 
 /** Sends a plain service's whole answer. */
--- a/src/requests/parse.ts
+++ b/src/requests/parse.ts
@@ -11,7 +11,7 @@
 import * as Effect from "effect/Effect";
 import { getDigest, isEqualInConstantTime } from "../core/mod.ts";
 import type { Deployment, Operation, Service, Team } from "../types.ts";
-import { createNotRun, type FinalReply } from "./reply.ts";
+import { createNotRunReply, type FinalReply } from "./reply.ts";
 
 /** A request that ends before it is admitted. */
 export class RequestRejected extends Data.TaggedError("RequestRejected")<{
@@ -35,12 +35,12 @@
 }
 
 /** A body that has not arrived after so long is given up, in ms. */
-export const BODY_LIMIT_MS = 30_000;
+export const BODY_TIMEOUT_MS = 30_000;
 
 /** What a caller sends after its answer is read for so long, in ms. */
-const DISCARD_LIMIT_MS = 5_000;
+const DISCARD_TIMEOUT_MS = 5_000;
 
-const PATH = /^\/v1\/([^/]+)\/([^/]+)$/;
+const CALL_PATH = /^\/v1\/([^/]+)\/([^/]+)$/;
 
 /** Finds the team whose key the request carries. */
 export function authenticate(
@@ -49,14 +49,14 @@
 ): Effect.Effect<Team, RequestRejected> {
   const header = req.headers.authorization ?? "";
   if (!header.startsWith("Bearer ")) {
-    return reject(createNotRun(401, "missingKey"));
+    return reject(createNotRunReply(401, "missingKey"));
   }
   const digest = getDigest(header.slice("Bearer ".length));
   const team = teams.find((each) =>
     isEqualInConstantTime(each.keyDigest, digest)
   );
   return team === undefined
-    ? reject(createNotRun(401, "unknownKey"))
+    ? reject(createNotRunReply(401, "unknownKey"))
     : Effect.succeed(team);
 }
 
@@ -72,17 +72,17 @@
     if (!operation.idempotent && idempotencyKey === "") {
       const args = [operation.name];
       return yield* reject(
-        createNotRun(400, "missingIdempotencyKey", { args }),
+        createNotRunReply(400, "missingIdempotencyKey", { args }),
       );
     }
-    const timeoutMs = yield* readNumber(
+    const timeoutMs = yield* readNumberHeader(
       req,
       "azurestile-timeout-ms",
       service.maxDeadlineMs,
     );
-    const costHint = yield* readNumber(req, "azurestile-cost-hint", NaN);
+    const costHint = yield* readNumberHeader(req, "azurestile-cost-hint", NaN);
     const body = yield* readBody(req, service.maxBodyBytes);
-    yield* checkJson(body);
+    yield* checkJsonObject(body);
     return {
       team,
       service,
@@ -106,28 +106,32 @@
 function findOperation(req: IncomingMessage, deployment: Deployment) {
   return Effect.gen(function* () {
     const path = (req.url ?? "").split("?")[0]!;
-    const match = PATH.exec(path);
+    const match = CALL_PATH.exec(path);
     if (match === null) {
-      return yield* reject(createNotRun(404, "unknownPath", { args: [path] }));
+      return yield* reject(
+        createNotRunReply(404, "unknownPath", { args: [path] }),
+      );
     }
     const [, serviceId = "", operationName = ""] = match;
     const service = deployment.services.find((each) => each.id === serviceId);
     if (service === undefined) {
       const args = [serviceId];
-      return yield* reject(createNotRun(404, "unknownService", { args }));
+      return yield* reject(createNotRunReply(404, "unknownService", { args }));
     }
     const operation = service.operations.find((each) =>
       each.name === operationName
     );
     if (operation === undefined) {
       const args = [serviceId, operationName];
-      return yield* reject(createNotRun(404, "unknownOperation", { args }));
+      return yield* reject(
+        createNotRunReply(404, "unknownOperation", { args }),
+      );
     }
     return { service, operation };
   });
 }
 
-function readNumber(
+function readNumberHeader(
   req: IncomingMessage,
   header: string,
   fallback: number,
@@ -137,7 +141,7 @@
   const value = Number(text);
   if (Number.isFinite(value) && value > 0) return Effect.succeed(value);
   const args = [header, String(text), "a positive number"];
-  return reject(createNotRun(400, "badHeader", { args }));
+  return reject(createNotRunReply(400, "badHeader", { args }));
 }
 
 /**
@@ -149,14 +153,14 @@
   maxBytes: number,
 ): Effect.Effect<string, RequestRejected> {
   const declared = Number(req.headers["content-length"] ?? 0);
-  const tooLarge = createNotRun(413, "bodyTooLarge", { args: [maxBytes] });
-  if (declared > maxBytes) return discardBody(req, tooLarge);
+  const tooLarge = createNotRunReply(413, "bodyTooLarge", { args: [maxBytes] });
+  if (declared > maxBytes) return rejectAndDiscardBody(req, tooLarge);
   return Effect.callback<string, RequestRejected>((resume) => {
     const chunks: Buffer[] = [];
     let size = 0;
     const onData = (chunk: Buffer) => {
       size += chunk.length;
-      if (size > maxBytes) resume(discardBody(req, tooLarge));
+      if (size > maxBytes) resume(rejectAndDiscardBody(req, tooLarge));
       else chunks.push(chunk);
     };
     const onEnd = () =>
@@ -168,10 +172,13 @@
       req.off("end", onEnd);
     });
   }).pipe(Effect.timeoutOrElse({
-    duration: BODY_LIMIT_MS,
+    duration: BODY_TIMEOUT_MS,
     orElse: () => {
-      const args = [BODY_LIMIT_MS];
-      return discardBody(req, createNotRun(408, "slowBody", { args }));
+      const args = [BODY_TIMEOUT_MS];
+      return rejectAndDiscardBody(
+        req,
+        createNotRunReply(408, "slowBody", { args }),
+      );
     },
   }));
 }
@@ -181,24 +188,24 @@
  * away for a while: a connection that is closed with unread data is reset, and
  * the reset can overtake the answer.
  */
-function discardBody(
+function rejectAndDiscardBody(
   req: IncomingMessage,
   reply: FinalReply,
 ): Effect.Effect<never, RequestRejected> {
   req.resume();
-  const timer = setTimeout(() => req.destroy(), DISCARD_LIMIT_MS);
+  const timer = setTimeout(() => req.destroy(), DISCARD_TIMEOUT_MS);
   req.on("close", () => clearTimeout(timer));
   return reject(reply);
 }
 
-function checkJson(body: string): Effect.Effect<void, RequestRejected> {
+function checkJsonObject(body: string): Effect.Effect<void, RequestRejected> {
   try {
     const value: unknown = JSON.parse(body);
     if (typeof value === "object" && value !== null) return Effect.void;
     const args = ["the value is no object"];
-    return reject(createNotRun(400, "malformedJson", { args }));
+    return reject(createNotRunReply(400, "malformedJson", { args }));
   } catch (err) {
     const args = [err instanceof Error ? err.message : String(err)];
-    return reject(createNotRun(400, "malformedJson", { args }));
+    return reject(createNotRunReply(400, "malformedJson", { args }));
   }
 }
--- a/src/requests/reply.ts
+++ b/src/requests/reply.ts
@@ -37,7 +37,7 @@
 }
 
 /** Makes a reply for a request that did not run. */
-export function createNotRun(
+export function createNotRunReply(
   status: number,
   message: MessageName,
   options: { args?: readonly (string | number)[]; retryAfterMs?: number } = {},
@@ -52,16 +52,19 @@
 }
 
 /** Makes a reply for a request whose effect is unknown. */
-export function createMayHaveRun(
+export function createMayHaveRunReply(
   status: number,
   message: MessageName,
   options: { args?: readonly (string | number)[]; retryAfterMs?: number } = {},
 ): FinalReply {
-  return { ...createNotRun(status, message, options), outcome: "may-have-run" };
+  return {
+    ...createNotRunReply(status, message, options),
+    outcome: "may-have-run",
+  };
 }
 
 /** The JSON body of a final reply. */
-export function getReplyBody(reply: FinalReply, request: string): string {
+export function createReplyBody(reply: FinalReply, request: string): string {
   return JSON.stringify({
     outcome: reply.outcome,
     code: messages[reply.message].code,
@@ -78,7 +81,7 @@
   request: string,
 ): void {
   if (res.destroyed || res.writableEnded) return;
-  const body = getReplyBody(reply, request);
+  const body = createReplyBody(reply, request);
   if (res.headersSent) {
     res.end(`event: end\ndata: ${body}\n\n`);
     return;
--- a/src/requests/resume_stream.ts
+++ b/src/requests/resume_stream.ts
@@ -14,7 +14,7 @@
 import type { CallerLost } from "./caller.ts";
 import { sendStreamEnd } from "./end.ts";
 import { authenticate, reject, type RequestRejected } from "./parse.ts";
-import { createMayHaveRun, createNotRun } from "./reply.ts";
+import { createMayHaveRunReply, createNotRunReply } from "./reply.ts";
 import { runOnEngine } from "./run_on_engine.ts";
 import { createProgress, type Progress, type ServeHost } from "./types.ts";
 
@@ -59,18 +59,18 @@
       open: host.upstreams.resume(place, offset),
     }).pipe(
       Effect.ensuring(
-        Effect.sync(() => chargeLater(host, resumption, progress)),
+        Effect.sync(() => scheduleCharge(host, resumption, progress)),
       ),
       Effect.catchTag(
         "UpstreamError",
-        (err) => reject(toGone(err, resumption, progress)),
+        (err) => reject(createResumeFailureReply(err, resumption, progress)),
       ),
     );
     sendStreamEnd(res, request, cost);
   });
 }
 
-function chargeLater(
+function scheduleCharge(
   host: ServeHost,
   resumption: Resumption,
   progress: Progress,
@@ -78,7 +78,7 @@
   const leftover = progress.leftover ?? Effect.succeed(0);
   host.runDetached(leftover.pipe(Effect.map((tokens) => {
     progress.cost = Math.max(progress.cost, tokens);
-    chargeRest(host, resumption, progress);
+    chargeUndelivered(host, resumption, progress);
   })));
 }
 
@@ -86,14 +86,14 @@
  * The host that began the stream charges what it passed on, unless it is dead:
  * then the whole stream is charged here.
  */
-function chargeRest(
+function chargeUndelivered(
   host: ServeHost,
   resumption: Resumption,
   progress: Progress,
 ): void {
   const { name, offset } = resumption;
-  const isCharged = !host.isProcessGone(name.host, name.incarnation);
-  const cost = progress.cost - (isCharged ? offset : 0);
+  const isPrefixCharged = !host.isProcessGone(name.host, name.incarnation);
+  const cost = progress.cost - (isPrefixCharged ? offset : 0);
   if (cost > 0) host.charge(name.service, name.team, cost);
 }
 
@@ -107,24 +107,24 @@
   const token = url.pathname.slice(STREAMS_PATH.length);
   const name = tryReadResumeToken(token, host.fleetSecret);
   if (name === undefined || name.team !== team) {
-    return reject(createNotRun(403, "badResumeToken"));
+    return reject(createNotRunReply(403, "badResumeToken"));
   }
   const text = url.searchParams.get("offset") ?? "0";
   const offset = Number(text);
   if (!Number.isInteger(offset) || offset < 0) {
-    return reject(createNotRun(400, "badOffset", { args: [text] }));
+    return reject(createNotRunReply(400, "badOffset", { args: [text] }));
   }
   const upstream = deployment.upstreams.find((each) =>
     each.id === name.upstream
   );
   if (upstream === undefined) {
     const args = ["its upstream is no longer declared"];
-    return reject(createMayHaveRun(410, "resumeGone", { args }));
+    return reject(createMayHaveRunReply(410, "resumeGone", { args }));
   }
   return Effect.succeed({ name, upstream, offset });
 }
 
-function toGone(
+function createResumeFailureReply(
   err: UpstreamError,
   resumption: Resumption,
   progress: Progress,
@@ -132,7 +132,7 @@
   const { offset, upstream } = resumption;
   if (progress.nextOffset > offset) {
     const args = [progress.nextOffset - 1, upstream.id, err.reason];
-    return createMayHaveRun(502, "answerIncomplete", { args });
+    return createMayHaveRunReply(502, "answerIncomplete", { args });
   }
-  return createMayHaveRun(410, "resumeGone", { args: [err.reason] });
+  return createMayHaveRunReply(410, "resumeGone", { args: [err.reason] });
 }
--- a/src/requests/run_idempotent.ts
+++ b/src/requests/run_idempotent.ts
@@ -16,7 +16,12 @@
 import type { AdmittedRequest } from "../types.ts";
 import { UpstreamError, wasNotSent } from "../upstreams/mod.ts";
 import type { CallerLost } from "./caller.ts";
-import { recordEnd, sendAnswer, sendStreamEnd, toReply } from "./end.ts";
+import {
+  createFailureReply,
+  recordEnd,
+  sendAnswer,
+  sendStreamEnd,
+} from "./end.ts";
 import { type ParsedCall, reject, type RequestRejected } from "./parse.ts";
 import { looksLikeCrash, runOnEngine } from "./run_on_engine.ts";
 import { runOnPlainService } from "./run_on_plain_service.ts";
@@ -192,7 +197,7 @@
 ): Effect.Effect<void, RequestRejected> {
   const { host, admitted, progress } = context;
   return Effect.gen(function* () {
-    const giveUp = reject(toReply(err, admitted, progress));
+    const giveUp = reject(createFailureReply(err, admitted, progress));
     if (!progress.isSent && wasNotSent(err)) {
       tries.refusals++;
       if (tries.refusals > MAX_REFUSALS) yield* giveUp;
--- a/src/requests/run_once.ts
+++ b/src/requests/run_once.ts
@@ -20,11 +20,11 @@
 import type { SlotHandle } from "../slots/mod.ts";
 import type { AdmittedRequest } from "../types.ts";
 import { UpstreamError, wasNotSent } from "../upstreams/mod.ts";
-import { recordEnd, sendAnswer, toReply } from "./end.ts";
+import { createFailureReply, recordEnd, sendAnswer } from "./end.ts";
 import { type ParsedCall, reject, type RequestRejected } from "./parse.ts";
 import {
-  createMayHaveRun,
-  createNotRun,
+  createMayHaveRunReply,
+  createNotRunReply,
   type FinalReply,
   RECORDED_HEADER,
 } from "./reply.ts";
@@ -71,7 +71,7 @@
 ): Effect.Effect<void, RequestRejected> {
   if (call.service.kind === "engine") {
     const args = [admitted.operation];
-    return reject(createNotRun(501, "onceNeedsPlainService", { args }));
+    return reject(createNotRunReply(501, "onceNeedsPlainService", { args }));
   }
   const context: OnceContext = {
     host,
@@ -115,7 +115,7 @@
       if (err === undefined) return;
       hasClaim = true;
       if (wasNotSent(err) && refusals < MAX_REFUSALS) continue;
-      yield* reject(toReply(err, admitted, progress));
+      yield* reject(createFailureReply(err, admitted, progress));
     }
   });
 }
@@ -212,23 +212,27 @@
 ): FinalReply {
   switch (result.kind) {
     case "other-content":
-      return createNotRun(422, "idempotencyKeyReused");
+      return createNotRunReply(422, "idempotencyKeyReused");
     case "unknown":
-      return createMayHaveRun(409, "claimEndUnknown");
+      return createMayHaveRunReply(409, "claimEndUnknown");
     case "unavailable":
       // The claim may stand, but this attempt sent nothing and never will.
-      return createNotRun(503, "claimsUnavailable", { retryAfterMs: 2_000 });
+      return createNotRunReply(503, "claimsUnavailable", {
+        retryAfterMs: 2_000,
+      });
     case "under-way": {
       const { row } = result;
       if (host.isProcessGone(row.host, row.incarnation)) {
-        return createMayHaveRun(409, "claimHolderLost");
+        return createMayHaveRunReply(409, "claimHolderLost");
       }
       const claimedMs = row.expiresMs - CLAIM_KEEP_MS;
       const limitMs = call.service.maxDeadlineMs + HOLDER_SLACK_MS;
       if (host.clock.wallMs() > claimedMs + limitMs) {
-        return createMayHaveRun(409, "claimEndUnknown");
+        return createMayHaveRunReply(409, "claimEndUnknown");
       }
-      return createMayHaveRun(409, "claimedElsewhere", { retryAfterMs: 1_000 });
+      return createMayHaveRunReply(409, "claimedElsewhere", {
+        retryAfterMs: 1_000,
+      });
     }
   }
 }
--- a/src/requests/run_suspect.ts
+++ b/src/requests/run_suspect.ts
@@ -9,7 +9,7 @@
 import type { Upstream } from "../types.ts";
 import { UpstreamError } from "../upstreams/mod.ts";
 import { reject, type RequestRejected } from "./parse.ts";
-import { createMayHaveRun, createNotRun } from "./reply.ts";
+import { createMayHaveRunReply, createNotRunReply } from "./reply.ts";
 import type { Progress, ServeHost } from "./types.ts";
 import { checkDeadline } from "./use_slot.ts";
 
@@ -24,8 +24,8 @@
     const options = { args: [host.quarantine.getCrashes(fingerprint)] };
     return reject(
       mayHaveRun
-        ? createMayHaveRun(422, "quarantined", options)
-        : createNotRun(422, "quarantined", options),
+        ? createMayHaveRunReply(422, "quarantined", options)
+        : createNotRunReply(422, "quarantined", options),
     );
   });
 }
@@ -128,8 +128,8 @@
     const options = { retryAfterMs: 5_000 };
     yield* reject(
       progress.mayHaveRun
-        ? createMayHaveRun(503, "suspectNotAlone", options)
-        : createNotRun(503, "suspectNotAlone", options),
+        ? createMayHaveRunReply(503, "suspectNotAlone", options)
+        : createNotRunReply(503, "suspectNotAlone", options),
     );
   });
 }
--- a/src/requests/serve.ts
+++ b/src/requests/serve.ts
@@ -19,7 +19,11 @@
   reject,
   type RequestRejected,
 } from "./parse.ts";
-import { createMayHaveRun, createNotRun, sendReply } from "./reply.ts";
+import {
+  createMayHaveRunReply,
+  createNotRunReply,
+  sendReply,
+} from "./reply.ts";
 import { resumeStream, STREAMS_PATH } from "./resume_stream.ts";
 import { runIdempotent } from "./run_idempotent.ts";
 import { runOnce } from "./run_once.ts";
@@ -38,7 +42,7 @@
     if (deployment === undefined) {
       const args = ["no configuration is in force"];
       return yield* reject(
-        createNotRun(503, "notReady", { args, retryAfterMs: 1_000 }),
+        createNotRunReply(503, "notReady", { args, retryAfterMs: 1_000 }),
       );
     }
     if (req.url?.startsWith(STREAMS_PATH)) {
@@ -57,7 +61,7 @@
     Effect.catchTag("CallerLost", () => Effect.void),
     Effect.catchCause((cause) =>
       Effect.sync(() => {
-        const reply = createMayHaveRun(500, "internalError", {
+        const reply = createMayHaveRunReply(500, "internalError", {
           args: [String(cause)],
         });
         sendReply(res, reply, request);
--- a/src/requests/use_slot.ts
+++ b/src/requests/use_slot.ts
@@ -11,7 +11,7 @@
 import type { AdmittedRequest } from "../types.ts";
 import { DOWN_SLOT_HOLD_MS } from "../upstreams/mod.ts";
 import { reject, type RequestRejected } from "./parse.ts";
-import { createMayHaveRun, createNotRun } from "./reply.ts";
+import { createMayHaveRunReply, createNotRunReply } from "./reply.ts";
 import {
   getTokenIntervalMs,
   type Progress,
@@ -116,8 +116,8 @@
   const options = { retryAfterMs };
   return reject(
     progress.mayHaveRun
-      ? createMayHaveRun(504, message, options)
-      : createNotRun(504, message, options),
+      ? createMayHaveRunReply(504, message, options)
+      : createNotRunReply(504, message, options),
   );
 }
 
--- a/src/router/drain.ts
+++ b/src/router/drain.ts
@@ -23,7 +23,7 @@
 import * as Effect from "effect/Effect";
 import * as Fiber from "effect/Fiber";
 import type { Clock } from "../core/mod.ts";
-import { createMayHaveRun, sendReply } from "../requests/reply.ts";
+import { createMayHaveRunReply, sendReply } from "../requests/reply.ts";
 
 /** Where a host is on its way out. */
 export type DrainPhase =
@@ -132,7 +132,7 @@
       const cut = waitUntilEnded.pipe(
         Effect.tap(() =>
           Effect.sync(() =>
-            sendReply(res, createMayHaveRun(503, "drainLimitPassed"), "")
+            sendReply(res, createMayHaveRunReply(503, "drainLimitPassed"), "")
           )
         ),
       );
--- a/src/router/public_server.ts
+++ b/src/router/public_server.ts
@@ -12,7 +12,7 @@
 } from "node:http";
 import * as Effect from "effect/Effect";
 import type { RouterSettings } from "../config/mod.ts";
-import { createNotRun, sendReply } from "../requests/reply.ts";
+import { createNotRunReply, sendReply } from "../requests/reply.ts";
 import type { Deployment } from "../types.ts";
 import { tryGetOperator } from "./operator_key.ts";
 
@@ -105,7 +105,7 @@
   } else if (path.startsWith("/ops/")) {
     await serveOperator(host, path, req, res);
   } else {
-    sendReply(res, createNotRun(404, "unknownPath", { args: [path] }), "");
+    sendReply(res, createNotRunReply(404, "unknownPath", { args: [path] }), "");
   }
 }
 
@@ -120,12 +120,12 @@
     teams: host.getDeployment()?.teams ?? [],
   });
   if (operator === undefined) {
-    sendReply(res, createNotRun(403, "operatorKeyNeeded"), "");
+    sendReply(res, createNotRunReply(403, "operatorKeyNeeded"), "");
     return;
   }
   const handler = host.operatorHandlers[`${req.method} ${path}`];
   if (handler === undefined) {
-    sendReply(res, createNotRun(404, "unknownPath", { args: [path] }), "");
+    sendReply(res, createNotRunReply(404, "unknownPath", { args: [path] }), "");
     return;
   }
   const url = new URL(req.url ?? "/", "http://router");
--- a/src/router/where.ts
+++ b/src/router/where.ts
@@ -10,7 +10,7 @@
 import * as Effect from "effect/Effect";
 import type { Membership } from "../membership/mod.ts";
 import { authenticate } from "../requests/parse.ts";
-import { createNotRun, sendReply } from "../requests/reply.ts";
+import { createNotRunReply, sendReply } from "../requests/reply.ts";
 import type { Deployment } from "../types.ts";
 import { sendJson } from "./public_server.ts";
 
@@ -53,7 +53,11 @@
     if (deployment === undefined) {
       const args = ["no configuration is in force"];
       const retryAfterMs = 1_000;
-      sendReply(res, createNotRun(503, "notReady", { args, retryAfterMs }), "");
+      sendReply(
+        res,
+        createNotRunReply(503, "notReady", { args, retryAfterMs }),
+        "",
+      );
       return;
     }
     const team = yield* authenticate(req, deployment.teams);
