--- a/src/requests/resume_stream.ts
+++ b/src/requests/resume_stream.ts
@@ -75,7 +75,7 @@
   resumption: Resumption,
   progress: Progress,
 ): void {
-  const leftover = progress.leftover ?? Effect.succeed(0);
+  const leftover = progress.pendingUpstreamWork ?? Effect.succeed(0);
   host.runDetached(leftover.pipe(Effect.map((tokens) => {
     progress.cost = Math.max(progress.cost, tokens);
     chargeUndelivered(host, resumption, progress);
@@ -92,7 +92,7 @@
   progress: Progress,
 ): void {
   const { name, offset } = resumption;
-  const isPrefixCharged = !host.isProcessGone(name.host, name.incarnation);
+  const isPrefixCharged = !host.isProcessDead(name.host, name.incarnation);
   const cost = progress.cost - (isPrefixCharged ? offset : 0);
   if (cost > 0) host.charge(name.service, name.team, cost);
 }
--- a/src/requests/run_idempotent.ts
+++ b/src/requests/run_idempotent.ts
@@ -25,7 +25,11 @@
 import { type ParsedCall, reject, type RequestRejected } from "./parse.ts";
 import { looksLikeCrash, runOnEngine } from "./run_on_engine.ts";
 import { runOnPlainService } from "./run_on_plain_service.ts";
-import { checkQuarantine, runAtUpstream, takeTurn } from "./run_suspect.ts";
+import {
+  checkQuarantine,
+  runAtUpstream,
+  withTrialIfSuspect,
+} from "./run_suspect.ts";
 import {
   createProgress,
   getRemainingMs,
@@ -70,7 +74,7 @@
         Effect.tapError((err) => countCrash(context, err)),
       );
       const turn = { ...admitted, progress };
-      const err = yield* takeTurn(host, turn, run).pipe(
+      const err = yield* withTrialIfSuspect(host, turn, run).pipe(
         Effect.map(() => undefined),
         Effect.catchTag("UpstreamError", (err) => Effect.succeed(err)),
       );
@@ -86,7 +90,9 @@
 function clearSuspicion(context: RunContext): Effect.Effect<void> {
   const { host, admitted, progress } = context;
   return Effect.suspend(() =>
-    progress.isAlone ? host.quarantine.clear(admitted.fingerprint) : Effect.void
+    progress.hasExclusiveUse
+      ? host.quarantine.clear(admitted.fingerprint)
+      : Effect.void
   );
 }
 
@@ -100,7 +106,7 @@
     if (!looksLikeCrash(err, progress)) return Effect.void;
     // What was delivered can't be taken back, so such a request ends here.
     const isFinal = progress.nextOffset > 0;
-    const crash = { isAlone: progress.isAlone, isFinal };
+    const crash = { isAlone: progress.hasExclusiveUse, isFinal };
     return host.quarantine.recordCrash(admitted.fingerprint, crash);
   }).pipe(Effect.asVoid);
 }
--- a/src/requests/run_on_engine.ts
+++ b/src/requests/run_on_engine.ts
@@ -77,7 +77,7 @@
     Effect.onExit((exit) =>
       Effect.sync(() => {
         if (!progress.isSent || !mayStillRun(exit)) return;
-        progress.leftover = abandonStream(place, {
+        progress.pendingUpstreamWork = abandonStream(place, {
           upstreams: host.upstreams,
           givesGrace: () => !host.isDraining() && !isUpstreamFailure(exit),
           isOver: () => host.clock.monotonicMs() > run.deadlineMs,
--- a/src/requests/run_once.ts
+++ b/src/requests/run_once.ts
@@ -30,7 +30,7 @@
 } from "./reply.ts";
 import { looksLikeCrash } from "./run_on_engine.ts";
 import { runOnPlainService } from "./run_on_plain_service.ts";
-import { runAtUpstream, takeTurn } from "./run_suspect.ts";
+import { runAtUpstream, withTrialIfSuspect } from "./run_suspect.ts";
 import { createProgress, type Progress, type ServeHost } from "./types.ts";
 import { withSlot } from "./use_slot.ts";
 
@@ -108,7 +108,7 @@
         Effect.tapError((err) => countCrash(context, err)),
       );
       const turn = { ...admitted, progress };
-      const err = yield* takeTurn(host, turn, attempt).pipe(
+      const err = yield* withTrialIfSuspect(host, turn, attempt).pipe(
         Effect.map(() => undefined),
         Effect.catchTag("UpstreamError", (err) => Effect.succeed(err)),
       );
@@ -128,7 +128,7 @@
   return Effect.suspend(() => {
     if (!(err instanceof UpstreamError)) return Effect.void;
     if (!looksLikeCrash(err, progress)) return Effect.void;
-    const crash = { isAlone: progress.isAlone, isFinal: true };
+    const crash = { isAlone: progress.hasExclusiveUse, isFinal: true };
     return host.quarantine.recordCrash(admitted.fingerprint, crash);
   }).pipe(Effect.asVoid);
 }
@@ -222,7 +222,7 @@
       });
     case "under-way": {
       const { row } = result;
-      if (host.isProcessGone(row.host, row.incarnation)) {
+      if (host.isProcessDead(row.host, row.incarnation)) {
         return createMayHaveRunReply(409, "claimHolderLost");
       }
       const claimedMs = row.expiresMs - CLAIM_KEEP_MS;
--- a/src/requests/run_suspect.ts
+++ b/src/requests/run_suspect.ts
@@ -31,10 +31,10 @@
 }
 
 /** Pause between looks whether another host's run has ended, in ms. */
-const TRIAL_PAUSE_MS = 250;
+const TRIAL_POLL_INTERVAL_MS = 250;
 
 /** Holds a suspect back until no other run of it, or of a suspect here, goes on. */
-export function takeTurn<A, E>(
+export function withTrialIfSuspect<A, E>(
   host: ServeHost,
   input: {
     readonly fingerprint: string;
@@ -47,10 +47,10 @@
   const { quarantine } = host;
   return Effect.gen(function* () {
     yield* quarantine.catchUp;
-    input.progress.hasTurn = false;
+    input.progress.hasTrial = false;
     if (quarantine.getCrashes(fingerprint) === 0) return yield* run;
     yield* waitForTrial(host, input);
-    input.progress.hasTurn = true;
+    input.progress.hasTrial = true;
     return yield* host.occupancy.inTurn(run).pipe(
       Effect.ensuring(
         Effect.sync(() => host.runDetached(quarantine.endTrial(fingerprint))),
@@ -75,7 +75,7 @@
     while (true) {
       const result = yield* host.quarantine.beginTrial(input.fingerprint);
       if (result !== "busy") return;
-      yield* Effect.sleep(TRIAL_PAUSE_MS);
+      yield* Effect.sleep(TRIAL_POLL_INTERVAL_MS);
       yield* checkDeadline(host, input);
     }
   });
@@ -99,9 +99,9 @@
     yield* checkQuarantine(host, fingerprint, progress.mayHaveRun);
     const isSuspect = host.quarantine.getCrashes(fingerprint) > 0;
     // It came under suspicion while it waited for its slot.
-    if (isSuspect && !progress.hasTurn) yield* holdBack();
-    progress.isAlone = false;
-    if (isSuspect) yield* enterAlone(host, upstream.id, progress);
+    if (isSuspect && !progress.hasTrial) yield* failHeldBack();
+    progress.hasExclusiveUse = false;
+    if (isSuspect) yield* enterExclusively(host, upstream.id, progress);
     else yield* host.occupancy.enter(upstream.id);
     return yield* checkDeadline(host, input).pipe(
       Effect.flatMap(() => run),
@@ -112,19 +112,19 @@
   });
 }
 
-function holdBack(): Effect.Effect<never, UpstreamError> {
+function failHeldBack(): Effect.Effect<never, UpstreamError> {
   const reason = "A request with this content has to run alone";
   return Effect.fail(new UpstreamError({ failure: "held-back", reason }));
 }
 
-function enterAlone(
+function enterExclusively(
   host: ServeHost,
   upstream: string,
   progress: Progress,
 ): Effect.Effect<void, RequestRejected> {
   return Effect.gen(function* () {
-    progress.isAlone = yield* host.occupancy.enterAlone(upstream);
-    if (progress.isAlone) return;
+    progress.hasExclusiveUse = yield* host.occupancy.enterAlone(upstream);
+    if (progress.hasExclusiveUse) return;
     const options = { retryAfterMs: 5_000 };
     yield* reject(
       progress.mayHaveRun
--- a/src/requests/types.ts
+++ b/src/requests/types.ts
@@ -42,7 +42,7 @@
   /** Succeeds when a host that is leaving can't let requests wait longer. */
   readonly waitUntilGivingUp: Effect.Effect<void>;
   /** True when that process of the host is known to be dead. */
-  isProcessGone(host: string, incarnation: number): boolean;
+  isProcessDead(host: string, incarnation: number): boolean;
   /** Charges a team for service that no slot of this host stands for. */
   charge(service: string, team: string, cost: number): void;
   /** Goes on with the effect after the request has ended. */
@@ -77,14 +77,14 @@
   /** True once any run may have had an effect: no more "not run" after that. */
   mayHaveRun: boolean;
   /** True while no other run of a suspect's content may go on. */
-  hasTurn: boolean;
+  hasTrial: boolean;
   /** True while the present run has its upstream alone. */
-  isAlone: boolean;
+  hasExclusiveUse: boolean;
   /**
    * Set when the run ended while its upstream may still work on it: ends when
    * it no longer does, with the cost. The slot is given back only then.
    */
-  leftover: Effect.Effect<number> | undefined;
+  pendingUpstreamWork: Effect.Effect<number> | undefined;
 }
 
 /** Makes the progress of a request that did nothing yet. */
@@ -97,20 +97,20 @@
     laterTokens: 0,
     isSent: false,
     mayHaveRun: false,
-    hasTurn: false,
-    isAlone: false,
-    leftover: undefined,
+    hasTrial: false,
+    hasExclusiveUse: false,
+    pendingUpstreamWork: undefined,
   };
 }
 
 /** Forgets the last run; what the request as a whole came to stays. */
-export function startRun(progress: Progress): void {
+export function resetForAttempt(progress: Progress): void {
   progress.cost = 0;
   progress.firstByteMs = 0;
   progress.tokenWaitMs = 0;
   progress.laterTokens = 0;
   progress.isSent = false;
-  progress.leftover = undefined;
+  progress.pendingUpstreamWork = undefined;
 }
 
 /** Mean time between the tokens of the last run, in ms; 0 for none. */
--- a/src/requests/use_slot.ts
+++ b/src/requests/use_slot.ts
@@ -15,8 +15,8 @@
 import {
   getTokenIntervalMs,
   type Progress,
+  resetForAttempt,
   type ServeHost,
-  startRun,
 } from "./types.ts";
 
 /** What is done with a slot. */
@@ -47,7 +47,7 @@
     const { progress } = use;
     const held: { slot?: SlotHandle } = {};
     let isAnswered = false;
-    startRun(progress);
+    resetForAttempt(progress);
     const wait = waitForSlot(host, admitted, held, use);
     return Effect.all([use.prepare, wait], { concurrency: "unbounded" }).pipe(
       Effect.flatMap(() => use.run(held.slot!)),
@@ -75,7 +75,7 @@
 ): void {
   if (slot === undefined) return;
   const { progress, isAnswered } = run;
-  const { firstByteMs, isSent, leftover } = progress;
+  const { firstByteMs, isSent, pendingUpstreamWork: leftover } = progress;
   const failed = isSent ? "failed" as const : "unused" as const;
   const result = isAnswered ? "answered" as const : failed;
   const tokenIntervalMs = getTokenIntervalMs(progress);
--- a/src/router/serving.ts
+++ b/src/router/serving.ts
@@ -122,7 +122,7 @@
     getDeployment,
     isDraining: drain.isRefusing,
     waitUntilGivingUp: drain.waitUntilGivingUp,
-    isProcessGone,
+    isProcessDead: isProcessGone,
     charge,
     runDetached: drain.runDetached,
     onEnded: journal.requestEnded,
--- a/src/testing/fake_request_host.ts
+++ b/src/testing/fake_request_host.ts
@@ -142,7 +142,7 @@
     getDeployment: () => undefined,
     isDraining: () => false,
     waitUntilGivingUp: Effect.never,
-    isProcessGone: (other) => world.dead.has(other),
+    isProcessDead: (other) => world.dead.has(other),
     charge() {},
     runDetached: (effect) =>
       void runScheduled(scheduler, effect, world.patience),
