--- a/src/requests/run_idempotent.ts
+++ b/src/requests/run_idempotent.ts
@@ -120,7 +120,7 @@
     progress,
     bodyBytes: Buffer.byteLength(context.call.body),
     prepare: Effect.void,
-    onSlot() {},
+    onSlotGranted() {},
     run: (slot) => {
       const run = context.call.service.kind === "engine"
         ? runStream(context, slot, number)
--- a/src/requests/run_once.ts
+++ b/src/requests/run_once.ts
@@ -147,7 +147,7 @@
       progress,
       bodyBytes: Buffer.byteLength(context.call.body),
       prepare,
-      onSlot: () => Deferred.doneUnsafe(slotCame, Effect.void),
+      onSlotGranted: () => Deferred.doneUnsafe(slotCame, Effect.void),
       run: (slot) =>
         runAtUpstream(
           host,
--- a/src/requests/use_slot.ts
+++ b/src/requests/use_slot.ts
@@ -20,17 +20,17 @@
 } from "./types.ts";
 
 /** What is done with a slot. */
-export interface SlotUse<A, E> {
+export interface SlotTask<A, E> {
   readonly progress: Progress;
   readonly bodyBytes: number;
   /** Goes on beside the wait; the slot is used once both are done. */
   readonly prepare: Effect.Effect<void, E>;
   /** Called when the slot has come. */
-  onSlot(): void;
+  onSlotGranted(): void;
   run(slot: SlotHandle): Effect.Effect<A, E>;
 }
 
-const unused = {
+const UNUSED_END = {
   cost: 0,
   firstByteMs: 0,
   tokenIntervalMs: 0,
@@ -41,22 +41,22 @@
 export function withSlot<A, E>(
   host: ServeHost,
   admitted: AdmittedRequest,
-  use: SlotUse<A, E>,
+  task: SlotTask<A, E>,
 ): Effect.Effect<A, E | RequestRejected> {
   return Effect.suspend(() => {
-    const { progress } = use;
+    const { progress } = task;
     const held: { slot?: SlotHandle } = {};
     let isAnswered = false;
     resetForAttempt(progress);
-    const wait = waitForSlot(host, admitted, held, use);
-    return Effect.all([use.prepare, wait], { concurrency: "unbounded" }).pipe(
-      Effect.flatMap(() => use.run(held.slot!)),
+    const wait = waitForSlot(host, admitted, held, task);
+    return Effect.all([task.prepare, wait], { concurrency: "unbounded" }).pipe(
+      Effect.flatMap(() => task.run(held.slot!)),
       Effect.tap(() => Effect.sync(() => isAnswered = true)),
       // Also runs when the caller vanished: a slot that is never given back
       // would stand idle for good.
       Effect.ensuring(
         Effect.sync(() =>
-          giveBack(host, admitted, held.slot, {
+          releaseSlot(host, admitted, held.slot, {
             progress,
             isAnswered,
           })
@@ -67,7 +67,7 @@
 }
 
 /** Gives the slot back once the upstream works on the run no longer. */
-function giveBack(
+function releaseSlot(
   host: ServeHost,
   admitted: AdmittedRequest,
   slot: SlotHandle | undefined,
@@ -104,11 +104,11 @@
   return Effect.suspend(() =>
     host.clock.monotonicMs() < input.deadlineMs
       ? Effect.void
-      : rejectLate(input.progress)
+      : rejectUnserved(input.progress)
   );
 }
 
-function rejectLate(
+function rejectUnserved(
   progress: Progress,
   message: "deadlinePassed" | "deadlineLost" | "draining" = "deadlinePassed",
   retryAfterMs = 1_000,
@@ -129,13 +129,13 @@
   host: ServeHost,
   admitted: AdmittedRequest,
   held: { slot?: SlotHandle },
-  use: SlotUse<A, E>,
+  use: SlotTask<A, E>,
 ): Effect.Effect<void, RequestRejected> {
   const { progress } = use;
   const wait = Effect.callback<void, RequestRejected>((resume) => {
     const start = (slot: SlotHandle) => {
       if (host.health.isDown(slot.upstream.id)) {
-        holdAndRelease(host, slot);
+        releaseAfterHold(host, slot);
         host.slots.wait(admitted, start);
         return;
       }
@@ -145,7 +145,7 @@
     };
     host.backlog.enter(admitted, use.bodyBytes, (retryAfterMs) => {
       host.slots.cancel(admitted);
-      resume(rejectLate(progress, "deadlineLost", retryAfterMs));
+      resume(rejectUnserved(progress, "deadlineLost", retryAfterMs));
     });
     host.slots.wait(admitted, start);
     return Effect.sync(() => {
@@ -154,7 +154,7 @@
     });
   });
   const giveUp = host.waitUntilGivingUp.pipe(
-    Effect.flatMap(() => rejectLate(progress, "draining")),
+    Effect.flatMap(() => rejectUnserved(progress, "draining")),
   );
   return wait.pipe(
     Effect.raceFirst(giveUp),
@@ -163,22 +163,22 @@
       orElse: () => {
         const { team, service } = admitted;
         const retryAfterMs = host.backlog.getRetryAfterMs(team, service);
-        return rejectLate(progress, "deadlinePassed", retryAfterMs);
+        return rejectUnserved(progress, "deadlinePassed", retryAfterMs);
       },
     }),
     Effect.tap(() =>
       Effect.sync(() => {
         recordDispatch(host, admitted, held.slot!);
-        use.onSlot();
+        use.onSlotGranted();
       })
     ),
   );
 }
 
-function holdAndRelease(host: ServeHost, slot: SlotHandle): void {
+function releaseAfterHold(host: ServeHost, slot: SlotHandle): void {
   host.runDetached(
     Effect.sleep(DOWN_SLOT_HOLD_MS).pipe(
-      Effect.tap(() => Effect.sync(() => slot.release(unused))),
+      Effect.tap(() => Effect.sync(() => slot.release(UNUSED_END))),
     ),
   );
 }
@@ -190,7 +190,7 @@
 ): void {
   const nowMs = host.clock.monotonicMs();
   const { team, id: request } = admitted;
-  recordShift(host, admitted, slot);
+  recordCrossRegion(host, admitted, slot);
   host.recorder.record({
     kind: "request-dispatched",
     request,
@@ -201,7 +201,7 @@
 }
 
 /** Tells that the request leaves its region, over the link that is billed. */
-function recordShift(
+function recordCrossRegion(
   host: ServeHost,
   admitted: AdmittedRequest,
   slot: SlotHandle,
