--- a/src/requests/run_idempotent.ts
+++ b/src/requests/run_idempotent.ts
@@ -39,15 +39,15 @@
 import { withSlot } from "./use_slot.ts";
 
 /** Runs of an idempotent request that reach an upstream, at most. */
-export const MAX_RUNS = 3;
+export const MAX_ATTEMPTS = 3;
 
 /**
  * Refused connections of one request, at most. They cost next to nothing and
  * each marks its upstream as down, so there may be as many as upstreams.
  */
-const MAX_REFUSALS = 10;
+const MAX_REFUSED_CONNECTIONS = 10;
 
-interface RunContext {
+interface RequestContext {
   readonly host: ServeHost;
   readonly admitted: AdmittedRequest;
   readonly call: ParsedCall;
@@ -69,9 +69,9 @@
     while (true) {
       // Counted and cleared within the turn: the next run of the same content,
       // here or elsewhere, must know of it.
-      const run = runOnce(context, tries.runs).pipe(
+      const run = runAttempt(context, tries.runs).pipe(
         Effect.tap(() => clearSuspicion(context)),
-        Effect.tapError((err) => countCrash(context, err)),
+        Effect.tapError((err) => recordIfCrash(context, err)),
       );
       const turn = { ...admitted, progress };
       const err = yield* withTrialIfSuspect(host, turn, run).pipe(
@@ -87,7 +87,7 @@
   });
 }
 
-function clearSuspicion(context: RunContext): Effect.Effect<void> {
+function clearSuspicion(context: RequestContext): Effect.Effect<void> {
   const { host, admitted, progress } = context;
   return Effect.suspend(() =>
     progress.hasExclusiveUse
@@ -96,8 +96,8 @@
   );
 }
 
-function countCrash(
-  context: RunContext,
+function recordIfCrash(
+  context: RequestContext,
   err: { readonly _tag: string },
 ): Effect.Effect<void> {
   const { host, admitted, progress } = context;
@@ -111,8 +111,8 @@
   }).pipe(Effect.asVoid);
 }
 
-function runOnce(
-  context: RunContext,
+function runAttempt(
+  context: RequestContext,
   number: number,
 ): Effect.Effect<void, UpstreamError | RequestRejected | CallerLost> {
   const { host, admitted, progress } = context;
@@ -124,7 +124,7 @@
     run: (slot) => {
       const run = context.call.service.kind === "engine"
         ? runStream(context, slot, number)
-        : runCall(context, slot);
+        : runPlainCall(context, slot);
       const input = {
         fingerprint: admitted.fingerprint,
         deadlineMs: admitted.deadlineMs,
@@ -133,15 +133,15 @@
       };
       return runAtUpstream(host, input, run).pipe(
         Effect.tapError((err) =>
-          Effect.sync(() => noteRefusal(context, slot, err))
+          Effect.sync(() => markDownIfRefused(context, slot, err))
         ),
       );
     },
   });
 }
 
-function noteRefusal(
-  context: RunContext,
+function markDownIfRefused(
+  context: RequestContext,
   slot: SlotHandle,
   err: { readonly _tag: string },
 ): void {
@@ -151,7 +151,7 @@
 }
 
 function runStream(
-  context: RunContext,
+  context: RequestContext,
   slot: SlotHandle,
   run: number,
 ): Effect.Effect<void, UpstreamError | CallerLost> {
@@ -185,8 +185,8 @@
   );
 }
 
-function runCall(
-  context: RunContext,
+function runPlainCall(
+  context: RequestContext,
   slot: SlotHandle,
 ): Effect.Effect<void, UpstreamError> {
   const { admitted, res } = context;
@@ -197,7 +197,7 @@
 
 /** Succeeds when the request may run again, else fails with its final reply. */
 function decideAfterFailure(
-  context: RunContext,
+  context: RequestContext,
   err: UpstreamError,
   tries: { runs: number; refusals: number },
 ): Effect.Effect<void, RequestRejected> {
@@ -206,14 +206,14 @@
     const giveUp = reject(createFailureReply(err, admitted, progress));
     if (!progress.isSent && wasNotSent(err)) {
       tries.refusals++;
-      if (tries.refusals > MAX_REFUSALS) yield* giveUp;
+      if (tries.refusals > MAX_REFUSED_CONNECTIONS) yield* giveUp;
       recordRetry(context, err);
       return;
     }
     tries.runs++;
     const isCrash = looksLikeCrash(err, progress);
     if (isCrash) yield* checkQuarantine(host, admitted.fingerprint, true);
-    if (progress.nextOffset > 0 || tries.runs >= MAX_RUNS) yield* giveUp;
+    if (progress.nextOffset > 0 || tries.runs >= MAX_ATTEMPTS) yield* giveUp;
     // Whatever ran beside a crash is run again outside the budget: it does so
     // one at a time, which bounds the load.
     const mayRetry = isCrash ||
@@ -223,7 +223,7 @@
   });
 }
 
-function recordRetry(context: RunContext, err: UpstreamError): void {
+function recordRetry(context: RequestContext, err: UpstreamError): void {
   const { id: request, team } = context.admitted;
   context.host.recorder.record({
     kind: "request-retried",
--- a/src/requests/run_on_engine.ts
+++ b/src/requests/run_on_engine.ts
@@ -51,14 +51,15 @@
   return Effect.gen(function* () {
     const startMs = host.clock.monotonicMs();
     progress.isSent = true;
-    const stream = yield* openFirst(host, run, place);
+    const stream = yield* openStream(host, run, place);
     progress.mayHaveRun = true;
-    const time = (each: AnswerStream) => timeTokens(host, each, run, startMs);
+    const time = (each: AnswerStream) =>
+      measureTokenTimes(host, each, run, startMs);
     return yield* followStream<CallerLost>(time(stream), progress, {
       resume: (offset) =>
         host.upstreams.resume(place, offset).pipe(Effect.map(time)),
       deliver: (event) => {
-        sendHead(host, run);
+        sendHeaders(host, run);
         const { offset, data } = event;
         const text = `id: ${offset}\nevent: token\ndata: ${data}\n\n`;
         return writeToCaller(run.res, text);
@@ -73,7 +74,7 @@
         }),
     });
   }).pipe(
-    Effect.tap(() => Effect.sync(() => sendHead(host, run))),
+    Effect.tap(() => Effect.sync(() => sendHeaders(host, run))),
     Effect.onExit((exit) =>
       Effect.sync(() => {
         if (!progress.isSent || !mayStillRun(exit)) return;
@@ -91,7 +92,7 @@
  * Takes in how long the engine took for each token. Time that the caller takes
  * to read does not count: a slow caller must not look like a slow engine.
  */
-function timeTokens(
+function measureTokenTimes(
   host: ServeHost,
   stream: AnswerStream,
   run: EngineRun,
@@ -120,7 +121,7 @@
  * A call that broke before its answer began may have begun all the same: the
  * engine is asked for the stream before anything else is tried.
  */
-function openFirst(
+function openStream(
   host: ServeHost,
   run: EngineRun,
   place: StreamPlace,
@@ -137,7 +138,7 @@
   );
 }
 
-function sendHead(host: ServeHost, run: EngineRun): void {
+function sendHeaders(host: ServeHost, run: EngineRun): void {
   const { res } = run;
   if (res.headersSent || res.destroyed) return;
   res.setHeader(REQUEST_HEADER, run.request);
