--- a/src/requests/run_once.ts
+++ b/src/requests/run_at_most_once.ts
@@ -35,23 +35,23 @@
 import { withSlot } from "./use_slot.ts";
 
 /** The claim is taken so long before the slot is expected, in ms. */
-const CLAIM_AHEAD_MS = 250;
+const CLAIM_LEAD_MS = 250;
 
 /** Refused connections of one request, at most. */
-const MAX_REFUSALS = 10;
+const MAX_REFUSED_CONNECTIONS = 10;
 
 /** Longer answers are not kept for a resend, in characters. */
-const MAX_RECORDED = 65_536;
+const MAX_RECORDED_CHARS = 65_536;
 
 /** A claim older than its deadline by so much has no holder any more, in ms. */
-const HOLDER_SLACK_MS = 60_000;
+const CLAIM_HOLDER_GRACE_MS = 60_000;
 
 /** An earlier request with the same key has its end already. */
 class AlreadyEnded extends Data.TaggedError("AlreadyEnded")<{
   readonly end: RecordedEnd;
 }> {}
 
-interface OnceContext {
+interface AtMostOnceContext {
   readonly host: ServeHost;
   readonly admitted: AdmittedRequest;
   readonly call: ParsedCall;
@@ -63,7 +63,7 @@
 }
 
 /** Runs the request, or tells what became of an earlier one with its key. */
-export function runOnce(
+export function runAtMostOnce(
   host: ServeHost,
   admitted: AdmittedRequest,
   call: ParsedCall,
@@ -73,7 +73,7 @@
     const args = [admitted.operation];
     return reject(createNotRunReply(501, "onceNeedsPlainService", { args }));
   }
-  const context: OnceContext = {
+  const context: AtMostOnceContext = {
     host,
     admitted,
     call,
@@ -89,23 +89,23 @@
     }),
     end: undefined,
   };
-  return runUntilSent(context).pipe(
+  return retryUntilSent(context).pipe(
     // Whatever ended the request, also the loss of its caller: the claim is
     // settled, or the key would be held for good.
-    Effect.ensuring(Effect.sync(() => host.runDetached(settle(context)))),
+    Effect.ensuring(Effect.sync(() => host.runDetached(settleClaim(context)))),
   );
 }
 
 /** Tries again only after a refused connection: nothing was sent there. */
-function runUntilSent(
-  context: OnceContext,
+function retryUntilSent(
+  context: AtMostOnceContext,
 ): Effect.Effect<void, RequestRejected> {
   const { host, admitted, progress } = context;
   return Effect.gen(function* () {
     let hasClaim = false;
     for (let refusals = 0;; refusals++) {
       const attempt = runWithClaim(context, hasClaim).pipe(
-        Effect.tapError((err) => countCrash(context, err)),
+        Effect.tapError((err) => recordIfCrash(context, err)),
       );
       const turn = { ...admitted, progress };
       const err = yield* withTrialIfSuspect(host, turn, attempt).pipe(
@@ -114,14 +114,14 @@
       );
       if (err === undefined) return;
       hasClaim = true;
-      if (wasNotSent(err) && refusals < MAX_REFUSALS) continue;
+      if (wasNotSent(err) && refusals < MAX_REFUSED_CONNECTIONS) continue;
       yield* reject(createFailureReply(err, admitted, progress));
     }
   });
 }
 
-function countCrash(
-  context: OnceContext,
+function recordIfCrash(
+  context: AtMostOnceContext,
   err: { readonly _tag: string },
 ): Effect.Effect<void> {
   const { host, admitted, progress } = context;
@@ -134,12 +134,12 @@
 }
 
 function runWithClaim(
-  context: OnceContext,
+  context: AtMostOnceContext,
   hasClaim: boolean,
 ): Effect.Effect<void, UpstreamError | RequestRejected> {
   const { host, admitted, progress } = context;
-  const slotCame = Deferred.makeUnsafe<void>();
-  const prepare = hasClaim ? Effect.void : takeClaim(context, slotCame);
+  const slotGranted = Deferred.makeUnsafe<void>();
+  const prepare = hasClaim ? Effect.void : takeClaim(context, slotGranted);
   return withSlot<RecordedEnd, UpstreamError | RequestRejected | AlreadyEnded>(
     host,
     admitted,
@@ -147,7 +147,7 @@
       progress,
       bodyBytes: Buffer.byteLength(context.call.body),
       prepare,
-      onSlotGranted: () => Deferred.doneUnsafe(slotCame, Effect.void),
+      onSlotGranted: () => Deferred.doneUnsafe(slotGranted, Effect.void),
       run: (slot) =>
         runAtUpstream(
           host,
@@ -157,7 +157,7 @@
             upstream: slot.upstream,
             progress,
           },
-          send(context, slot),
+          callUpstream(context, slot),
         ),
     },
   ).pipe(
@@ -179,7 +179,7 @@
 }
 
 function takeClaim(
-  context: OnceContext,
+  context: AtMostOnceContext,
   slotCame: Deferred.Deferred<void>,
 ): Effect.Effect<void, RequestRejected | AlreadyEnded> {
   const { host, admitted, claim } = context;
@@ -187,7 +187,7 @@
     const { team, service } = admitted;
     const expectedMs = host.backlog.getExpectedWaitMs(team, service);
     yield* Deferred.await(slotCame).pipe(Effect.timeoutOrElse({
-      duration: Math.max(0, expectedMs - CLAIM_AHEAD_MS),
+      duration: Math.max(0, expectedMs - CLAIM_LEAD_MS),
       orElse: () => Effect.void,
     }));
     const result = yield* claim.take;
@@ -201,11 +201,11 @@
     if (result.kind === "ended") {
       return yield* Effect.fail(new AlreadyEnded({ end: result.end }));
     }
-    yield* reject(toClaimReply(host, result, context.call));
+    yield* reject(createClaimReply(host, result, context.call));
   });
 }
 
-function toClaimReply(
+function createClaimReply(
   host: ServeHost,
   result: Exclude<ClaimResult, { kind: "claimed" | "ended" }>,
   call: ParsedCall,
@@ -226,7 +226,7 @@
         return createMayHaveRunReply(409, "claimHolderLost");
       }
       const claimedMs = row.expiresMs - CLAIM_KEEP_MS;
-      const limitMs = call.service.maxDeadlineMs + HOLDER_SLACK_MS;
+      const limitMs = call.service.maxDeadlineMs + CLAIM_HOLDER_GRACE_MS;
       if (host.clock.wallMs() > claimedMs + limitMs) {
         return createMayHaveRunReply(409, "claimEndUnknown");
       }
@@ -238,8 +238,8 @@
 }
 
 /** The call itself; the caller's loss does not cut it off. */
-function send(
-  context: OnceContext,
+function callUpstream(
+  context: AtMostOnceContext,
   slot: SlotHandle,
 ): Effect.Effect<RecordedEnd, UpstreamError> {
   const sent = runOnPlainService(context, slot).pipe(
@@ -260,10 +260,10 @@
  * that is slow or down would hold back answers that are already there. A resend
  * that comes before the record is told that the request is under way.
  */
-function settle(context: OnceContext): Effect.Effect<boolean> {
+function settleClaim(context: AtMostOnceContext): Effect.Effect<boolean> {
   const { claim, end, progress } = context;
   if (end !== undefined) {
-    return end.body.length <= MAX_RECORDED
+    return end.body.length <= MAX_RECORDED_CHARS
       ? claim.end(end)
       : claim.setUnknown();
   }
--- a/src/requests/run_once_test.ts
+++ b/src/requests/run_at_most_once_test.ts
@@ -21,7 +21,7 @@
   sendBooking,
   type SendingEnd,
 } from "../testing/fake_request_host.ts";
-import { runOnce } from "./run_once.ts";
+import { runAtMostOnce } from "./run_at_most_once.ts";
 
 const fault = fc.constantFrom<IoFault>(
   "none",
@@ -51,7 +51,11 @@
   const send = (host: FakeHost) => {
     sendings++;
     const sending = `${host.id}-${sendings}`;
-    return sendBooking(world, host, { run: runOnce, sending, work: "visit-1" });
+    return sendBooking(world, host, {
+      run: runAtMostOnce,
+      sending,
+      work: "visit-1",
+    });
   };
   const alive = () => hosts.filter((host) => !host.io.isDead());
   const together = Promise.all(alive().map(send));
@@ -127,7 +131,7 @@
     },
     createUpstreams: (io) => createFakeUpstreams(world, io, () => "refused"),
   });
-  const options = { run: runOnce, sending: "1", work: "visit-1" };
+  const options = { run: runAtMostOnce, sending: "1", work: "visit-1" };
   const sent = sendBooking(world, host, options);
   await world.scheduler.waitFor(sent);
   await runToRest(world.scheduler);
@@ -152,7 +156,7 @@
           plan: { faults, diesAtCall: 0 },
         });
         const second = createFakeHost(world, "entry-2", { plan: noPlan });
-        const options = { run: runOnce, work: "visit-1" };
+        const options = { run: runAtMostOnce, work: "visit-1" };
         const sent = sendBooking(world, first, { ...options, sending: "1" });
         await scheduler.waitFor(sent);
         const end = await sent;
--- a/src/requests/serve.ts
+++ b/src/requests/serve.ts
@@ -26,7 +26,7 @@
 } from "./reply.ts";
 import { resumeStream, STREAMS_PATH } from "./resume_stream.ts";
 import { runIdempotent } from "./run_idempotent.ts";
-import { runOnce } from "./run_once.ts";
+import { runAtMostOnce } from "./run_at_most_once.ts";
 import { checkQuarantine } from "./run_suspect.ts";
 import type { ServeHost } from "./types.ts";
 
@@ -93,7 +93,7 @@
     if (call.operation.idempotent) {
       yield* runIdempotent(host, admitted, call, res);
     } else {
-      yield* runOnce(host, admitted, call, res);
+      yield* runAtMostOnce(host, admitted, call, res);
     }
   }).pipe(
     Effect.tapError((err) =>
