--- a/src/requests/resume_stream.ts
+++ b/src/requests/resume_stream.ts
@@ -75,8 +75,8 @@
   resumption: Resumption,
   progress: Progress,
 ): void {
-  const leftover = progress.pendingUpstreamWork ?? Effect.succeed(0);
-  host.runDetached(leftover.pipe(Effect.map((tokens) => {
+  const pendingWork = progress.pendingUpstreamWork ?? Effect.succeed(0);
+  host.runDetached(pendingWork.pipe(Effect.map((tokens) => {
     progress.cost = Math.max(progress.cost, tokens);
     chargeUndelivered(host, resumption, progress);
   })));
--- a/src/requests/run_at_most_once.ts
+++ b/src/requests/run_at_most_once.ts
@@ -107,8 +107,8 @@
       const attempt = runWithClaim(context, hasClaim).pipe(
         Effect.tapError((err) => recordIfCrash(context, err)),
       );
-      const turn = { ...admitted, progress };
-      const err = yield* withTrialIfSuspect(host, turn, attempt).pipe(
+      const trial = { ...admitted, progress };
+      const err = yield* withTrialIfSuspect(host, trial, attempt).pipe(
         Effect.map(() => undefined),
         Effect.catchTag("UpstreamError", (err) => Effect.succeed(err)),
       );
@@ -180,13 +180,13 @@
 
 function takeClaim(
   context: AtMostOnceContext,
-  slotCame: Deferred.Deferred<void>,
+  slotGranted: Deferred.Deferred<void>,
 ): Effect.Effect<void, RequestRejected | AlreadyEnded> {
   const { host, admitted, claim } = context;
   return Effect.gen(function* () {
     const { team, service } = admitted;
     const expectedMs = host.backlog.getExpectedWaitMs(team, service);
-    yield* Deferred.await(slotCame).pipe(Effect.timeoutOrElse({
+    yield* Deferred.await(slotGranted).pipe(Effect.timeoutOrElse({
       duration: Math.max(0, expectedMs - CLAIM_LEAD_MS),
       orElse: () => Effect.void,
     }));
--- a/src/requests/run_idempotent.ts
+++ b/src/requests/run_idempotent.ts
@@ -69,12 +69,12 @@
     while (true) {
       // Counted and cleared within the turn: the next run of the same content,
       // here or elsewhere, must know of it.
-      const run = runAttempt(context, tries.runs).pipe(
+      const attempt = runAttempt(context, tries.runs).pipe(
         Effect.tap(() => clearSuspicion(context)),
         Effect.tapError((err) => recordIfCrash(context, err)),
       );
-      const turn = { ...admitted, progress };
-      const err = yield* withTrialIfSuspect(host, turn, run).pipe(
+      const trial = { ...admitted, progress };
+      const err = yield* withTrialIfSuspect(host, trial, attempt).pipe(
         Effect.map(() => undefined),
         Effect.catchTag("UpstreamError", (err) => Effect.succeed(err)),
       );
--- a/src/requests/use_slot.ts
+++ b/src/requests/use_slot.ts
@@ -75,7 +75,7 @@
 ): void {
   if (slot === undefined) return;
   const { progress, isAnswered } = run;
-  const { firstByteMs, isSent, pendingUpstreamWork: leftover } = progress;
+  const { firstByteMs, isSent, pendingUpstreamWork } = progress;
   const failed = isSent ? "failed" as const : "unused" as const;
   const result = isAnswered ? "answered" as const : failed;
   const tokenIntervalMs = getTokenIntervalMs(progress);
@@ -84,11 +84,11 @@
     const runMs = firstByteMs + progress.tokenWaitMs;
     host.backlog.observeRun(admitted.service, { firstByteMs, runMs });
   }
-  if (leftover === undefined) {
+  if (pendingUpstreamWork === undefined) {
     slot.release(end);
     return;
   }
-  host.runDetached(leftover.pipe(Effect.map((tokens) => {
+  host.runDetached(pendingUpstreamWork.pipe(Effect.map((tokens) => {
     slot.release({ ...end, cost: Math.max(end.cost, tokens) });
   })));
 }
