--- a/src/requests/admit.ts
+++ b/src/requests/admit.ts
@@ -1,5 +1,6 @@
 /**
- * Admission of one request: the decision, its event, and the refusal's reply.
+ * Admission of a request: records the decision, and creates the reply to a
+ * refused request.
  *
  * @module
  */
@@ -11,7 +12,7 @@
 import { createNotRunReply } from "./reply.ts";
 import type { ServeHost } from "./types.ts";
 
-/** Admits the request or fails with the reply that refuses it. */
+/** Admits the request, or fails with the reply that refuses it. */
 export function admit(
   host: ServeHost,
   admitted: AdmittedRequest,
--- a/src/requests/caller.ts
+++ b/src/requests/caller.ts
@@ -1,6 +1,6 @@
 /**
- * The connection to a caller: writing at the caller's pace, signs of life while
- * it waits, and noticing that it is gone.
+ * The connection to a caller: writes at the speed at which the caller reads,
+ * sends heartbeats while the caller waits, and detects a disconnect.
  *
  * @module
  */
@@ -9,21 +9,21 @@
 import * as Data from "effect/Data";
 import * as Effect from "effect/Effect";
 
-/** The caller vanished or read nothing for too long. */
+/** The caller disconnected or read nothing for too long. */
 export class CallerLost extends Data.TaggedError("CallerLost")<{
   readonly reason: string;
 }> {}
 
 /**
- * A caller that reads nothing for so long is given up, in ms: without the limit
- * a stopped reader would hold a slot for good.
+ * Time after which a caller that reads nothing is disconnected, in ms. Without
+ * this limit a caller that stops reading would hold a slot for ever.
  */
 export const CALLER_READ_TIMEOUT_MS = 30_000;
 
-/** Pause between signs of life to a waiting caller, in ms. */
+/** Interval between heartbeats to a waiting caller, in ms. */
 export const CALLER_HEARTBEAT_INTERVAL_MS = 5_000;
 
-/** Writes, and waits until the caller has room for more. */
+/** Writes, and waits until the connection accepts more data. */
 export function writeToCaller(
   res: ServerResponse,
   text: string,
@@ -35,14 +35,15 @@
   });
 }
 
-/** The failure of a request whose caller closed its connection. */
+/** Creates the error of a request whose caller closed its connection. */
 export function createDisconnected(): CallerLost {
-  return new CallerLost({ reason: "The caller vanished" });
+  return new CallerLost({ reason: "The caller disconnected" });
 }
 
 /**
- * Whether the caller closed its connection before it had its answer. The end of
- * what it sends is read two turns before Node destroys the response.
+ * Whether the caller closed its connection before it had received its response.
+ * The end of the caller's input is read two iterations of the event loop before
+ * Node destroys the response.
  */
 export function hasDisconnected(res: ServerResponse): boolean {
   if (res.writableFinished) return false;
@@ -50,8 +51,8 @@
 }
 
 /**
- * Runs once, as soon as the caller has left, and never before this returns;
- * disposing of it prevents that.
+ * Calls `run` once, as soon as the caller has disconnected, but never before
+ * this function returns. Disposing of the result prevents the call.
  */
 export function onCallerDisconnected(
   res: ServerResponse,
@@ -89,14 +90,15 @@
 }
 
 /**
- * Shows a waiting caller that the connection lives: status 102 before the head,
- * which clients pass over, and comments on an open stream. Never ends.
+ * Keeps the connection of a waiting caller alive: sends the interim response
+ * 102 before the response headers, which clients ignore, and comments on an
+ * open event stream. Never ends.
  */
 export function sendHeartbeats(
   req: IncomingMessage,
   res: ServerResponse,
 ): Effect.Effect<never> {
-  // HTTP/1.0 knows no interim answers.
+  // HTTP/1.0 has no interim responses.
   const acceptsInterim = req.httpVersionMajor === 1 &&
     req.httpVersionMinor >= 1;
   return Effect.gen(function* () {
--- a/src/requests/end.ts
+++ b/src/requests/end.ts
@@ -1,5 +1,6 @@
 /**
- * The end of a request: its answer to the caller and its place in the record.
+ * The end of a request: sends the response to the caller and records the
+ * outcome.
  *
  * @module
  */
@@ -17,7 +18,9 @@
 } from "./reply.ts";
 import type { Progress, RequestEnd, ServeHost } from "./types.ts";
 
-/** The reply for a request that is given up after its upstream failed. */
+/**
+ * Creates the reply to a request that is not retried after its upstream failed.
+ */
 export function createFailureReply(
   err: UpstreamError,
   admitted: AdmittedRequest,
@@ -34,7 +37,7 @@
     : createNotRunReply(502, "upstreamFailed", { args, retryAfterMs: 1_000 });
 }
 
-/** Sends a plain service's whole answer. */
+/** Sends the response of a plain service. */
 export function sendAnswer(
   res: ServerResponse,
   request: string,
@@ -47,7 +50,7 @@
   res.end(answer.body);
 }
 
-/** Sends the last event of a stream that is whole. */
+/** Sends the last event of a complete stream. */
 export function sendStreamEnd(
   res: ServerResponse,
   request: string,
@@ -57,7 +60,7 @@
   res.end(`event: end\ndata: ${JSON.stringify(end)}\n\n`);
 }
 
-/** Tells time line, metrics and log how the request ended. */
+/** Records the end of the request in the time line, the metrics and the log. */
 export function recordEnd(
   host: ServeHost,
   admitted: AdmittedRequest,
--- a/src/requests/parse.ts
+++ b/src/requests/parse.ts
@@ -1,6 +1,7 @@
 /**
- * From an HTTP request to a checked call: team, service, operation, body,
- * deadline and key. What is wrong with it is a final reply, since nothing ran.
+ * Parses an HTTP request into a validated call: team, service, operation, body,
+ * deadline and idempotency key. An invalid request gets a final reply with the
+ * outcome "not-run".
  *
  * @module
  */
@@ -13,36 +14,42 @@
 import type { Deployment, Operation, Service, Team } from "../types.ts";
 import { createNotRunReply, type FinalReply } from "./reply.ts";
 
-/** A request that ends before it is admitted. */
+/** A request that is rejected with a final reply. */
 export class RequestRejected extends Data.TaggedError("RequestRejected")<{
   readonly reply: FinalReply;
 }> {}
 
-/** A call as the caller asked for it. */
+/** A validated call. */
 export interface ParsedCall {
   readonly team: Team;
   readonly service: Service;
   readonly operation: Operation;
   readonly body: string;
-  /** Time that the caller gives, in ms. */
+  /** Time-out of the caller, in ms, limited to the maximum of the service. */
   readonly timeoutMs: number;
-  /** Empty for none. */
+  /** Empty when the caller sent none. */
   readonly idempotencyKey: string;
-  /** The caller's hint of the cost; rough. */
+  /** The caller's rough estimate of the cost. */
   readonly costHint: number | undefined;
-  /** Same for a resend of the same content. */
+  /**
+   * Digest of service, operation and body; equal for a resend of the same
+   * content.
+   */
   readonly fingerprint: string;
 }
 
-/** A body that has not arrived after so long is given up, in ms. */
+/** Time-out for receiving a request body, in ms. */
 export const BODY_TIMEOUT_MS = 30_000;
 
-/** What a caller sends after its answer is read for so long, in ms. */
+/**
+ * How long data is read and discarded that the caller sends after its response,
+ * in ms.
+ */
 const DISCARD_TIMEOUT_MS = 5_000;
 
 const CALL_PATH = /^\/v1\/([^/]+)\/([^/]+)$/;
 
-/** Finds the team whose key the request carries. */
+/** Finds the team of the key that the request carries. */
 export function authenticate(
   req: IncomingMessage,
   teams: readonly Team[],
@@ -60,7 +67,7 @@
     : Effect.succeed(team);
 }
 
-/** Reads and checks a call; fails with the reply that ends it. */
+/** Parses and validates a call; fails with the reply to an invalid request. */
 export function parseCall(
   req: IncomingMessage,
   deployment: Deployment,
@@ -96,7 +103,7 @@
   });
 }
 
-/** Ends the request with the reply. */
+/** Fails with the reply, which ends the request. */
 export function reject(
   reply: FinalReply,
 ): Effect.Effect<never, RequestRejected> {
@@ -145,8 +152,9 @@
 }
 
 /**
- * Reads the body by events and not by iteration: ending an iteration early
- * destroys the connection, and the caller would not get its answer.
+ * Reads the body by events and not by asynchronous iteration: ending an
+ * iteration early destroys the connection, and the caller would not get its
+ * response.
  */
 function readBody(
   req: IncomingMessage,
@@ -184,9 +192,9 @@
 }
 
 /**
- * Answers a caller that may still be sending. What it sends is read and thrown
- * away for a while: a connection that is closed with unread data is reset, and
- * the reset can overtake the answer.
+ * Responds to a caller that may still be sending. Its data is read and
+ * discarded for a while: closing a connection with unread data resets it, and
+ * the reset can overtake the response.
  */
 function rejectAndDiscardBody(
   req: IncomingMessage,
@@ -202,7 +210,7 @@
   try {
     const value: unknown = JSON.parse(body);
     if (typeof value === "object" && value !== null) return Effect.void;
-    const args = ["the value is no object"];
+    const args = ["the value is not an object"];
     return reject(createNotRunReply(400, "malformedJson", { args }));
   } catch (err) {
     const args = [err instanceof Error ? err.message : String(err)];
--- a/src/requests/parse_test.ts
+++ b/src/requests/parse_test.ts
@@ -1,6 +1,5 @@
 /**
- * Tests of what callers are told about requests that can't be served, and of
- * callers that are slow.
+ * Tests the replies to invalid requests, and the handling of slow callers.
  *
  * @module
  */
@@ -52,7 +51,7 @@
   return { body, req: req as unknown as IncomingMessage };
 }
 
-/** The code's message name, or "parsed". */
+/** Returns the outcome and the message name of the reply, or "parsed". */
 function parse(s: fc.Scheduler, req: IncomingMessage): Promise<string> {
   const parsed = parseCall(req, deployment).pipe(
     Effect.match({
@@ -96,16 +95,17 @@
 ];
 
 for (const [url, text, own, message] of rejected) {
-  test(`${url} with ${text.length} bytes is told ${message}`, async () => {
+  test(`${url} with ${text.length} bytes gets ${message}`, async () => {
     const { body, req } = createRequest(url, own);
     body.end(text);
     assert.equal(await parse(createScheduler(), req), `not-run ${message}`);
   });
 }
 
-test("a caller that sends too much gets its answer while it sends", async () => {
-  // The caller saw its connection reset instead of "too large": the host closed
-  // it with unread data, and the reset overtook the answer.
+test("a caller gets its reply while it sends an oversized body", async () => {
+  // Guards against a connection reset in place of the reply "too large": the
+  // host closed the connection with unread data, and the reset overtook the
+  // reply.
   const { body, req } = createRequest();
   body.write("x".repeat(200));
   assert.equal(await parse(createScheduler(), req), "not-run bodyTooLarge");
@@ -116,7 +116,7 @@
   body.destroy();
 });
 
-test("a body that does not come is given up", async () => {
+test("receiving a body times out", async () => {
   const s = createScheduler();
   const { body, req } = createRequest();
   body.write("{");
@@ -138,9 +138,9 @@
   return { res: res as unknown as ServerResponse, state };
 }
 
-test("a caller that reads nothing is given up, a slow one is not", async () => {
-  // A caller's laptop went to sleep in the middle of a survey, and its slot
-  // stayed taken until the next morning.
+test("a caller that reads nothing times out, a slow one does not", async () => {
+  // Guards against a slot that stays in use until the next morning because the
+  // caller's computer went to sleep in the middle of a stream.
   const s = createScheduler();
   const stalled = createFullResponse();
   const lost = runScheduled(
--- a/src/requests/reply.ts
+++ b/src/requests/reply.ts
@@ -1,7 +1,7 @@
 /**
- * The ends of a request as the caller gets them. Each is one of the three
- * outcomes, with a status, a header and a JSON body that names a message of the
- * catalogue; `Retry-After` says when coming back helps.
+ * Final replies to the caller. Each has one of the three outcomes, with a
+ * status, a header and a JSON body that names a message of the catalogue;
+ * `Retry-After` is set when a retry may help.
  *
  * @module
  */
@@ -14,29 +14,32 @@
 } from "../diagnostics/mod.ts";
 import type { Outcome } from "../types.ts";
 
-/** Names the outcome on every final answer. */
+/** Header with the outcome, on every final response. */
 export const OUTCOME_HEADER = "azurestile-outcome";
 
-/** Names the request on every answer. */
+/** Header with the id of the request, on every response. */
 export const REQUEST_HEADER = "azurestile-request";
 
-/** Names the stream, for a caller that wants to resume it. */
+/** Header with the token by which the caller can resume the stream. */
 export const RESUME_HEADER = "azurestile-resume";
 
-/** Set on an answer that an earlier request with the same key got first. */
+/**
+ * Header of a response that was recorded for an earlier request with the same
+ * idempotency key.
+ */
 export const RECORDED_HEADER = "azurestile-recorded";
 
-/** A final answer that is not the upstream's. */
+/** A final response that the router itself creates. */
 export interface FinalReply {
   readonly outcome: Exclude<Outcome, "answered">;
   readonly status: number;
   readonly message: MessageName;
   readonly args: readonly (string | number)[];
-  /** 0: coming back with the same request does not help. */
+  /** Time after which a retry may help, in ms; 0 when a retry does not help. */
   readonly retryAfterMs: number;
 }
 
-/** Makes a reply for a request that did not run. */
+/** Creates the reply to a request that did not run. */
 export function createNotRunReply(
   status: number,
   message: MessageName,
@@ -51,7 +54,7 @@
   };
 }
 
-/** Makes a reply for a request whose effect is unknown. */
+/** Creates the reply to a request that may have run. */
 export function createMayHaveRunReply(
   status: number,
   message: MessageName,
@@ -74,7 +77,10 @@
   });
 }
 
-/** Sends the reply as a whole HTTP answer, or as a stream's last event. */
+/**
+ * Sends the reply as an HTTP response, or as the last event of a stream whose
+ * headers have been sent.
+ */
 export function sendReply(
   res: ServerResponse,
   reply: FinalReply,
--- a/src/requests/resume_stream.ts
+++ b/src/requests/resume_stream.ts
@@ -1,7 +1,7 @@
 /**
- * `GET /v1/streams/{token}?offset=N`: goes on with a stream that any host of the
- * fleet began, as after that host died. It takes no slot: the engine works on
- * the stream already.
+ * Handles `GET /v1/streams/{token}?offset=N`: resumes a stream that any host of
+ * the fleet started, for example after that host died. It takes no slot, since
+ * the engine is already working on the stream.
  *
  * @module
  */
@@ -18,17 +18,17 @@
 import { runOnEngine } from "./run_on_engine.ts";
 import { createProgress, type Progress, type ServeHost } from "./types.ts";
 
-/** Paths of streams start with this. */
+/** Path prefix of streams. */
 export const STREAMS_PATH = "/v1/streams/";
 
-/** What a resumption asks for. */
+/** A parsed request to resume a stream. */
 interface Resumption {
   readonly name: StreamName;
   readonly upstream: Upstream;
   readonly offset: number;
 }
 
-/** Serves one resumption to its end. */
+/** Resumes a stream and delivers it to its end. */
 export function resumeStream(
   host: ServeHost,
   deployment: Deployment,
@@ -83,8 +83,9 @@
 }
 
 /**
- * The host that began the stream charges what it passed on, unless it is dead:
- * then the whole stream is charged here.
+ * Charges the tokens that the host which started the stream has not charged.
+ * That host charges what it delivered, unless it is dead; then the whole stream
+ * is charged here.
  */
 function chargeUndelivered(
   host: ServeHost,
@@ -118,7 +119,7 @@
     each.id === name.upstream
   );
   if (upstream === undefined) {
-    const args = ["its upstream is no longer declared"];
+    const args = ["its upstream is no longer configured"];
     return reject(createMayHaveRunReply(410, "resumeGone", { args }));
   }
   return Effect.succeed({ name, upstream, offset });
--- a/src/requests/run_at_most_once.ts
+++ b/src/requests/run_at_most_once.ts
@@ -1,11 +1,12 @@
 /**
- * Runs of a request that may run at most once: claimed before its first byte
- * goes upstream, never sent again after that byte, and its end recorded for a
- * resend.
+ * Runs a request that may run at most once: the request is claimed before its
+ * first byte is sent upstream, is never sent again after that byte, and its
+ * outcome is recorded for a resend.
  *
- * The claim is taken beside the wait for the slot, shortly before the slot is
- * expected: a slot does not idle during the store's round trip, and a host that
- * dies leaves few claims of requests that only waited.
+ * The claim is taken while the request waits for its slot, shortly before the
+ * slot is expected: the slot does not stay idle during the round trip to the
+ * table service, and a host that dies leaves few claims of requests that were
+ * still waiting.
  *
  * @module
  */
@@ -34,19 +35,21 @@
 import { createProgress, type Progress, type ServeHost } from "./types.ts";
 import { withSlot } from "./use_slot.ts";
 
-/** The claim is taken so long before the slot is expected, in ms. */
+/** How long before the expected slot the claim is taken, in ms. */
 const CLAIM_LEAD_MS = 250;
 
-/** Refused connections of one request, at most. */
+/** Maximum number of refused connections of one request. */
 const MAX_REFUSED_CONNECTIONS = 10;
 
-/** Longer answers are not kept for a resend, in characters. */
+/**
+ * Maximum length of a response that is recorded for a resend, in characters.
+ */
 const MAX_RECORDED_CHARS = 65_536;
 
-/** A claim older than its deadline by so much has no holder any more, in ms. */
+/** Time past its deadline after which a claim has no holder any more, in ms. */
 const CLAIM_HOLDER_GRACE_MS = 60_000;
 
-/** An earlier request with the same key has its end already. */
+/** An earlier request with the same idempotency key has a recorded outcome. */
 class AlreadyEnded extends Data.TaggedError("AlreadyEnded")<{
   readonly end: RecordedEnd;
 }> {}
@@ -58,11 +61,14 @@
   readonly res: ServerResponse;
   readonly progress: Progress;
   readonly claim: Claim;
-  /** Set when the upstream has answered. */
+  /** Set when the upstream has responded. */
   end: RecordedEnd | undefined;
 }
 
-/** Runs the request, or tells what became of an earlier one with its key. */
+/**
+ * Runs the request, or replies with the outcome of an earlier request with the
+ * same idempotency key.
+ */
 export function runAtMostOnce(
   host: ServeHost,
   admitted: AdmittedRequest,
@@ -90,13 +96,13 @@
     end: undefined,
   };
   return retryUntilSent(context).pipe(
-    // Whatever ended the request, also the loss of its caller: the claim is
-    // settled, or the key would be held for good.
+    // The claim is settled however the request ends, also when the caller
+    // disconnects; otherwise the key would stay claimed for ever.
     Effect.ensuring(Effect.sync(() => host.runDetached(settleClaim(context)))),
   );
 }
 
-/** Tries again only after a refused connection: nothing was sent there. */
+/** Retries only after a refused connection, since nothing was sent there. */
 function retryUntilSent(
   context: AtMostOnceContext,
 ): Effect.Effect<void, RequestRejected> {
@@ -172,7 +178,7 @@
         recordEnd(host, admitted, {
           outcome: "answered",
           cost: 0,
-          reason: "Recorded",
+          reason: "Recorded outcome of an earlier request",
         });
       })),
   );
@@ -216,7 +222,8 @@
     case "unknown":
       return createMayHaveRunReply(409, "claimEndUnknown");
     case "unavailable":
-      // The claim may stand, but this attempt sent nothing and never will.
+      // The claim may have been written, but this request sent nothing and
+      // never will.
       return createNotRunReply(503, "claimsUnavailable", {
         retryAfterMs: 2_000,
       });
@@ -237,7 +244,7 @@
   }
 }
 
-/** The call itself; the caller's loss does not cut it off. */
+/** Calls the upstream. The call continues when the caller disconnects. */
 function callUpstream(
   context: AtMostOnceContext,
   slot: SlotHandle,
@@ -256,9 +263,9 @@
 }
 
 /**
- * Records what became of the claim. The answer does not wait for it: a store
- * that is slow or down would hold back answers that are already there. A resend
- * that comes before the record is told that the request is under way.
+ * Records the end of the claim. The response does not wait for this: a slow or
+ * unavailable table service would hold back responses that are complete. A
+ * resend that arrives before the record is told that the request is under way.
  */
 function settleClaim(context: AtMostOnceContext): Effect.Effect<boolean> {
   const { claim, end, progress } = context;
--- a/src/requests/run_at_most_once_test.ts
+++ b/src/requests/run_at_most_once_test.ts
@@ -1,7 +1,7 @@
 /**
- * Tests that what may not be repeated runs at most once, and that "not run" is
- * said only when it is so: over lost replies, a store that is down, hosts that
- * race, and hosts that die between any two calls.
+ * Tests that a non-idempotent request runs at most once, and that its outcome
+ * is "not-run" only if it did not run: with lost replies, an unavailable table
+ * service, concurrent hosts, and hosts that die between any two calls.
  *
  * @module
  */
@@ -37,12 +37,15 @@
   diesAtCall: fc.oneof(fc.constant(0), fc.integer({ min: 1, max: 6 })),
 });
 
-/** Timeouts that come at any moment, and ones that seldom come first. */
+/**
+ * Scheduler steps in a second of a time-out: with 1 it may expire at any
+ * moment, with 15 rarely before other events.
+ */
 const patience = fc.constantFrom(1, 15);
 
 const noPlan: IoPlan = { faults: [], diesAtCall: 0 };
 
-/** Sends one booking to the hosts at once, and then to each in turn. */
+/** Sends one booking to all hosts at once, and then to each in turn. */
 async function sendToAll(
   world: ReturnType<typeof createFakeWorld>,
   hosts: readonly FakeHost[],
@@ -69,10 +72,11 @@
   return ends;
 }
 
-test("a booking runs at most once and is never wrongly told not run", async () => {
-  // Two fitters stand at one door: a caller sent its booking again to another
-  // host, because the first host died, or the store's reply was lost after the
-  // claim took effect, and the second host found no claim and ran it too.
+test("a booking runs at most once and is never wrongly reported not-run", async () => {
+  // Guards against a booking that runs twice: a caller resent its booking to
+  // another host because the first host died, or because the table service's
+  // reply was lost after the claim took effect, and the second host found no
+  // claim and ran the booking too.
   await fc.assert(
     fc.asyncProperty(
       fc.scheduler(),
@@ -121,7 +125,7 @@
   assert.ok(found.failed);
 });
 
-test("where every failure counts as refused the checker reports it", async () => {
+test("the checker reports that every failure counts as refused", async () => {
   const [scheduler] = fc.sample(fc.scheduler(), { numRuns: 1, seed: 1 });
   const world = createFakeWorld(scheduler!);
   const host = createFakeHost(world, "entry-1", {
@@ -141,10 +145,11 @@
   assert.ok(broken.includes("at-most-once"));
 });
 
-test("a key that was told not run can be used again", async () => {
-  // The store was down for a moment, and the caller was told "not run, come
-  // back". When it came back it was told that the request was under way, for
-  // good: the claim had taken effect and nobody had given it up.
+test("an idempotency key with the outcome not-run can be used again", async () => {
+  // Guards against a key that stays claimed for ever: the table service was
+  // unavailable for a moment and the caller got "not-run, retry later". Its
+  // retry was told that the request was under way, because the claim had taken
+  // effect and nobody had released it.
   await fc.assert(
     fc.asyncProperty(
       fc.scheduler(),
@@ -167,7 +172,7 @@
         await runToRest(scheduler);
         assert.deepEqual(checkHistory(world.history, statedLimits), []);
         if (end.outcome === "not-run") {
-          // A timeout of the second claim is the scheduler's choice.
+          // The scheduler may let the second claim time out.
           assert.ok(["answered", "not-run"].includes(answer.outcome));
         }
         if (end.outcome === "answered" && answer.outcome === "answered") {
--- a/src/requests/run_idempotent.ts
+++ b/src/requests/run_idempotent.ts
@@ -1,10 +1,10 @@
 /**
- * Runs of a request that may be repeated: on another upstream when one fails
- * before anything was delivered.
+ * Runs a request that may be repeated: it is retried on another upstream when
+ * an upstream fails before anything was delivered.
  *
- * Load: upstreams that die or refuse while requests are in flight. Harm
- * prevented: callers lose answers that another upstream could give, or retries
- * multiply until nothing succeeds.
+ * Load: upstreams die or refuse connections while requests are in flight.
+ * Failure prevented: callers lose responses that another upstream could give,
+ * or retries multiply until no request succeeds.
  *
  * @module
  */
@@ -38,12 +38,15 @@
 } from "./types.ts";
 import { withSlot } from "./use_slot.ts";
 
-/** Runs of an idempotent request that reach an upstream, at most. */
+/**
+ * Maximum number of attempts of an idempotent request that reach an upstream.
+ */
 export const MAX_ATTEMPTS = 3;
 
 /**
- * Refused connections of one request, at most. They cost next to nothing and
- * each marks its upstream as down, so there may be as many as upstreams.
+ * Maximum number of refused connections of one request. They cost next to
+ * nothing, and each marks its upstream as down, so there may be as many as
+ * there are upstreams.
  */
 const MAX_REFUSED_CONNECTIONS = 10;
 
@@ -55,7 +58,7 @@
   readonly progress: Progress;
 }
 
-/** Runs the request until it is answered or given up. */
+/** Runs the request until it succeeds or must not be retried. */
 export function runIdempotent(
   host: ServeHost,
   admitted: AdmittedRequest,
@@ -67,8 +70,9 @@
   return Effect.gen(function* () {
     const tries = { runs: 0, refusals: 0 };
     while (true) {
-      // Counted and cleared within the turn: the next run of the same content,
-      // here or elsewhere, must know of it.
+      // Crashes are recorded, and suspicion is cleared, before the trial of a
+      // suspect ends: the next attempt with the same content, at this or
+      // another host, has to know the result.
       const attempt = runAttempt(context, tries.runs).pipe(
         Effect.tap(() => clearSuspicion(context)),
         Effect.tapError((err) => recordIfCrash(context, err)),
@@ -104,7 +108,8 @@
   return Effect.suspend(() => {
     if (!(err instanceof UpstreamError)) return Effect.void;
     if (!looksLikeCrash(err, progress)) return Effect.void;
-    // What was delivered can't be taken back, so such a request ends here.
+    // Delivered events cannot be withdrawn, so the request ends with this
+    // crash.
     const isFinal = progress.nextOffset > 0;
     const crash = { isAlone: progress.hasExclusiveUse, isFinal };
     return host.quarantine.recordCrash(admitted.fingerprint, crash);
@@ -157,7 +162,8 @@
 ): Effect.Effect<void, UpstreamError | CallerLost> {
   const { host, admitted, call, res, progress } = context;
   const { upstream } = slot;
-  // Each run is a stream of its own, so that none mixes with an earlier one.
+  // Each attempt has its own stream id, so that no attempt receives events of
+  // an earlier one.
   const stream = run === 0 ? admitted.id : `${admitted.id}.${run}`;
   const { address } = upstream;
   return runOnEngine(host, {
@@ -195,7 +201,10 @@
   );
 }
 
-/** Succeeds when the request may run again, else fails with its final reply. */
+/**
+ * Succeeds when the request may be retried, otherwise fails with its final
+ * reply.
+ */
 function decideAfterFailure(
   context: RequestContext,
   err: UpstreamError,
@@ -214,8 +223,8 @@
     const isCrash = looksLikeCrash(err, progress);
     if (isCrash) yield* checkQuarantine(host, admitted.fingerprint, true);
     if (progress.nextOffset > 0 || tries.runs >= MAX_ATTEMPTS) yield* giveUp;
-    // Whatever ran beside a crash is run again outside the budget: it does so
-    // one at a time, which bounds the load.
+    // Requests that ran on a crashing upstream are retried outside the retry
+    // budget: as suspects they run one at a time, which bounds the load.
     const mayRetry = isCrash ||
       host.retryBudget.tryTake(admitted.team, admitted.service);
     if (!mayRetry) yield* giveUp;
--- a/src/requests/run_idempotent_test.ts
+++ b/src/requests/run_idempotent_test.ts
@@ -1,6 +1,7 @@
 /**
- * Tests of streamed requests: every slot goes back once, and not before its
- * engine is done; what may have run is never told not run.
+ * Tests streamed requests: each slot is released once, and not before its
+ * engine has stopped; a request that may have run never gets the outcome
+ * "not-run".
  *
  * @module
  */
@@ -49,7 +50,7 @@
   return new UpstreamError({ failure, reason: failure });
 }
 
-/** One engine that restarts empty at once after a crash. */
+/** An engine that restarts without streams at once after a crash. */
 function createEngine(s: fc.Scheduler, fates: Fate[]) {
   const streams = new Map<string, { produced: number; readers: number }>();
   let everBegan = false;
@@ -58,7 +59,7 @@
     const next = fates.shift() ?? "good";
     await s.schedule(Promise.resolve(), `${name} ${next}`);
     if (next === "good") return;
-    // A process that refuses connections is down, with all that it had.
+    // A process that refuses connections is down and has lost its streams.
     if (next === "crash" || next === "refused") streams.clear();
     throw fail(next === "crash" ? "broken" : next);
   }
@@ -151,7 +152,7 @@
 
 interface Scenario {
   readonly fates: readonly Fate[];
-  /** Scheduler steps after which the caller vanishes; 0 for never. */
+  /** Scheduler steps after which the caller disconnects; 0 for never. */
   readonly vanishesAt: number;
 }
 
@@ -166,7 +167,10 @@
   await Effect.runPromise(Fiber.interrupt(fiber));
 }
 
-/** Runs one request; tells how it ended and whether its slot came back early. */
+/**
+ * Runs one request; returns its outcome, and how often its slot was released
+ * while the engine was still working.
+ */
 async function runScenario(
   s: fc.Scheduler,
   scenario: Scenario,
@@ -204,10 +208,11 @@
   return { outcome, parts, early, engine, host };
 }
 
-test("a slot goes back once, after its engine is done, on every path", async () => {
-  // Engines idled while requests waited: a caller had hung up, and its slot was
-  // never given back. Or an engine ran two streams in one slot, since the slot
-  // went back while the engine still worked for the caller that had left.
+test("a slot is released once, after its engine has stopped", async () => {
+  // Guards against two faults: a slot is never released after its caller
+  // disconnects, so that the engine stays idle while requests wait; or it is
+  // released while the engine still works for that caller, so that the engine
+  // runs two streams in one slot.
   await fc.assert(
     fc.asyncProperty(
       fc.scheduler(),
@@ -230,7 +235,7 @@
   );
 });
 
-test("without the cancellation a slot goes back too early", async () => {
+test("without the cancellation a slot is released too early", async () => {
   const cancelIfUnread: UpstreamClient["cancelIfUnread"] = () =>
     Effect.succeed({ kind: "gone", tokens: 0 });
   const found = await fc.check(
--- a/src/requests/run_on_engine.ts
+++ b/src/requests/run_on_engine.ts
@@ -1,6 +1,6 @@
 /**
- * One run of a request as a stream of an engine, passed on event by event. Also
- * the resumption of a stream that another host began.
+ * Runs one attempt of a request as a stream of an engine, or resumes a stream
+ * that another host started, and delivers the events to the caller.
  *
  * @module
  */
@@ -25,20 +25,20 @@
 import { REQUEST_HEADER, RESUME_HEADER } from "./reply.ts";
 import type { Progress, ServeHost } from "./types.ts";
 
-/** What a run needs. */
+/** Input of an attempt. */
 export interface EngineRun {
   readonly request: string;
   readonly name: StreamName;
   readonly upstream: Upstream;
   readonly res: ServerResponse;
   readonly progress: Progress;
-  /** Monotonic milliseconds after which nobody wants the answer. */
+  /** Deadline of the caller, in monotonic milliseconds. */
   readonly deadlineMs: number;
-  /** Opens the stream for the first time. */
+  /** Opens the stream. */
   readonly open: Effect.Effect<AnswerStream, UpstreamError>;
 }
 
-/** Streams the answer to the caller; gives its cost in tokens. */
+/** Streams the response to the caller; returns its cost in tokens. */
 export function runOnEngine(
   host: ServeHost,
   run: EngineRun,
@@ -89,7 +89,7 @@
 }
 
 /**
- * Takes in how long the engine took for each token. Time that the caller takes
+ * Measures how long the engine takes for each token. Time that the caller takes
  * to read does not count: a slow caller must not look like a slow engine.
  */
 function measureTokenTimes(
@@ -118,8 +118,9 @@
 }
 
 /**
- * A call that broke before its answer began may have begun all the same: the
- * engine is asked for the stream before anything else is tried.
+ * Opens the stream. A call whose connection broke before the response started
+ * may have started the stream all the same, so the engine is asked for that
+ * stream before anything else is tried.
  */
 function openStream(
   host: ServeHost,
@@ -149,8 +150,9 @@
 type RunExit = Exit.Exit<number, UpstreamError | CallerLost>;
 
 /**
- * True unless the engine told that the stream ended or that it has none. A run
- * that was interrupted lost its caller.
+ * Whether the engine may still be working on the stream: true unless it
+ * reported that the stream ended or does not exist. An interrupted attempt has
+ * lost its caller.
  */
 function mayStillRun(exit: RunExit): boolean {
   if (Exit.isSuccess(exit)) return false;
@@ -173,8 +175,8 @@
 }
 
 /**
- * True for a failure that looks like the end of the upstream's process while the
- * request ran there. A connection that was refused at the start is none.
+ * Whether the failure looks as if the upstream's process ended while it ran the
+ * request. A connection that was refused at the start does not count.
  */
 export function looksLikeCrash(
   err: UpstreamError,
--- a/src/requests/run_on_plain_service.ts
+++ b/src/requests/run_on_plain_service.ts
@@ -1,5 +1,6 @@
 /**
- * One call to a plain service, and what it says of the request's progress.
+ * Calls a plain service and records what the call shows of the request's
+ * progress.
  *
  * @module
  */
@@ -11,7 +12,7 @@
 import type { ParsedCall } from "./parse.ts";
 import { getRemainingMs, type Progress, type ServeHost } from "./types.ts";
 
-/** What a call needs. */
+/** Input of a call. */
 export interface PlainRun {
   readonly host: ServeHost;
   readonly admitted: AdmittedRequest;
@@ -20,7 +21,7 @@
 }
 
 /**
- * Calls the service. From the start the call counts as sent; only a refused
+ * Calls the service. The call counts as sent from the start; only a refused
  * connection proves that it was not.
  */
 export function runOnPlainService(
--- a/src/requests/run_suspect.ts
+++ b/src/requests/run_suspect.ts
@@ -1,6 +1,7 @@
 /**
- * Runs on an upstream beside others, or alone when the content was running
- * while an upstream failed; and what is told of content that crashes upstreams.
+ * Runs a request on its upstream: normally beside other requests, but alone
+ * when its content is a suspect, that is when it was running while an upstream
+ * crashed. Requests whose content is in quarantine are refused.
  *
  * @module
  */
@@ -13,7 +14,7 @@
 import type { Progress, ServeHost } from "./types.ts";
 import { checkDeadline } from "./use_slot.ts";
 
-/** Refuses content that is in quarantine. */
+/** Rejects a request whose content is in quarantine. */
 export function checkQuarantine(
   host: ServeHost,
   fingerprint: string,
@@ -30,10 +31,16 @@
   });
 }
 
-/** Pause between looks whether another host's run has ended, in ms. */
+/**
+ * Interval between checks whether the trial of another host has ended, in ms.
+ */
 const TRIAL_POLL_INTERVAL_MS = 250;
 
-/** Holds a suspect back until no other run of it, or of a suspect here, goes on. */
+/**
+ * Runs a request. When its content is a suspect, first waits until no other
+ * trial of that content runs in the fleet and no other suspect runs at this
+ * host.
+ */
 export function withTrialIfSuspect<A, E>(
   host: ServeHost,
   input: {
@@ -60,8 +67,9 @@
 }
 
 /**
- * Callers that send the same content at many hosts at once get one run of it at
- * a time: the second learns how the first ended before it begins.
+ * Waits for the fleet-wide trial reservation of the content. When callers send
+ * the same content to many hosts at once, only one attempt runs at a time: the
+ * second starts after the result of the first is known.
  */
 function waitForTrial(
   host: ServeHost,
@@ -81,7 +89,10 @@
   });
 }
 
-/** Runs on the upstream, alone when the content is a suspect. */
+/**
+ * Runs the request on the upstream, with exclusive use when the content is a
+ * suspect.
+ */
 export function runAtUpstream<A, E>(
   host: ServeHost,
   input: {
@@ -98,7 +109,7 @@
     yield* host.quarantine.catchUp;
     yield* checkQuarantine(host, fingerprint, progress.mayHaveRun);
     const isSuspect = host.quarantine.getCrashes(fingerprint) > 0;
-    // It came under suspicion while it waited for its slot.
+    // The content became a suspect while the request waited for its slot.
     if (isSuspect && !progress.hasTrial) yield* failHeldBack();
     progress.hasExclusiveUse = false;
     if (isSuspect) yield* enterExclusively(host, upstream.id, progress);
@@ -113,7 +124,8 @@
 }
 
 function failHeldBack(): Effect.Effect<never, UpstreamError> {
-  const reason = "A request with this content has to run alone";
+  const reason =
+    "The content is suspected of crashing upstreams and must run alone";
   return Effect.fail(new UpstreamError({ failure: "held-back", reason }));
 }
 
--- a/src/requests/serve.ts
+++ b/src/requests/serve.ts
@@ -1,7 +1,7 @@
 /**
- * The life of one request, straight down: parse, admit, claim, wait for a slot,
- * run, end. One fiber runs it; when the caller vanishes the fiber is
- * interrupted, and each step gives back what it holds.
+ * Serves one request in sequence: parse, admit, claim, wait for a slot, run,
+ * end. A single fiber runs it; when the caller disconnects the fiber is
+ * interrupted, and each step releases what it holds.
  *
  * @module
  */
@@ -106,7 +106,7 @@
     ),
     Effect.onInterrupt(() =>
       Effect.sync(() => {
-        const reason = "The caller vanished";
+        const reason = "The caller disconnected";
         recordEnd(host, admitted, { outcome: "caller-lost", cost: 0, reason });
       })
     ),
--- a/src/requests/types.ts
+++ b/src/requests/types.ts
@@ -1,6 +1,5 @@
 /**
- * What serving a request needs of the process, and how a request ends for the
- * record.
+ * Dependencies of serving a request, its progress, and its end.
  *
  * @module
  */
@@ -19,13 +18,13 @@
   UpstreamHealth,
 } from "../upstreams/mod.ts";
 
-/** What serving needs of the process. */
+/** Dependencies of serving a request, supplied by the process. */
 export interface ServeHost {
   readonly id: string;
   readonly dataCentre: string;
-  /** Start of this process in wall milliseconds. */
+  /** Start of this process, in wall-clock milliseconds. */
   readonly incarnation: number;
-  /** Signs resume tokens; the same at all hosts. */
+  /** Key that signs resume tokens; equal at all hosts. */
   readonly fleetSecret: string;
   readonly clock: Clock;
   readonly slots: SlotClient;
@@ -39,19 +38,19 @@
   readonly retryBudget: RetryBudget;
   getDeployment(): Deployment | undefined;
   isDraining(): boolean;
-  /** Succeeds when a host that is leaving can't let requests wait longer. */
+  /** Succeeds when a draining host can no longer let requests wait. */
   readonly waitUntilGivingUp: Effect.Effect<void>;
-  /** True when that process of the host is known to be dead. */
+  /** Whether the given process of the host is known to be dead. */
   isProcessDead(host: string, incarnation: number): boolean;
-  /** Charges a team for service that no slot of this host stands for. */
+  /** Charges a team for a request that uses no slot of this host. */
   charge(service: string, team: string, cost: number): void;
-  /** Goes on with the effect after the request has ended. */
+  /** Runs the effect independently of the request, which may end before it. */
   runDetached(effect: Effect.Effect<unknown>): void;
-  /** Tells metrics and log how the request ended. */
+  /** Reports the end of a request to metrics and log. */
   onEnded(request: string, end: RequestEnd): void;
 }
 
-/** How a request ended, for the record. */
+/** How a request ended, for metrics and log. */
 export interface RequestEnd {
   readonly outcome: "answered" | "not-run" | "may-have-run" | "caller-lost";
   readonly team: string;
@@ -61,33 +60,50 @@
   readonly reason: string;
 }
 
-/** What happened to a request so far, over all its runs. */
+/** Progress of a request over all its attempts. */
 export interface Progress {
-  /** Next offset that the caller needs. */
+  /** Next stream offset that the caller needs. */
   nextOffset: number;
-  /** Service used by the present run, in cost units. */
+  /** Cost of the current attempt, in cost units. */
   cost: number;
-  /** From the start of the run to its first token or byte; 0 before it. */
+  /**
+   * Time from the start of the attempt to its first token or byte, in ms; 0
+   * before.
+   */
   firstByteMs: number;
-  /** Time spent waiting for the tokens after the first, and their number. */
+  /**
+   * Time spent waiting for the tokens after the first, in ms, and their number.
+   */
   tokenWaitMs: number;
   laterTokens: number;
-  /** True once the present run's first byte may have gone upstream. */
+  /**
+   * True once the first byte of the current attempt may have been sent
+   * upstream.
+   */
   isSent: boolean;
-  /** True once any run may have had an effect: no more "not run" after that. */
+  /**
+   * True once any attempt may have had an effect: the outcome can then no
+   * longer be "not-run".
+   */
   mayHaveRun: boolean;
-  /** True while no other run of a suspect's content may go on. */
+  /**
+   * True while this request holds the fleet-wide trial of a suspect's content.
+   */
   hasTrial: boolean;
-  /** True while the present run has its upstream alone. */
+  /**
+   * True while the current attempt has exclusive use of its upstream at this
+   * host.
+   */
   hasExclusiveUse: boolean;
   /**
-   * Set when the run ended while its upstream may still work on it: ends when
-   * it no longer does, with the cost. The slot is given back only then.
+   * Set when the attempt ended while its upstream may still be working on it.
+   * The effect ends when the upstream has stopped, with the cost; the slot is
+   * released only then.
    */
   pendingUpstreamWork: Effect.Effect<number> | undefined;
 }
 
-/** Makes the progress of a request that did nothing yet. */
+/** Creates the progress of a request that has not started. */
 export function createProgress(): Progress {
   return {
     nextOffset: 0,
@@ -103,7 +119,9 @@
   };
 }
 
-/** Forgets the last run; what the request as a whole came to stays. */
+/**
+ * Resets the fields of the current attempt; those of the whole request stay.
+ */
 export function resetForAttempt(progress: Progress): void {
   progress.cost = 0;
   progress.firstByteMs = 0;
@@ -113,13 +131,16 @@
   progress.pendingUpstreamWork = undefined;
 }
 
-/** Mean time between the tokens of the last run, in ms; 0 for none. */
+/**
+ * Mean time between the tokens of the last attempt, in ms; 0 when there were
+ * fewer than two.
+ */
 export function getTokenIntervalMs(progress: Progress): number {
   const { tokenWaitMs, laterTokens } = progress;
   return laterTokens === 0 ? 0 : tokenWaitMs / laterTokens;
 }
 
-/** Time until the request's deadline, in whole ms; at least 1. */
+/** Time until the deadline of the request, in whole ms; at least 1. */
 export function getRemainingMs(
   host: ServeHost,
   admitted: AdmittedRequest,
--- a/src/requests/use_slot.ts
+++ b/src/requests/use_slot.ts
@@ -1,6 +1,6 @@
 /**
- * Waiting for a slot, and giving it back exactly once whatever happens, with
- * the service that was used.
+ * Waits for a slot, runs a task with it, and releases it exactly once, however
+ * the task ends, together with the cost of the request.
  *
  * @module
  */
@@ -19,13 +19,13 @@
   type ServeHost,
 } from "./types.ts";
 
-/** What is done with a slot. */
+/** A task that needs a slot. */
 export interface SlotTask<A, E> {
   readonly progress: Progress;
   readonly bodyBytes: number;
-  /** Goes on beside the wait; the slot is used once both are done. */
+  /** Runs while the request waits; the task starts once both are done. */
   readonly prepare: Effect.Effect<void, E>;
-  /** Called when the slot has come. */
+  /** Called when the slot has been granted. */
   onSlotGranted(): void;
   run(slot: SlotHandle): Effect.Effect<A, E>;
 }
@@ -37,7 +37,7 @@
   result: "unused" as const,
 };
 
-/** Runs with a slot. */
+/** Waits for a slot and runs the task with it. */
 export function withSlot<A, E>(
   host: ServeHost,
   admitted: AdmittedRequest,
@@ -52,8 +52,8 @@
     return Effect.all([task.prepare, wait], { concurrency: "unbounded" }).pipe(
       Effect.flatMap(() => task.run(held.slot!)),
       Effect.tap(() => Effect.sync(() => isAnswered = true)),
-      // Also runs when the caller vanished: a slot that is never given back
-      // would stand idle for good.
+      // Also runs when the caller disconnects: a slot that is never released
+      // would stay idle for ever.
       Effect.ensuring(
         Effect.sync(() =>
           releaseSlot(host, admitted, held.slot, {
@@ -66,7 +66,7 @@
   });
 }
 
-/** Gives the slot back once the upstream works on the run no longer. */
+/** Releases the slot once the upstream has stopped working on the attempt. */
 function releaseSlot(
   host: ServeHost,
   admitted: AdmittedRequest,
@@ -94,8 +94,9 @@
 }
 
 /**
- * A process that was paused between the grant and here finds that the caller
- * gave up: the clock is read right before the first byte goes upstream.
+ * Fails when the deadline has passed. The clock is read right before the first
+ * byte is sent upstream, since a process that was paused after the grant may
+ * find that its caller no longer waits.
  */
 export function checkDeadline(
   host: ServeHost,
@@ -122,8 +123,8 @@
 }
 
 /**
- * Waits for a slot, at most until the deadline and no longer than it can be
- * met; a cancelled wait leaves nothing.
+ * Waits for a slot until the deadline at most, and only while the deadline can
+ * be met. A cancelled wait leaves nothing behind.
  */
 function waitForSlot<A, E>(
   host: ServeHost,
@@ -200,7 +201,10 @@
   });
 }
 
-/** Tells that the request leaves its region, over the link that is billed. */
+/**
+ * Records that the request is sent to another region, over the link that is
+ * billed by volume.
+ */
 function recordCrossRegion(
   host: ServeHost,
   admitted: AdmittedRequest,
@@ -215,6 +219,6 @@
     kind: "request-shifted",
     request: admitted.id,
     team: admitted.team,
-    reason: `no slot of region ${own} came in time, one of ${other} did`,
+    reason: `a slot in region ${other} was granted before one in region ${own}`,
   });
 }
