--- a/src/requests/run_at_most_once.ts
+++ b/src/requests/run_at_most_once.ts
@@ -46,7 +46,10 @@
  */
 const MAX_RECORDED_CHARS = 65_536;
 
-/** Time past its deadline after which a claim has no holder any more, in ms. */
+/**
+ * A claim that is older than the service's longest deadline by this time has no
+ * holder any more, in ms.
+ */
 const CLAIM_HOLDER_GRACE_MS = 60_000;
 
 /** An earlier request with the same idempotency key has a recorded outcome. */
--- a/src/requests/run_at_most_once_test.ts
+++ b/src/requests/run_at_most_once_test.ts
@@ -72,7 +72,7 @@
   return ends;
 }
 
-test("a booking runs at most once and is never wrongly reported not-run", async () => {
+test("a booking runs at most once and is not-run only if it did not run", async () => {
   // Guards against a booking that runs twice: a caller resent its booking to
   // another host because the first host died, or because the table service's
   // reply was lost after the claim took effect, and the second host found no
@@ -145,7 +145,7 @@
   assert.ok(broken.includes("at-most-once"));
 });
 
-test("an idempotency key with the outcome not-run can be used again", async () => {
+test("a key whose outcome was not-run can be used again", async () => {
   // Guards against a key that stays claimed for ever: the table service was
   // unavailable for a moment and the caller got "not-run, retry later". Its
   // retry was told that the request was under way, because the claim had taken
--- a/src/requests/run_idempotent.ts
+++ b/src/requests/run_idempotent.ts
@@ -68,12 +68,12 @@
   const progress = createProgress();
   const context = { host, admitted, call, res, progress };
   return Effect.gen(function* () {
-    const tries = { runs: 0, refusals: 0 };
+    const tries = { attempts: 0, refusals: 0 };
     while (true) {
       // Crashes are recorded, and suspicion is cleared, before the trial of a
       // suspect ends: the next attempt with the same content, at this or
       // another host, has to know the result.
-      const attempt = runAttempt(context, tries.runs).pipe(
+      const attempt = runAttempt(context, tries.attempts).pipe(
         Effect.tap(() => clearSuspicion(context)),
         Effect.tapError((err) => recordIfCrash(context, err)),
       );
@@ -118,7 +118,7 @@
 
 function runAttempt(
   context: RequestContext,
-  number: number,
+  attempt: number,
 ): Effect.Effect<void, UpstreamError | RequestRejected | CallerLost> {
   const { host, admitted, progress } = context;
   return withSlot(host, admitted, {
@@ -128,7 +128,7 @@
     onSlotGranted() {},
     run: (slot) => {
       const run = context.call.service.kind === "engine"
-        ? runStream(context, slot, number)
+        ? runStream(context, slot, attempt)
         : runPlainCall(context, slot);
       const input = {
         fingerprint: admitted.fingerprint,
@@ -158,13 +158,13 @@
 function runStream(
   context: RequestContext,
   slot: SlotHandle,
-  run: number,
+  attempt: number,
 ): Effect.Effect<void, UpstreamError | CallerLost> {
   const { host, admitted, call, res, progress } = context;
   const { upstream } = slot;
   // Each attempt has its own stream id, so that no attempt receives events of
   // an earlier one.
-  const stream = run === 0 ? admitted.id : `${admitted.id}.${run}`;
+  const stream = attempt === 0 ? admitted.id : `${admitted.id}.${attempt}`;
   const { address } = upstream;
   return runOnEngine(host, {
     request: admitted.id,
@@ -208,7 +208,7 @@
 function decideAfterFailure(
   context: RequestContext,
   err: UpstreamError,
-  tries: { runs: number; refusals: number },
+  tries: { attempts: number; refusals: number },
 ): Effect.Effect<void, RequestRejected> {
   const { host, admitted, progress } = context;
   return Effect.gen(function* () {
@@ -219,10 +219,12 @@
       recordRetry(context, err);
       return;
     }
-    tries.runs++;
+    tries.attempts++;
     const isCrash = looksLikeCrash(err, progress);
     if (isCrash) yield* checkQuarantine(host, admitted.fingerprint, true);
-    if (progress.nextOffset > 0 || tries.runs >= MAX_ATTEMPTS) yield* giveUp;
+    if (progress.nextOffset > 0 || tries.attempts >= MAX_ATTEMPTS) {
+      yield* giveUp;
+    }
     // Requests that ran on a crashing upstream are retried outside the retry
     // budget: as suspects they run one at a time, which bounds the load.
     const mayRetry = isCrash ||
