--- a/src/requests/run_idempotent.ts
+++ b/src/requests/run_idempotent.ts
@@ -212,24 +212,22 @@
 ): Effect.Effect<void, RequestRejected> {
   const { host, admitted, progress } = context;
   return Effect.gen(function* () {
-    const giveUp = reject(createFailureReply(err, admitted, progress));
+    const fail = reject(createFailureReply(err, admitted, progress));
     if (!progress.isSent && wasNotSent(err)) {
       tries.refusals++;
-      if (tries.refusals > MAX_REFUSED_CONNECTIONS) yield* giveUp;
+      if (tries.refusals > MAX_REFUSED_CONNECTIONS) yield* fail;
       recordRetry(context, err);
       return;
     }
     tries.attempts++;
     const isCrash = looksLikeCrash(err, progress);
     if (isCrash) yield* checkQuarantine(host, admitted.fingerprint, true);
-    if (progress.nextOffset > 0 || tries.attempts >= MAX_ATTEMPTS) {
-      yield* giveUp;
-    }
+    if (progress.nextOffset > 0 || tries.attempts >= MAX_ATTEMPTS) yield* fail;
     // Requests that ran on a crashing upstream are retried outside the retry
     // budget: as suspects they run one at a time, which bounds the load.
     const mayRetry = isCrash ||
       host.retryBudget.tryTake(admitted.team, admitted.service);
-    if (!mayRetry) yield* giveUp;
+    if (!mayRetry) yield* fail;
     recordRetry(context, err);
   });
 }
