--- a/src/quarantine/catch_up.ts
+++ b/src/quarantine/partition_refresh.ts
@@ -18,45 +18,47 @@
  * fleet, in ms: 200 reads a second from the whole fleet at any size, a tenth of
  * what the table service takes.
  */
-const STALE_MS_PER_HOST = 5;
+const MAX_AGE_MS_PER_HOST = 5;
 
 /** A request waits no longer for the records, in ms. */
-const WAIT_LIMIT_MS = 250;
+const REFRESH_TIMEOUT_MS = 250;
 
 /** What catching up needs. */
-export interface CatchUpHost {
+export interface PartitionRefreshHost {
   readonly clock: Clock;
   /** Hosts that are known to this one. */
   countHosts(): number;
   /** A host went out of sight a while ago. */
-  isSomeHostOutOfSight(): boolean;
+  isAnyHostUnreachable(): boolean;
   readonly refresh: Effect.Effect<void>;
 }
 
 /** Makes the effect; requests that come together share one reading. */
-export function createCatchUp(host: CatchUpHost): Effect.Effect<void> {
-  let readMs = -Infinity;
-  let reading: Deferred.Deferred<void> | undefined;
+export function createPartitionRefresh(
+  host: PartitionRefreshHost,
+): Effect.Effect<void> {
+  let lastReadMs = -Infinity;
+  let running: Deferred.Deferred<void> | undefined;
 
-  function startReading(): Deferred.Deferred<void> {
+  function startRefresh(): Deferred.Deferred<void> {
     const done = Deferred.makeUnsafe<void>();
-    reading = done;
-    readMs = host.clock.monotonicMs();
+    running = done;
+    lastReadMs = host.clock.monotonicMs();
     Effect.runFork(host.refresh.pipe(Effect.ensuring(Effect.sync(() => {
-      reading = undefined;
+      running = undefined;
       Deferred.doneUnsafe(done, Effect.void);
     }))));
     return done;
   }
 
   return Effect.suspend(() => {
-    if (!host.isSomeHostOutOfSight()) return Effect.void;
-    const staleMs = host.countHosts() * STALE_MS_PER_HOST;
-    const isStale = host.clock.monotonicMs() - readMs >= staleMs;
-    const awaited = reading ?? (isStale ? startReading() : undefined);
-    if (awaited === undefined) return Effect.void;
-    return Deferred.await(awaited).pipe(Effect.timeoutOrElse({
-      duration: WAIT_LIMIT_MS,
+    if (!host.isAnyHostUnreachable()) return Effect.void;
+    const maxAgeMs = host.countHosts() * MAX_AGE_MS_PER_HOST;
+    const isStale = host.clock.monotonicMs() - lastReadMs >= maxAgeMs;
+    const refresh = running ?? (isStale ? startRefresh() : undefined);
+    if (refresh === undefined) return Effect.void;
+    return Deferred.await(refresh).pipe(Effect.timeoutOrElse({
+      duration: REFRESH_TIMEOUT_MS,
       orElse: () => Effect.void,
     }));
   });
--- a/src/quarantine/quarantine.ts
+++ b/src/quarantine/quarantine.ts
@@ -14,7 +14,10 @@
 
 import * as Effect from "effect/Effect";
 import type { PlatformError, Row } from "../platform/mod.ts";
-import { type CatchUpHost, createCatchUp } from "./catch_up.ts";
+import {
+  createPartitionRefresh,
+  type PartitionRefreshHost,
+} from "./partition_refresh.ts";
 import {
   CRASH_TABLE,
   createCrashRecords,
@@ -31,7 +34,7 @@
 
 /** What the quarantine needs of the process. */
 export interface QuarantineHost
-  extends RecordsHost, TrialHost, Omit<CatchUpHost, "refresh"> {
+  extends RecordsHost, TrialHost, Omit<PartitionRefreshHost, "refresh"> {
   /** Tells all hosts by gossip, within seconds. */
   spread(record: CrashRecord): void;
   /** Tells all hosts within one network delay, unless a datagram is lost. */
@@ -158,7 +161,7 @@
     recordCrash,
     beginTrial: trials.begin,
     endTrial: trials.end,
-    catchUp: createCatchUp({ ...host, refresh }),
+    refreshIfPartitioned: createPartitionRefresh({ ...host, refresh }),
     clear,
     receiveFact: (value) => records.learn(JSON.parse(value) as CrashRecord),
     refresh,
--- a/src/quarantine/quarantine_test.ts
+++ b/src/quarantine/quarantine_test.ts
@@ -57,7 +57,7 @@
         push: tell,
         onQuarantined() {},
         countHosts: () => hosts.length,
-        isSomeHostOutOfSight: () => !hears,
+        isAnyHostUnreachable: () => !hears,
       });
       hosts.push(host);
       return host;
@@ -215,7 +215,7 @@
       await fleet.run(other.recordCrash("c", alone));
       await fleet.run(other.recordCrash("c", alone));
       assert.ok(!cut.isQuarantined("c"));
-      await fleet.run(cut.catchUp);
+      await fleet.run(cut.refreshIfPartitioned);
       // The wait has a limit, which the scheduler may let pass first.
       await runToRest(s);
       assert.ok(cut.isQuarantined("c"));
--- a/src/quarantine/types.ts
+++ b/src/quarantine/types.ts
@@ -60,7 +60,7 @@
    * Looks into the table service when other hosts' records may not have reached
    * this one, since a host is out of sight; else does nothing.
    */
-  readonly catchUp: Effect.Effect<void>;
+  readonly refreshIfPartitioned: Effect.Effect<void>;
   /** Ends the suspicion of content that ran alone to its end. */
   clear(fingerprint: string): Effect.Effect<void>;
   /** Takes in another host's word. */
--- a/src/requests/run_suspect.ts
+++ b/src/requests/run_suspect.ts
@@ -53,7 +53,7 @@
   const { fingerprint } = input;
   const { quarantine } = host;
   return Effect.gen(function* () {
-    yield* quarantine.catchUp;
+    yield* quarantine.refreshIfPartitioned;
     input.progress.hasTrial = false;
     if (quarantine.getCrashes(fingerprint) === 0) return yield* run;
     yield* waitForTrial(host, input);
@@ -106,7 +106,7 @@
 ): Effect.Effect<A, E | RequestRejected | UpstreamError> {
   const { fingerprint, upstream, progress } = input;
   return Effect.gen(function* () {
-    yield* host.quarantine.catchUp;
+    yield* host.quarantine.refreshIfPartitioned;
     yield* checkQuarantine(host, fingerprint, progress.mayHaveRun);
     const isSuspect = host.quarantine.getCrashes(fingerprint) > 0;
     // The content became a suspect while the request waited for its slot.
--- a/src/router/serving.ts
+++ b/src/router/serving.ts
@@ -77,7 +77,7 @@
     push: (record) => membership.pushFact(createCrashFact(record, clock)),
     onQuarantined: journal.contentQuarantined,
     countHosts: () => membership.getMembers().length,
-    isSomeHostOutOfSight: parts.isSomeHostOutOfSight,
+    isAnyHostUnreachable: parts.isSomeHostOutOfSight,
   });
   const claims = createClaims({
     id,
--- a/src/testing/fake_request_host.ts
+++ b/src/testing/fake_request_host.ts
@@ -89,7 +89,7 @@
   recordCrash: () => Effect.succeed(1),
   beginTrial: () => Effect.succeed("begun"),
   endTrial: () => Effect.void,
-  catchUp: Effect.void,
+  refreshIfPartitioned: Effect.void,
   clear: () => Effect.void,
   receiveFact() {},
   refresh: Effect.void,
