--- a/src/quarantine/quarantine.ts
+++ b/src/quarantine/quarantine.ts
@@ -22,12 +22,12 @@
   CRASH_TABLE,
   createCrashRecords,
   type RecordsHost,
-  tryGetLive,
+  tryGetUnexpired,
 } from "./records.ts";
 import { createTrials, type TrialHost } from "./trial.ts";
 import {
   CRASH_LIMIT,
-  type CrashOptions,
+  type CrashCircumstances,
   type CrashRecord,
   type Quarantine,
 } from "./types.ts";
@@ -36,41 +36,41 @@
 export interface QuarantineHost
   extends RecordsHost, TrialHost, Omit<PartitionRefreshHost, "refresh"> {
   /** Tells all hosts by gossip, within seconds. */
-  spread(record: CrashRecord): void;
+  gossip(record: CrashRecord): void;
   /** Tells all hosts within one network delay, unless a datagram is lost. */
-  push(record: CrashRecord): void;
+  broadcast(record: CrashRecord): void;
 }
 
 /** Time for the store to count, in ms; then this host's count stands alone. */
-const COUNT_LIMIT_MS = 2_000;
+const COUNT_TIMEOUT_MS = 2_000;
 
 /**
  * Wait for a pushed record to reach all hosts, in ms: two and a half times the
  * one-way latency between regions. It is pushed twice, since a datagram can be
  * lost. Without the wait the caller's resend to another host gets there first.
  */
-const PUSH_WAIT_MS = 50;
+const BROADCAST_WAIT_MS = 50;
 
 /**
  * Up to so many hosts a first crash is pushed too. It is one datagram for each
  * host and each request that ran there: in larger fleets gossip must do.
  */
-const PUSH_ALL_HOSTS = 50;
+const MAX_BROADCAST_HOSTS = 50;
 
 /** Makes a quarantine that knows of no crash. */
 export function createQuarantine(host: QuarantineHost): Quarantine {
   const records = createCrashRecords(host);
   const trials = createTrials(host, records);
 
-  function countInStore(
+  function countInTable(
     fingerprint: string,
     isAlone: boolean,
     row: Row,
   ): Effect.Effect<CrashRecord | undefined> {
-    const stored = tryGetLive(row, host.clock.wallMs());
+    const stored = tryGetUnexpired(row, host.clock.wallMs());
     const own = records.getCrashes(fingerprint);
     const known = Math.max(stored?.crashes ?? 0, own);
-    const record = records.create(fingerprint, addCrash(known, isAlone));
+    const record = records.create(fingerprint, getNewCount(known, isAlone));
     return host.commit.write({
       table: CRASH_TABLE,
       key: fingerprint,
@@ -81,7 +81,7 @@
         case "committed":
           return Effect.succeed(record);
         case "conflict":
-          return countInStore(fingerprint, isAlone, result.row);
+          return countInTable(fingerprint, isAlone, result.row);
         case "failed":
           return Effect.succeed(undefined);
       }
@@ -90,35 +90,35 @@
 
   function recordCrash(
     fingerprint: string,
-    options: CrashOptions,
+    options: CrashCircumstances,
   ): Effect.Effect<number> {
     const { isAlone, isFinal } = options;
     return Effect.gen(function* () {
       const counted = yield* host.tables.get(CRASH_TABLE, fingerprint).pipe(
-        Effect.flatMap((row) => countInStore(fingerprint, isAlone, row)),
+        Effect.flatMap((row) => countInTable(fingerprint, isAlone, row)),
         Effect.catchTag("PlatformError", () => Effect.succeed(undefined)),
         Effect.timeoutOrElse({
-          duration: COUNT_LIMIT_MS,
+          duration: COUNT_TIMEOUT_MS,
           orElse: () => Effect.succeed(undefined),
         }),
       );
-      const own = addCrash(records.getCrashes(fingerprint), isAlone);
+      const own = getNewCount(records.getCrashes(fingerprint), isAlone);
       const record = counted ?? records.create(fingerprint, own);
-      records.learn(record);
+      records.merge(record);
       const isUrgent = isFinal || record.crashes >= CRASH_LIMIT ||
-        host.countHosts() <= PUSH_ALL_HOSTS;
-      if (isUrgent) yield* pushTwice(record);
-      else host.spread(record);
+        host.countHosts() <= MAX_BROADCAST_HOSTS;
+      if (isUrgent) yield* broadcastTwice(record);
+      else host.gossip(record);
       return record.crashes;
     });
   }
 
-  function pushTwice(record: CrashRecord): Effect.Effect<void> {
+  function broadcastTwice(record: CrashRecord): Effect.Effect<void> {
     return Effect.gen(function* () {
-      host.push(record);
-      yield* Effect.sleep(PUSH_WAIT_MS);
-      host.push(record);
-      yield* Effect.sleep(PUSH_WAIT_MS);
+      host.broadcast(record);
+      yield* Effect.sleep(BROADCAST_WAIT_MS);
+      host.broadcast(record);
+      yield* Effect.sleep(BROADCAST_WAIT_MS);
     });
   }
 
@@ -126,10 +126,10 @@
     return Effect.gen(function* () {
       if (records.getCrashes(fingerprint) >= CRASH_LIMIT) return;
       const cleared = records.create(fingerprint, 0);
-      records.learn(cleared);
-      host.spread(cleared);
+      records.merge(cleared);
+      host.gossip(cleared);
       const row = yield* host.tables.get(CRASH_TABLE, fingerprint);
-      const stored = tryGetLive(row, host.clock.wallMs());
+      const stored = tryGetUnexpired(row, host.clock.wallMs());
       if (stored === undefined || stored.crashes >= CRASH_LIMIT) return;
       yield* remove(row);
     }).pipe(Effect.catchTag("PlatformError", () => Effect.void));
@@ -148,8 +148,8 @@
     records.prune();
     const rows = yield* host.tables.list(CRASH_TABLE, "");
     for (const row of rows) {
-      const record = tryGetLive(row, host.clock.wallMs());
-      if (record !== undefined) records.learn(record);
+      const record = tryGetUnexpired(row, host.clock.wallMs());
+      if (record !== undefined) records.merge(record);
       else yield* remove(row);
     }
   }).pipe(Effect.catchTag("PlatformError", () => Effect.void));
@@ -163,7 +163,7 @@
     endTrial: trials.end,
     refreshIfPartitioned: createPartitionRefresh({ ...host, refresh }),
     clear,
-    receiveFact: (value) => records.learn(JSON.parse(value) as CrashRecord),
+    receiveFact: (value) => records.merge(JSON.parse(value) as CrashRecord),
     refresh,
   };
 }
@@ -172,6 +172,6 @@
  * In company only the first crash counts: whatever ran beside a crashing
  * request may meet it again by chance. Alone, there is nobody else to blame.
  */
-function addCrash(known: number, isAlone: boolean): number {
+function getNewCount(known: number, isAlone: boolean): number {
   return isAlone ? known + 1 : Math.max(known, 1);
 }
--- a/src/quarantine/quarantine_test.ts
+++ b/src/quarantine/quarantine_test.ts
@@ -21,7 +21,7 @@
   runToRest,
 } from "../testing/fake_io.ts";
 import { createQuarantine } from "./quarantine.ts";
-import { QUARANTINE_KEEP_MS, SUSPECT_KEEP_MS } from "./records.ts";
+import { QUARANTINE_RETENTION_MS, SUSPECT_RETENTION_MS } from "./records.ts";
 import { CRASH_LIMIT, type CrashRecord, type Quarantine } from "./types.ts";
 
 interface Fleet {
@@ -53,8 +53,8 @@
         clock,
         tables,
         commit: createGroupCommit(tables),
-        spread: tell,
-        push: tell,
+        gossip: tell,
+        broadcast: tell,
         onQuarantined() {},
         countHosts: () => hosts.length,
         isAnyHostUnreachable: () => !hears,
@@ -230,11 +230,11 @@
   const host = fleet.addHost();
   const alone = { isAlone: true, isFinal: false };
   await fleet.run(host.recordCrash("c", alone));
-  fleet.clock.advance(SUSPECT_KEEP_MS);
+  fleet.clock.advance(SUSPECT_RETENTION_MS);
   assert.equal(host.getCrashes("c"), 0);
   await fleet.run(host.recordCrash("c", alone));
   await fleet.run(host.recordCrash("c", alone));
   assert.ok(host.isQuarantined("c"));
-  fleet.clock.advance(QUARANTINE_KEEP_MS);
+  fleet.clock.advance(QUARANTINE_RETENTION_MS);
   assert.ok(!host.isQuarantined("c"));
 });
--- a/src/quarantine/records.ts
+++ b/src/quarantine/records.ts
@@ -14,10 +14,10 @@
 export const CRASH_TABLE = "crashes";
 
 /** A suspect that did not crash again is forgotten after so long, in ms. */
-export const SUSPECT_KEEP_MS = 10 * 60_000;
+export const SUSPECT_RETENTION_MS = 10 * 60_000;
 
 /** Quarantined content may be tried again after so long, in ms. */
-export const QUARANTINE_KEEP_MS = 24 * 3_600_000;
+export const QUARANTINE_RETENTION_MS = 24 * 3_600_000;
 
 /** What the records need of the process. */
 export interface RecordsHost {
@@ -31,7 +31,7 @@
   tryGet(fingerprint: string): CrashRecord | undefined;
   getCrashes(fingerprint: string): number;
   /** Takes in a record; a count never goes down, but to 0 for a suspect. */
-  learn(record: CrashRecord): void;
+  merge(record: CrashRecord): void;
   /** Makes a record with the time after which it is forgotten. */
   create(fingerprint: string, crashes: number): CrashRecord;
   /** Forgets what has expired. */
@@ -57,7 +57,7 @@
   return {
     tryGet,
     getCrashes,
-    learn(record) {
+    merge(record) {
       const known = getCrashes(record.fingerprint);
       if (record.crashes === 0) {
         // Cleared; yet a quarantine is lifted by its expiry alone.
@@ -71,10 +71,10 @@
       }
     },
     create(fingerprint, crashes) {
-      const keepMs = crashes >= CRASH_LIMIT
-        ? QUARANTINE_KEEP_MS
-        : SUSPECT_KEEP_MS;
-      const expiresMs = host.clock.wallMs() + keepMs;
+      const retentionMs = crashes >= CRASH_LIMIT
+        ? QUARANTINE_RETENTION_MS
+        : SUSPECT_RETENTION_MS;
+      const expiresMs = host.clock.wallMs() + retentionMs;
       return { fingerprint, crashes, expiresMs, writeId: randomUUID() };
     },
     prune() {
@@ -84,7 +84,10 @@
 }
 
 /** The record of a row; `undefined` for none and for one that has expired. */
-export function tryGetLive(row: Row, wallMs: number): CrashRecord | undefined {
+export function tryGetUnexpired(
+  row: Row,
+  wallMs: number,
+): CrashRecord | undefined {
   const record = row.value as CrashRecord | null;
   return record !== null && record.expiresMs > wallMs ? record : undefined;
 }
--- a/src/quarantine/trial.ts
+++ b/src/quarantine/trial.ts
@@ -15,14 +15,14 @@
 import type { GroupCommit } from "../claims/mod.ts";
 import type { Clock } from "../core/mod.ts";
 import type { Row, TableService } from "../platform/mod.ts";
-import { CRASH_TABLE, type CrashRecords, tryGetLive } from "./records.ts";
+import { CRASH_TABLE, type CrashRecords, tryGetUnexpired } from "./records.ts";
 import { CRASH_LIMIT, type CrashRecord, type TrialResult } from "./types.ts";
 
 /** A run alone is given up for lost after so long, in ms. */
-const TRIAL_LIMIT_MS = 30_000;
+const TRIAL_TIMEOUT_MS = 30_000;
 
 /** Without a reply for so long the host's own order must do, in ms. */
-const RESERVE_LIMIT_MS = 2_000;
+const RESERVE_TIMEOUT_MS = 2_000;
 
 /** What trials need of the process. */
 export interface TrialHost {
@@ -45,8 +45,8 @@
     row: Row,
   ): Effect.Effect<TrialResult> {
     const wallMs = host.clock.wallMs();
-    const stored = tryGetLive(row, wallMs);
-    if (stored !== undefined) records.learn(stored);
+    const stored = tryGetUnexpired(row, wallMs);
+    if (stored !== undefined) records.merge(stored);
     const known = records.tryGet(fingerprint);
     if (known === undefined || known.crashes >= CRASH_LIMIT) {
       return Effect.succeed("over");
@@ -55,8 +55,8 @@
     const isTaken = trial !== undefined && trial.host !== host.id &&
       trial.untilMs > wallMs;
     if (isTaken) return Effect.succeed("busy");
-    const trialOfOwn = { host: host.id, untilMs: wallMs + TRIAL_LIMIT_MS };
-    return write(row, { ...known, trial: trialOfOwn }).pipe(
+    const ownTrial = { host: host.id, untilMs: wallMs + TRIAL_TIMEOUT_MS };
+    return write(row, { ...known, trial: ownTrial }).pipe(
       Effect.flatMap((result) =>
         result.kind === "conflict"
           ? beginFrom(fingerprint, result.row)
@@ -81,14 +81,14 @@
         Effect.flatMap((row) => beginFrom(fingerprint, row)),
         Effect.catchTag("PlatformError", () => begun),
         Effect.timeoutOrElse({
-          duration: RESERVE_LIMIT_MS,
+          duration: RESERVE_TIMEOUT_MS,
           orElse: () => begun,
         }),
       ),
     end: (fingerprint) =>
       Effect.gen(function* () {
         const row = yield* host.tables.get(CRASH_TABLE, fingerprint);
-        const stored = tryGetLive(row, host.clock.wallMs());
+        const stored = tryGetUnexpired(row, host.clock.wallMs());
         if (stored?.trial?.host !== host.id) return;
         const { trial: _, ...rest } = stored;
         yield* write(row, rest);
--- a/src/quarantine/types.ts
+++ b/src/quarantine/types.ts
@@ -32,7 +32,7 @@
 export type TrialResult = "begun" | "busy" | "over";
 
 /** How a crash came about. */
-export interface CrashOptions {
+export interface CrashCircumstances {
   /** The content had the upstream alone, as far as its host knows. */
   readonly isAlone: boolean;
   /** The request is answered now, so its caller may send it again at once. */
@@ -50,7 +50,7 @@
    */
   recordCrash(
     fingerprint: string,
-    options: CrashOptions,
+    options: CrashCircumstances,
   ): Effect.Effect<number>;
   /** Reserves the content for a run of this host, over the whole fleet. */
   beginTrial(fingerprint: string): Effect.Effect<TrialResult>;
