--- a/src/quarantine/quarantine.ts
+++ b/src/quarantine/quarantine.ts
@@ -64,13 +64,13 @@
 
   function countInTable(
     fingerprint: string,
-    isAlone: boolean,
+    isExclusive: boolean,
     row: Row,
   ): Effect.Effect<CrashRecord | undefined> {
     const stored = tryGetUnexpired(row, host.clock.wallMs());
     const own = records.getCrashes(fingerprint);
     const known = Math.max(stored?.crashes ?? 0, own);
-    const record = records.create(fingerprint, getNewCount(known, isAlone));
+    const record = records.create(fingerprint, getNewCount(known, isExclusive));
     return host.commit.write({
       table: CRASH_TABLE,
       key: fingerprint,
@@ -81,7 +81,7 @@
         case "committed":
           return Effect.succeed(record);
         case "conflict":
-          return countInTable(fingerprint, isAlone, result.row);
+          return countInTable(fingerprint, isExclusive, result.row);
         case "failed":
           return Effect.succeed(undefined);
       }
@@ -92,17 +92,17 @@
     fingerprint: string,
     options: CrashCircumstances,
   ): Effect.Effect<number> {
-    const { isAlone, isFinal } = options;
+    const { isExclusive, isFinal } = options;
     return Effect.gen(function* () {
       const counted = yield* host.tables.get(CRASH_TABLE, fingerprint).pipe(
-        Effect.flatMap((row) => countInTable(fingerprint, isAlone, row)),
+        Effect.flatMap((row) => countInTable(fingerprint, isExclusive, row)),
         Effect.catchTag("PlatformError", () => Effect.succeed(undefined)),
         Effect.timeoutOrElse({
           duration: COUNT_TIMEOUT_MS,
           orElse: () => Effect.succeed(undefined),
         }),
       );
-      const own = getNewCount(records.getCrashes(fingerprint), isAlone);
+      const own = getNewCount(records.getCrashes(fingerprint), isExclusive);
       const record = counted ?? records.create(fingerprint, own);
       records.merge(record);
       const isUrgent = isFinal || record.crashes >= CRASH_LIMIT ||
@@ -172,6 +172,6 @@
  * In company only the first crash counts: whatever ran beside a crashing
  * request may meet it again by chance. Alone, there is nobody else to blame.
  */
-function getNewCount(known: number, isAlone: boolean): number {
-  return isAlone ? known + 1 : Math.max(known, 1);
+function getNewCount(known: number, isExclusive: boolean): number {
+  return isExclusive ? known + 1 : Math.max(known, 1);
 }
--- a/src/quarantine/quarantine_test.ts
+++ b/src/quarantine/quarantine_test.ts
@@ -80,7 +80,7 @@
     const host = fleet.hosts[index % fleet.hosts.length]!;
     for (let run = 0; run < 3; run++) {
       if (options.guarded && host.isQuarantined("culprit")) break;
-      const isAlone = host.getCrashes("culprit") > 0;
+      const isExclusive = host.getCrashes("culprit") > 0;
       history.push({
         kind: "upstream-crashed",
         upstream: "engine-1",
@@ -88,7 +88,7 @@
         // So far apart that each crash is known before the next run.
         atMs: history.length * 1_000,
       });
-      const crash = { isAlone, isFinal: true };
+      const crash = { isExclusive, isFinal: true };
       await fleet.run(host.recordCrash("culprit", crash));
     }
   }
@@ -139,9 +139,9 @@
       const fleet = createFleet(s, false);
       const first = fleet.addHost();
       const second = fleet.addHost();
-      const crash = { isAlone: false, isFinal: true };
+      const crash = { isExclusive: false, isFinal: true };
       assert.equal(await fleet.run(first.recordCrash("c", crash)), 1);
-      const alone = { isAlone: true, isFinal: true };
+      const alone = { isExclusive: true, isFinal: true };
       assert.equal(await fleet.run(second.recordCrash("c", alone)), 2);
       await runToRest(s);
       const empty = fleet.addHost();
@@ -161,7 +161,7 @@
       const fleet = createFleet(s, true);
       const host = fleet.addHost();
       const other = fleet.addHost();
-      const crash = { isAlone: false, isFinal: false };
+      const crash = { isExclusive: false, isFinal: false };
       for (let time = 0; time < 3; time++) {
         await fleet.run(host.recordCrash("chat", crash));
       }
@@ -184,7 +184,7 @@
       async (s, count) => {
         const fleet = createFleet(s, true);
         for (let host = 0; host < count; host++) fleet.addHost();
-        const crash = { isAlone: false, isFinal: true };
+        const crash = { isExclusive: false, isFinal: true };
         await fleet.run(fleet.hosts[0]!.recordCrash("c", crash));
         const all = Effect.all(
           fleet.hosts.map((host) => host.beginTrial("c")),
@@ -211,7 +211,7 @@
       const fleet = createFleet(s, false);
       const cut = fleet.addHost();
       const other = fleet.addHost();
-      const alone = { isAlone: true, isFinal: true };
+      const alone = { isExclusive: true, isFinal: true };
       await fleet.run(other.recordCrash("c", alone));
       await fleet.run(other.recordCrash("c", alone));
       assert.ok(!cut.isQuarantined("c"));
@@ -228,7 +228,7 @@
   const [s] = fc.sample(fc.scheduler(), { numRuns: 1, seed: 1 });
   const fleet = createFleet(s!, true);
   const host = fleet.addHost();
-  const alone = { isAlone: true, isFinal: false };
+  const alone = { isExclusive: true, isFinal: false };
   await fleet.run(host.recordCrash("c", alone));
   fleet.clock.advance(SUSPECT_RETENTION_MS);
   assert.equal(host.getCrashes("c"), 0);
--- a/src/quarantine/types.ts
+++ b/src/quarantine/types.ts
@@ -34,7 +34,7 @@
 /** How a crash came about. */
 export interface CrashCircumstances {
   /** The content had the upstream alone, as far as its host knows. */
-  readonly isAlone: boolean;
+  readonly isExclusive: boolean;
   /** The request is answered now, so its caller may send it again at once. */
   readonly isFinal: boolean;
 }
--- a/src/requests/run_at_most_once.ts
+++ b/src/requests/run_at_most_once.ts
@@ -137,7 +137,7 @@
   return Effect.suspend(() => {
     if (!(err instanceof UpstreamError)) return Effect.void;
     if (!looksLikeCrash(err, progress)) return Effect.void;
-    const crash = { isAlone: progress.hasExclusiveUse, isFinal: true };
+    const crash = { isExclusive: progress.hasExclusiveUse, isFinal: true };
     return host.quarantine.recordCrash(admitted.fingerprint, crash);
   }).pipe(Effect.asVoid);
 }
--- a/src/requests/run_idempotent.ts
+++ b/src/requests/run_idempotent.ts
@@ -111,7 +111,7 @@
     // Delivered events cannot be withdrawn, so the request ends with this
     // crash.
     const isFinal = progress.nextOffset > 0;
-    const crash = { isAlone: progress.hasExclusiveUse, isFinal };
+    const crash = { isExclusive: progress.hasExclusiveUse, isFinal };
     return host.quarantine.recordCrash(admitted.fingerprint, crash);
   }).pipe(Effect.asVoid);
 }
