--- a/src/quarantine/mod.ts
+++ b/src/quarantine/mod.ts
@@ -1,5 +1,6 @@
 /**
- * Content that crashes upstreams, refused over the whole fleet.
+ * Quarantine of content that crashes upstreams: it is refused by the whole
+ * fleet.
  *
  * @module
  */
--- a/src/quarantine/partition_refresh.ts
+++ b/src/quarantine/partition_refresh.ts
@@ -1,10 +1,11 @@
 /**
- * Reads the records again before a run while a host is out of sight: what that
- * host counts may not reach this one, and this one may be the host that is cut
- * off.
+ * Reloads the crash records before a request runs while a host is unreachable:
+ * crashes recorded by that host may not have reached this one, and this host
+ * may be the one that is cut off.
  *
- * Load: a cut of one host or of a region, while a caller goes on sending content
- * that crashes upstreams. Harm prevented: each side counts for itself.
+ * Load: one host or one region is partitioned from the others while a caller
+ * keeps sending content that crashes upstreams. Failure prevented: each side of
+ * the partition counts crashes on its own.
  *
  * @module
  */
@@ -14,26 +15,26 @@
 import type { Clock } from "../core/mod.ts";
 
 /**
- * The records are read again when they are older than this for each host of the
- * fleet, in ms: 200 reads a second from the whole fleet at any size, a tenth of
- * what the table service takes.
+ * Age at which the records are reloaded, in ms for each host of the fleet. The
+ * whole fleet thus causes 200 reads a second at any size, a tenth of what the
+ * table service can handle.
  */
 const MAX_AGE_MS_PER_HOST = 5;
 
-/** A request waits no longer for the records, in ms. */
+/** Longest time that a request waits for the records, in ms. */
 const REFRESH_TIMEOUT_MS = 250;
 
-/** What catching up needs. */
+/** Dependencies of the reload, supplied by the process. */
 export interface PartitionRefreshHost {
   readonly clock: Clock;
-  /** Hosts that are known to this one. */
+  /** Number of hosts that this host knows. */
   countHosts(): number;
-  /** A host went out of sight a while ago. */
+  /** Whether some host has been unreachable for a while. */
   isAnyHostUnreachable(): boolean;
   readonly refresh: Effect.Effect<void>;
 }
 
-/** Makes the effect; requests that come together share one reading. */
+/** Creates the effect; concurrent requests share one reload. */
 export function createPartitionRefresh(
   host: PartitionRefreshHost,
 ): Effect.Effect<void> {
--- a/src/quarantine/quarantine.ts
+++ b/src/quarantine/quarantine.ts
@@ -1,13 +1,14 @@
 /**
- * Counts crashes by content over the whole fleet and refuses what reaches the
- * limit.
+ * Counts crashes by content over the whole fleet, and refuses content that
+ * reaches the limit.
  *
- * Load: one request crashes each upstream that runs it, and its caller sends it
- * again, at another host each time. Harm prevented: upstream after upstream
- * goes down, with all that runs beside it.
+ * Load: one request crashes each upstream that runs it, and its caller resends
+ * it, each time to another host. Failure prevented: one upstream after another
+ * crashes, with all requests that run beside it.
  *
- * The count is a row of the table service, so that it survives every host, and
- * a fact that spreads from host to host, so that no request waits for the store.
+ * The count is stored in a row of the table service, so that it survives the
+ * loss of any host, and is spread between hosts as a fact, so that no request
+ * waits for the table service.
  *
  * @module
  */
@@ -32,32 +33,40 @@
   type Quarantine,
 } from "./types.ts";
 
-/** What the quarantine needs of the process. */
+/** Dependencies of the quarantine, supplied by the process. */
 export interface QuarantineHost
   extends RecordsHost, TrialHost, Omit<PartitionRefreshHost, "refresh"> {
-  /** Tells all hosts by gossip, within seconds. */
+  /** Sends the record to all hosts by gossip, which takes seconds. */
   gossip(record: CrashRecord): void;
-  /** Tells all hosts within one network delay, unless a datagram is lost. */
+  /**
+   * Sends the record to all hosts directly, within one network latency;
+   * datagrams may be lost.
+   */
   broadcast(record: CrashRecord): void;
 }
 
-/** Time for the store to count, in ms; then this host's count stands alone. */
+/**
+ * Time-out for counting in the table service, in ms; after it, only this host's
+ * own count is used.
+ */
 const COUNT_TIMEOUT_MS = 2_000;
 
 /**
- * Wait for a pushed record to reach all hosts, in ms: two and a half times the
- * one-way latency between regions. It is pushed twice, since a datagram can be
- * lost. Without the wait the caller's resend to another host gets there first.
+ * Time for a broadcast record to reach all hosts, in ms: two and a half times
+ * the one-way latency between regions. The record is sent twice, since a
+ * datagram can be lost. Without the wait, the caller's resend would reach
+ * another host before the record.
  */
 const BROADCAST_WAIT_MS = 50;
 
 /**
- * Up to so many hosts a first crash is pushed too. It is one datagram for each
- * host and each request that ran there: in larger fleets gossip must do.
+ * Largest fleet in which a first crash is broadcast, too. The broadcast costs
+ * one datagram for each host and each request that ran on the crashed upstream,
+ * so larger fleets rely on gossip.
  */
 const MAX_BROADCAST_HOSTS = 50;
 
-/** Makes a quarantine that knows of no crash. */
+/** Creates a quarantine without crash records. */
 export function createQuarantine(host: QuarantineHost): Quarantine {
   const records = createCrashRecords(host);
   const trials = createTrials(host, records);
@@ -169,8 +178,9 @@
 }
 
 /**
- * In company only the first crash counts: whatever ran beside a crashing
- * request may meet it again by chance. Alone, there is nobody else to blame.
+ * Returns the new crash count. Of the crashes beside other requests only the
+ * first counts, since any request on the crashing upstream may be there by
+ * chance. A request with exclusive use is the only possible cause.
  */
 function getNewCount(known: number, isExclusive: boolean): number {
   return isExclusive ? known + 1 : Math.max(known, 1);
--- a/src/quarantine/quarantine_test.ts
+++ b/src/quarantine/quarantine_test.ts
@@ -1,6 +1,6 @@
 /**
- * Tests that one content crashes at most the stated number of upstreams over the
- * fleet, and that its neighbours are not blamed.
+ * Tests that content crashes at most the stated number of upstreams in the
+ * fleet, and that requests that ran beside it are not blamed.
  *
  * @module
  */
@@ -31,7 +31,7 @@
   run<A>(effect: Effect.Effect<A>): Promise<A>;
 }
 
-/** Hosts that hear of each other's records at once, or not at all. */
+/** Creates hosts that receive each other's records at once, or not at all. */
 function createFleet(s: fc.Scheduler, hears: boolean): Fleet {
   const store = createFakeStore();
   const clock = createManualClock(1_000_000);
@@ -70,7 +70,10 @@
   };
 }
 
-/** Sends the content to the hosts in turn; each reruns it alone, as built. */
+/**
+ * Sends the content to the hosts in turn; each host runs it alone after the
+ * first crash, as the router does.
+ */
 async function sendCulprit(
   fleet: Fleet,
   options: { readonly sendings: readonly number[]; readonly guarded: boolean },
@@ -85,7 +88,7 @@
         kind: "upstream-crashed",
         upstream: "engine-1",
         work: "culprit",
-        // So far apart that each crash is known before the next run.
+        // Crashes are so far apart that each is known before the next attempt.
         atMs: history.length * 1_000,
       });
       const crash = { isExclusive, isFinal: true };
@@ -101,9 +104,9 @@
   { maxLength: 10 },
 );
 
-test("one content crashes two upstreams over the fleet, whoever is asked", async () => {
-  // A survey with a broken character crashed an engine. Its caller sent it to
-  // the next host, and the next, until no engine was left.
+test("content crashes two upstreams in the fleet, at whichever hosts", async () => {
+  // Guards against the loss of all engines: a request with an invalid character
+  // crashed an engine, and its caller sent it to one host after another.
   await fc.assert(
     fc.asyncProperty(
       fc.scheduler(),
@@ -122,7 +125,7 @@
   );
 });
 
-test("without the refusal the checker reports the crashes", async () => {
+test("the checker reports the crashes if quarantine is not enforced", async () => {
   const [s] = fc.sample(fc.scheduler(), { numRuns: 1, seed: 1 });
   const fleet = createFleet(s!, true);
   fleet.addHost();
@@ -131,9 +134,9 @@
   assert.deepEqual(broken.map((each) => each.promise), ["crashes-are-limited"]);
 });
 
-test("the count goes through the store when no host hears of another", async () => {
-  // The host that saw the first crash is cut off from the others. The second
-  // counts the next crash on top of the first, in the table service.
+test("hosts that cannot reach each other count in the table service", async () => {
+  // The host that recorded the first crash is partitioned from the others. The
+  // second host adds the next crash to the count in the table service.
   await fc.assert(
     fc.asyncProperty(fc.scheduler(), async (s) => {
       const fleet = createFleet(s, false);
@@ -153,9 +156,9 @@
   );
 });
 
-test("a neighbour is cleared, and never blamed for crashes in company", async () => {
-  // A short chat ran beside the broken survey three times. It was refused as if
-  // it had crashed the engines itself.
+test("a request beside a crashing one is cleared and not quarantined", async () => {
+  // Guards against quarantine of harmless content that ran beside the crashing
+  // content three times.
   await fc.assert(
     fc.asyncProperty(fc.scheduler(), async (s) => {
       const fleet = createFleet(s, true);
@@ -174,9 +177,10 @@
   );
 });
 
-test("one content runs alone at one host of the fleet at a time", async () => {
-  // Ten callers sent the broken survey to five hosts at once. Each host had
-  // heard of the first crash, tried it alone, and lost an engine.
+test("suspect content runs at one host of the fleet at a time", async () => {
+  // Guards against the loss of one engine at each host: callers sent the
+  // crashing content to five hosts at once, and each host knew of the first
+  // crash and ran the content alone.
   await fc.assert(
     fc.asyncProperty(
       fc.scheduler(),
@@ -203,9 +207,9 @@
   );
 });
 
-test("a host that hears nothing reads what the others counted", async () => {
-  // A host was cut from the others; callers still reached it, and it ran what
-  // the whole fleet refused.
+test("a partitioned host reads the crash counts of the others", async () => {
+  // Guards against a host that runs quarantined content: it was partitioned
+  // from the other hosts but still reachable for callers.
   await fc.assert(
     fc.asyncProperty(fc.scheduler(), async (s) => {
       const fleet = createFleet(s, false);
@@ -216,7 +220,7 @@
       await fleet.run(other.recordCrash("c", alone));
       assert.ok(!cut.isQuarantined("c"));
       await fleet.run(cut.refreshIfPartitioned);
-      // The wait has a limit, which the scheduler may let pass first.
+      // The wait has a time-out, which the scheduler may let expire first.
       await runToRest(s);
       assert.ok(cut.isQuarantined("c"));
     }),
--- a/src/quarantine/records.ts
+++ b/src/quarantine/records.ts
@@ -1,6 +1,6 @@
 /**
- * The records that one host knows, from its own runs, other hosts and the table
- * service.
+ * The crash records that one host knows: from its own requests, from other
+ * hosts and from the table service.
  *
  * @module
  */
@@ -10,19 +10,19 @@
 import type { Row } from "../platform/mod.ts";
 import { CRASH_LIMIT, type CrashRecord } from "./types.ts";
 
-/** The table of the records; its keys are fingerprints. */
+/** Table of the crash records; its keys are content fingerprints. */
 export const CRASH_TABLE = "crashes";
 
-/** A suspect that did not crash again is forgotten after so long, in ms. */
+/** How long content stays a suspect without another crash, in ms. */
 export const SUSPECT_RETENTION_MS = 10 * 60_000;
 
-/** Quarantined content may be tried again after so long, in ms. */
+/** How long content stays in quarantine, in ms. */
 export const QUARANTINE_RETENTION_MS = 24 * 3_600_000;
 
-/** What the records need of the process. */
+/** Dependencies of the crash records, supplied by the process. */
 export interface RecordsHost {
   readonly clock: Clock;
-  /** Called once when a content reaches the limit, as far as known here. */
+  /** Called when a record first reaches the crash limit at this host. */
   onQuarantined(record: CrashRecord): void;
 }
 
@@ -30,15 +30,18 @@
 export interface CrashRecords {
   tryGet(fingerprint: string): CrashRecord | undefined;
   getCrashes(fingerprint: string): number;
-  /** Takes in a record; a count never goes down, but to 0 for a suspect. */
+  /**
+   * Merges a record. A count never decreases, except to 0 when a suspect is
+   * cleared.
+   */
   merge(record: CrashRecord): void;
-  /** Makes a record with the time after which it is forgotten. */
+  /** Creates a record that expires after the time for its crash count. */
   create(fingerprint: string, crashes: number): CrashRecord;
-  /** Forgets what has expired. */
+  /** Removes expired records. */
   prune(): void;
 }
 
-/** Makes an empty set of records. */
+/** Creates an empty set of records. */
 export function createCrashRecords(host: RecordsHost): CrashRecords {
   const records = new Map<string, CrashRecord>();
 
@@ -60,7 +63,7 @@
     merge(record) {
       const known = getCrashes(record.fingerprint);
       if (record.crashes === 0) {
-        // Cleared; yet a quarantine is lifted by its expiry alone.
+        // The suspect was cleared. A quarantine ends only when it expires.
         if (known < CRASH_LIMIT) records.delete(record.fingerprint);
         return;
       }
@@ -83,7 +86,10 @@
   };
 }
 
-/** The record of a row; `undefined` for none and for one that has expired. */
+/**
+ * Returns the record of a row; `undefined` when there is none or it has
+ * expired.
+ */
 export function tryGetUnexpired(
   row: Row,
   wallMs: number,
--- a/src/quarantine/trial.ts
+++ b/src/quarantine/trial.ts
@@ -1,11 +1,13 @@
 /**
- * Reserves a suspect for one run at a time over the fleet.
+ * Fleet-wide reservation of a suspect's content, so that only one request with
+ * that content runs at a time.
  *
- * Load: many callers send one content that crashes upstreams, at many hosts at
- * once. Harm prevented: each host tries it alone, and each loses an upstream.
+ * Load: many callers send content that crashes upstreams to many hosts at once.
+ * Failure prevented: each host runs the content alone on an upstream, and each
+ * loses that upstream.
  *
- * The reservation is no lease that anything must rely on: when it lapses under a
- * paused host, one more upstream may be lost.
+ * The reservation is not a lease for correctness: when it expires while its
+ * host is paused, at most one more upstream may crash.
  *
  * @module
  */
@@ -18,13 +20,16 @@
 import { CRASH_TABLE, type CrashRecords, tryGetUnexpired } from "./records.ts";
 import { CRASH_LIMIT, type CrashRecord, type TrialResult } from "./types.ts";
 
-/** A run alone is given up for lost after so long, in ms. */
+/** Time after which a trial is considered lost, in ms. */
 const TRIAL_TIMEOUT_MS = 30_000;
 
-/** Without a reply for so long the host's own order must do, in ms. */
+/**
+ * Time-out for the reservation, in ms. After it the trial starts anyway; then
+ * only this host's own suspects are serialized.
+ */
 const RESERVE_TIMEOUT_MS = 2_000;
 
-/** What trials need of the process. */
+/** Dependencies of trials, supplied by the process. */
 export interface TrialHost {
   readonly id: string;
   readonly clock: Clock;
@@ -32,13 +37,13 @@
   readonly commit: GroupCommit;
 }
 
-/** The reservations of one host. */
+/** The trials of one host. */
 export interface Trials {
   begin(fingerprint: string): Effect.Effect<TrialResult>;
   end(fingerprint: string): Effect.Effect<void>;
 }
 
-/** Makes the host's side of reservations. */
+/** Creates the trials of a host. */
 export function createTrials(host: TrialHost, records: CrashRecords): Trials {
   function beginFrom(
     fingerprint: string,
--- a/src/quarantine/types.ts
+++ b/src/quarantine/types.ts
@@ -1,70 +1,86 @@
 /**
- * What the fleet knows of content that was running when an upstream failed.
+ * Types of the quarantine: records of content that was running when an upstream
+ * crashed.
  *
  * @module
  */
 
 import type * as Effect from "effect/Effect";
 
-/** Crashes of one content after which it is refused. */
+/** Number of crashes after which content is refused. */
 export const CRASH_LIMIT = 2;
 
-/** Record of one content; the row of the table service and the fact's value. */
+/**
+ * Crash record of one content: a row of the table service, and the value of the
+ * fact that hosts exchange.
+ */
 export interface CrashRecord {
   readonly fingerprint: string;
   /**
-   * Crashes that it caused, as far as known: the first may be a neighbour's;
-   * from the second on it ran alone.
+   * Crashes attributed to the content. The first may have been caused by a
+   * request that ran beside it; from the second on the content ran alone.
    */
   readonly crashes: number;
-  /** Wall milliseconds after which the record is forgotten. */
+  /** Expiry of the record, in wall-clock milliseconds. */
   readonly expiresMs: number;
-  /** New at each write; tells after a lost reply whether it took effect. */
+  /**
+   * Unique for each write; shows after a lost reply whether the write took
+   * effect.
+   */
   readonly writeId: string;
-  /** The host that runs the content alone now, and until when at most. */
+  /**
+   * The host that holds the trial of the content, and when the trial expires.
+   */
   readonly trial?: { readonly host: string; readonly untilMs: number };
 }
 
 /**
- * What a host is told that wants to run a suspect. "busy": another host runs the
- * same content. "over": it is no suspect any more, or is in quarantine.
+ * Result of a request for a trial. "begun": the trial is reserved. "busy":
+ * another host holds the trial of this content. "over": the content is no
+ * longer a suspect, or is in quarantine.
  */
 export type TrialResult = "begun" | "busy" | "over";
 
-/** How a crash came about. */
+/** Circumstances of a crash. */
 export interface CrashCircumstances {
-  /** The content had the upstream alone, as far as its host knows. */
+  /**
+   * The content had exclusive use of the upstream, as far as its host knows.
+   */
   readonly isExclusive: boolean;
-  /** The request is answered now, so its caller may send it again at once. */
+  /** The request ends with this crash, so its caller may resend it at once. */
   readonly isFinal: boolean;
 }
 
-/** Counts crashes by content over the fleet. */
+/** Counts crashes by content over the fleet, and quarantines content. */
 export interface Quarantine {
-  /** Crashes counted for the content; 0 when it is under no suspicion. */
+  /** Crashes counted for the content; 0 when it is not a suspect. */
   getCrashes(fingerprint: string): number;
   isQuarantined(fingerprint: string): boolean;
   /**
-   * Counts a crash in the table service and tells all hosts; gives the new
-   * count. When the caller is answered next, it ends once the others know.
+   * Counts a crash in the table service and sends the record to all hosts;
+   * returns the new count. If `isFinal` is set, ends only once the other hosts
+   * should have received the record.
    */
   recordCrash(
     fingerprint: string,
     options: CrashCircumstances,
   ): Effect.Effect<number>;
-  /** Reserves the content for a run of this host, over the whole fleet. */
+  /** Reserves the content for a request of this host, in the whole fleet. */
   beginTrial(fingerprint: string): Effect.Effect<TrialResult>;
-  /** Gives the reservation up, if it stands still. */
+  /** Releases the reservation, if this host still holds it. */
   endTrial(fingerprint: string): Effect.Effect<void>;
   /**
-   * Looks into the table service when other hosts' records may not have reached
-   * this one, since a host is out of sight; else does nothing.
+   * Reloads the records from the table service while some host is unreachable,
+   * since its records may not have reached this host; otherwise does nothing.
    */
   readonly refreshIfPartitioned: Effect.Effect<void>;
-  /** Ends the suspicion of content that ran alone to its end. */
+  /** Clears the suspicion of content that ran alone without a crash. */
   clear(fingerprint: string): Effect.Effect<void>;
-  /** Takes in another host's word. */
+  /** Merges the crash record of another host. */
   receiveFact(value: string): void;
-  /** Reads all records, as an empty host does at its start, and now and then. */
+  /**
+   * Loads all records from the table service; called at the start and
+   * periodically.
+   */
   readonly refresh: Effect.Effect<void>;
 }
