--- a/src/quarantine/partition_refresh.ts
+++ b/src/quarantine/partition_refresh.ts
@@ -15,9 +15,9 @@
 import type { Clock } from "../core/mod.ts";
 
 /**
- * Age at which the records are reloaded, in ms for each host of the fleet. The
- * whole fleet thus causes 200 reads a second at any size, a tenth of what the
- * table service can handle.
+ * Age at which the records are reloaded, in ms, for each host of the fleet: all
+ * hosts together then read the records 200 times a second in a fleet of any
+ * size, a tenth of what the table service can handle.
  */
 const MAX_AGE_MS_PER_HOST = 5;
 
--- a/src/quarantine/quarantine.ts
+++ b/src/quarantine/quarantine.ts
@@ -7,7 +7,7 @@
  * crashes, with all requests that run beside it.
  *
  * The count is stored in a row of the table service, so that it survives the
- * loss of any host, and is spread between hosts as a fact, so that no request
+ * loss of any host, and is gossiped as a fact between hosts, so that no request
  * waits for the table service.
  *
  * @module
@@ -178,9 +178,9 @@
 }
 
 /**
- * Returns the new crash count. Of the crashes beside other requests only the
- * first counts, since any request on the crashing upstream may be there by
- * chance. A request with exclusive use is the only possible cause.
+ * Returns the new crash count. Crashes beside other requests count only once,
+ * since a harmless request may run beside the crashing one again by chance. A
+ * request with exclusive use is the only possible cause.
  */
 function getNewCount(known: number, isExclusive: boolean): number {
   return isExclusive ? known + 1 : Math.max(known, 1);
--- a/src/quarantine/quarantine_test.ts
+++ b/src/quarantine/quarantine_test.ts
@@ -32,12 +32,12 @@
 }
 
 /** Creates hosts that receive each other's records at once, or not at all. */
-function createFleet(s: fc.Scheduler, hears: boolean): Fleet {
+function createFleet(s: fc.Scheduler, areConnected: boolean): Fleet {
   const store = createFakeStore();
   const clock = createManualClock(1_000_000);
   const hosts: Quarantine[] = [];
-  const tell = (record: CrashRecord) => {
-    if (!hears) return;
+  const deliver = (record: CrashRecord) => {
+    if (!areConnected) return;
     for (const host of hosts) host.receiveFact(JSON.stringify(record));
   };
   return {
@@ -53,11 +53,11 @@
         clock,
         tables,
         commit: createGroupCommit(tables),
-        gossip: tell,
-        broadcast: tell,
+        gossip: deliver,
+        broadcast: deliver,
         onQuarantined() {},
         countHosts: () => hosts.length,
-        isAnyHostUnreachable: () => !hears,
+        isAnyHostUnreachable: () => !areConnected,
       });
       hosts.push(host);
       return host;
