--- a/src/routing/route_table.ts
+++ b/src/routing/route_table.ts
@@ -22,9 +22,9 @@
 
 /** Makes the table of a configuration. */
 export function createRouteTable(config: RoutingConfig): RouteTable {
-  const byHost = new Map<string, Map<string, Route>>();
+  const routesByHost = new Map<string, Map<string, Route>>();
   for (const route of config.routes) {
-    getOrCreate(byHost, route.hostName, () => new Map<string, Route>())
+    getOrCreate(routesByHost, route.hostName, () => new Map<string, Route>())
       .set(route.pathPrefix, route);
   }
   const teamByKey = new Map<string, string>();
@@ -32,21 +32,21 @@
     for (const key of team.keys) teamByKey.set(key, team.name);
   }
 
-  const promptTargetMs = new Map<string, number>();
+  const promptTargetMsByService = new Map<string, number>();
   for (const route of config.routes.filter((each) => each.hasPrompts)) {
     for (const { service } of route.services) {
-      const known = promptTargetMs.get(service) ?? Infinity;
-      promptTargetMs.set(service, Math.min(known, route.targetMs));
+      const known = promptTargetMsByService.get(service) ?? Infinity;
+      promptTargetMsByService.set(service, Math.min(known, route.targetMs));
     }
   }
 
   return {
     config,
-    tryGetPromptTargetMs: (service) => promptTargetMs.get(service),
+    tryGetPromptTargetMs: (service) => promptTargetMsByService.get(service),
     tryGetRoute(hostHeader, target) {
-      const routes = byHost.get(getHostName(hostHeader));
+      const routes = routesByHost.get(getHostName(hostHeader));
       if (routes === undefined) return undefined;
-      return tryGetLongest(routes, getPath(target));
+      return tryGetLongestPrefix(routes, getPath(target));
     },
     tryGetTeam: (key) => teamByKey.get(key),
   };
@@ -67,7 +67,7 @@
 }
 
 /** Walks the path's slashes from the last to the first. */
-function tryGetLongest(
+function tryGetLongestPrefix(
   routes: ReadonlyMap<string, Route>,
   path: string,
 ): Route | undefined {
