--- a/src/routing/mod.ts
+++ b/src/routing/mod.ts
@@ -1,5 +1,5 @@
 /**
- * Which route, service and team a request belongs to.
+ * Finds the route, the service and the team of a request.
  *
  * @module
  */
--- a/src/routing/route_table.ts
+++ b/src/routing/route_table.ts
@@ -1,7 +1,7 @@
 /**
- * Finds a request's route and team in one configuration. Both look-ups are maps
- * built once for a version, so that neither 350 routes more nor 290 teams more
- * cost a request anything.
+ * Finds the route and the team of a request in one configuration. Both are
+ * looked up in maps that are built once for each configuration version, so that
+ * 350 more routes or 290 more teams do not make a request slower.
  *
  * @module
  */
@@ -9,18 +9,23 @@
 import { getOrCreate } from "../core/mod.ts";
 import type { Route, RoutingConfig, WeightedService } from "./types.ts";
 
-/** One configuration, ready to be asked. */
+/** Indexes of one configuration. */
 export interface RouteTable {
   readonly config: RoutingConfig;
-  /** The route with the longest prefix of the path, for the host name. */
+  /**
+   * Returns the route of the host name with the longest matching path prefix.
+   */
   tryGetRoute(hostHeader: string, target: string): Route | undefined;
-  /** The team that holds the key. */
+  /** Returns the team that the key belongs to. */
   tryGetTeam(key: string): string | undefined;
-  /** Shortest target of prompts' first events, in ms; absent without prompts. */
+  /**
+   * Returns the shortest first-event target among the service's prompt routes,
+   * in ms; `undefined` when no prompt route uses the service.
+   */
   tryGetPromptTargetMs(service: string): number | undefined;
 }
 
-/** Makes the table of a configuration. */
+/** Creates the route table of a configuration. */
 export function createRouteTable(config: RoutingConfig): RouteTable {
   const routesByHost = new Map<string, Map<string, Route>>();
   for (const route of config.routes) {
@@ -52,7 +57,10 @@
   };
 }
 
-/** Picks a route's service by weight; `random` is from 0 up to 1. */
+/**
+ * Picks one of a route's services by weight; `random` is at least 0 and below
+ * 1.
+ */
 export function pickService(
   services: readonly WeightedService[],
   random: number,
@@ -66,7 +74,7 @@
   return services[services.length - 1]!.service;
 }
 
-/** Walks the path's slashes from the last to the first. */
+/** Tries the prefixes of the path that end at a slash, the longest first. */
 function tryGetLongestPrefix(
   routes: ReadonlyMap<string, Route>,
   path: string,
--- a/src/routing/route_table_test.ts
+++ b/src/routing/route_table_test.ts
@@ -21,7 +21,7 @@
   }));
 }
 
-test("the longest prefix of the path wins, for its host name alone", () => {
+test("the longest path prefix of the host name selects the route", () => {
   const table = createTable();
   const find = (host: string, target: string) =>
     table.tryGetRoute(host, target)?.name;
@@ -35,18 +35,18 @@
   ], ["long", "drafts", "all", "other-host", undefined, undefined]);
 });
 
-test("a query never takes part in the choice of the route", () => {
+test("the query does not affect the choice of the route", () => {
   const route = createTable().tryGetRoute("desk.example", "/?a=/visits/");
   strictEqual(route, undefined);
 });
 
-test("a key belongs to the team that holds it, and an unknown one to none", () => {
+test("a key selects its team, and an unknown key selects none", () => {
   const table = createTable();
   strictEqual(table.tryGetTeam("key-of-fitters"), "fitters");
   strictEqual(table.tryGetTeam("key-of-nobody"), undefined);
 });
 
-test("a split route sends each service its share", () => {
+test("a route with several services picks them by weight", () => {
   const services = [{ service: "a", weight: 90 }, { service: "b", weight: 10 }];
   strictEqual(pickService(services, 0), "a");
   strictEqual(pickService(services, 0.899), "a");
--- a/src/routing/types.ts
+++ b/src/routing/types.ts
@@ -1,24 +1,25 @@
 /**
- * What operators declare for a fleet of entry hosts that forwards HTTP as it
- * is: routes, services, the teams' keys and what callers may send.
+ * The configuration of a fleet of entry hosts that forwards HTTP requests
+ * unchanged: routes, services, the keys of teams and the limits of callers.
  *
  * @module
  */
 
 /**
- * What may be repeated. `idempotent`: run any number of times. `at-most-once`:
- * run by one upstream at most. `stream`: a series of events, repeated only from
- * where it broke off, and only on a resumable route.
+ * Whether a request may be repeated. `idempotent`: it may run any number of
+ * times. `at-most-once`: at most one upstream may run it. `stream`: the
+ * response is a series of events; the request is repeated only from the event
+ * after which the stream broke off, and only on a resumable route.
  */
 export type RouteKind = "idempotent" | "at-most-once" | "stream";
 
-/** A service with its share of a route's requests. */
+/** A service, weighted by its share of a route's requests. */
 export interface WeightedService {
   readonly service: string;
   readonly weight: number;
 }
 
-/** Where requests of one host name and path prefix go. */
+/** Routing of the requests with one host name and path prefix. */
 export interface Route {
   readonly name: string;
   /** Value of the `Host` header, without a port. */
@@ -27,57 +28,70 @@
   readonly pathPrefix: string;
   readonly kind: RouteKind;
   readonly services: readonly WeightedService[];
-  /** Longest time that a request is kept, in ms. */
+  /** Time-out of a request, in ms. */
   readonly timeoutMs: number;
-  /** An answer, or a stream's first event, within so long is on time, in ms. */
+  /**
+   * Target for the time to the response, or to the first event of a stream, in
+   * ms.
+   */
   readonly targetMs: number;
-  /** Longest pause between two events of a stream that is on time, in ms. */
+  /** Target for the longest pause between two events of a stream, in ms. */
   readonly pauseTargetMs: number | undefined;
-  /** 0 is the most urgent. */
+  /** Priority; 0 is the most urgent. */
   readonly rank: number;
-  /** Upstreams to which one request may be sent. */
+  /** Maximum number of upstreams to which one request is sent. */
   readonly maxAttempts: number;
-  /** No key is needed. */
+  /** Whether callers need no key. */
   readonly isPublic: boolean;
-  /** A broken stream may go on at another upstream. */
+  /** Whether a broken stream may be resumed at another upstream. */
   readonly isResumable: boolean;
-  /** Requests carry prompts whose shared parts upstreams keep. */
+  /**
+   * Whether requests carry prompts whose shared prefixes upstreams keep in
+   * memory.
+   */
   readonly hasPrompts: boolean;
 }
 
-/** A service as operators declare it. */
+/** A service as operators configure it. */
 export interface RoutedService {
   readonly name: string;
   /** Connections that one of its upstreams accepts from all hosts together. */
   readonly maxConnections: number;
-  /** Tokens that one upstream's memory holds; absent for a plain service. */
+  /**
+   * Prompt tokens that the memory of one upstream holds; `undefined` for a
+   * plain service.
+   */
   readonly promptMemoryTokens: number | undefined;
 }
 
-/** A team and the keys that its callers send. */
+/** A team and the keys of its callers. */
 export interface KeyedTeam {
   readonly name: string;
   readonly keys: readonly string[];
 }
 
-/** What a caller may send, and how long it may take. */
+/** Limits on what callers send and how long they take. */
 export interface CallerLimits {
   readonly maxHeaderBytes: number;
   readonly maxBodyBytes: number;
-  /** Time to send a request's headers, in ms. */
+  /** Time-out for receiving the headers of a request, in ms. */
   readonly headerTimeoutMs: number;
-  /** Time that a connection may stay idle, in ms. */
+  /** Time-out of an idle connection, in ms. */
   readonly idleTimeoutMs: number;
 }
 
-/** All that operators declare; one immutable value for each version. */
+/** The complete configuration; one immutable value for each version. */
 export interface RoutingConfig {
-  /** The operator's number; grows by uneven steps. */
+  /**
+   * Version number assigned by the operator; increases, but may skip numbers.
+   */
   readonly version: number;
   readonly routes: readonly Route[];
   readonly services: readonly RoutedService[];
   readonly teams: readonly KeyedTeam[];
   readonly callerLimits: CallerLimits;
-  /** Prompt and output tokens that all upstreams together do in a second. */
+  /**
+   * Prompt and output tokens that all upstreams together process in a second.
+   */
   readonly tokensPerSecond: number | undefined;
 }
