--- a/src/quarantine/quarantine_test.ts
+++ b/src/quarantine/quarantine_test.ts
@@ -74,15 +74,18 @@
  * Sends the content to the hosts in turn; each host runs it alone after the
  * first crash, as the router does.
  */
-async function sendCulprit(
+async function sendCrashingContent(
   fleet: Fleet,
-  options: { readonly sendings: readonly number[]; readonly guarded: boolean },
+  options: {
+    readonly sendings: readonly number[];
+    readonly isEnforced: boolean;
+  },
 ): Promise<readonly Observation[]> {
   const history: Observation[] = [];
   for (const index of options.sendings) {
     const host = fleet.hosts[index % fleet.hosts.length]!;
     for (let run = 0; run < 3; run++) {
-      if (options.guarded && host.isQuarantined("culprit")) break;
+      if (options.isEnforced && host.isQuarantined("culprit")) break;
       const isExclusive = host.getCrashes("culprit") > 0;
       history.push({
         kind: "upstream-crashed",
@@ -116,7 +119,7 @@
         const fleet = createFleet(s, true);
         for (let host = 0; host < 5; host++) fleet.addHost(faults);
         const options = { sendings: order, guarded: true };
-        const history = await sendCulprit(fleet, options);
+        const history = await sendCrashingContent(fleet, options);
         assert.deepEqual(checkHistory(history, statedLimits), []);
         assert.equal(history.length, CRASH_LIMIT);
       },
@@ -130,7 +133,10 @@
   const fleet = createFleet(s!, true);
   fleet.addHost();
   const options = { sendings: [0], guarded: false };
-  const broken = checkHistory(await sendCulprit(fleet, options), statedLimits);
+  const broken = checkHistory(
+    await sendCrashingContent(fleet, options),
+    statedLimits,
+  );
   assert.deepEqual(broken.map((each) => each.promise), ["crashes-are-limited"]);
 });
 
--- a/src/requests/run_at_most_once_test.ts
+++ b/src/requests/run_at_most_once_test.ts
@@ -41,9 +41,9 @@
  * Scheduler steps in a second of a time-out: with 1 it may expire at any
  * moment, with 15 rarely before other events.
  */
-const patience = fc.constantFrom(1, 15);
+const timeoutSteps = fc.constantFrom(1, 15);
 
-const noPlan: IoPlan = { faults: [], diesAtCall: 0 };
+const noFaults: IoPlan = { faults: [], diesAtCall: 0 };
 
 /** Sends one booking to all hosts at once, and then to each in turn. */
 async function sendToAll(
@@ -81,7 +81,7 @@
     fc.asyncProperty(
       fc.scheduler(),
       fc.array(plan, { minLength: 1, maxLength: 3 }),
-      patience,
+      timeoutSteps,
       async (scheduler, plans, steps) => {
         const world = createFakeWorld(scheduler, steps);
         const hosts = plans.map((each, index) =>
@@ -113,7 +113,7 @@
     fc.asyncProperty(fc.scheduler(), async (scheduler) => {
       const world = createFakeWorld(scheduler);
       const hosts = ["entry-1", "entry-2"].map((id) =>
-        createFakeHost(world, id, { plan: noPlan, claims })
+        createFakeHost(world, id, { plan: noFaults, claims })
       );
       await sendToAll(world, hosts);
       await runToRest(scheduler);
@@ -154,13 +154,13 @@
     fc.asyncProperty(
       fc.scheduler(),
       fc.array(fault, { maxLength: 6 }),
-      patience,
+      timeoutSteps,
       async (scheduler, faults, steps) => {
         const world = createFakeWorld(scheduler, steps);
         const first = createFakeHost(world, "entry-1", {
           plan: { faults, diesAtCall: 0 },
         });
-        const second = createFakeHost(world, "entry-2", { plan: noPlan });
+        const second = createFakeHost(world, "entry-2", { plan: noFaults });
         const options = { run: runAtMostOnce, work: "visit-1" };
         const sent = sendBooking(world, first, { ...options, sending: "1" });
         await scheduler.waitFor(sent);
--- a/src/requests/run_idempotent_test.ts
+++ b/src/requests/run_idempotent_test.ts
@@ -31,9 +31,9 @@
 import { runIdempotent } from "./run_idempotent.ts";
 
 /** What happens to one call or one event at the engine. */
-type Fate = "good" | "refused" | "broken" | "silent" | "crash";
+type CallResult = "good" | "refused" | "broken" | "silent" | "crash";
 
-const fate = fc.constantFrom<Fate>(
+const callResult = fc.constantFrom<CallResult>(
   "good",
   "good",
   "good",
@@ -44,19 +44,19 @@
   "crash",
 );
 
-const LENGTH = 4;
+const STREAM_LENGTH = 4;
 
 function fail(failure: UpstreamFailure): UpstreamError {
   return new UpstreamError({ failure, reason: failure });
 }
 
 /** An engine that restarts without streams at once after a crash. */
-function createEngine(s: fc.Scheduler, fates: Fate[]) {
+function createEngine(s: fc.Scheduler, callResults: CallResult[]) {
   const streams = new Map<string, { produced: number; readers: number }>();
-  let everBegan = false;
+  let hasStarted = false;
 
-  async function meet(name: string): Promise<void> {
-    const next = fates.shift() ?? "good";
+  async function applyNextResult(name: string): Promise<void> {
+    const next = callResults.shift() ?? "good";
     await s.schedule(Promise.resolve(), `${name} ${next}`);
     if (next === "good") return;
     // A process that refuses connections is down and has lost its streams.
@@ -71,20 +71,23 @@
     });
   }
 
-  function attach(id: string, from: number): AnswerStream {
+  function openStream(id: string, from: number): AnswerStream {
     const stream = streams.get(id);
     if (stream === undefined) throw fail("forgotten");
     let offset = from;
     let isOpen = true;
     stream.readers++;
     const next = attempt(async (): Promise<AnswerEvent | undefined> => {
-      await meet("event");
+      await applyNextResult("event");
       if (!streams.has(id)) throw fail("broken");
-      stream.produced = Math.max(stream.produced, Math.min(LENGTH, offset + 1));
-      if (offset === LENGTH) {
+      stream.produced = Math.max(
+        stream.produced,
+        Math.min(STREAM_LENGTH, offset + 1),
+      );
+      if (offset === STREAM_LENGTH) {
         streams.delete(id);
-        const data = JSON.stringify({ tokens: LENGTH });
-        return { name: "end", offset: LENGTH, data };
+        const data = JSON.stringify({ tokens: STREAM_LENGTH });
+        return { name: "end", offset: STREAM_LENGTH, data };
       }
       return { name: "token", offset: offset++, data: "part" };
     });
@@ -100,22 +103,22 @@
   const client: Partial<UpstreamClient> = {
     generate: ({ stream }) =>
       attempt(async () => {
-        const next = fates[0];
+        const next = callResults[0];
         if (next !== "refused") {
-          everBegan = true;
+          hasStarted = true;
           streams.set(stream, { produced: 0, readers: 0 });
         }
-        await meet("generate");
-        return attach(stream, 0);
+        await applyNextResult("generate");
+        return openStream(stream, 0);
       }),
     resume: ({ stream }, offset) =>
       attempt(async () => {
-        await meet("resume");
-        return attach(stream, offset);
+        await applyNextResult("resume");
+        return openStream(stream, offset);
       }),
     cancelIfUnread: ({ stream }) =>
       attempt(async () => {
-        await meet("cancel");
+        await applyNextResult("cancel");
         const tokens = streams.get(stream)?.produced ?? 0;
         streams.delete(stream);
         return { kind: "gone" as const, tokens };
@@ -124,7 +127,7 @@
   return {
     client: client as UpstreamClient,
     countStreams: () => streams.size,
-    everBegan: () => everBegan,
+    everBegan: () => hasStarted,
   };
 }
 
@@ -151,12 +154,12 @@
 } as unknown as ParsedCall;
 
 interface Scenario {
-  readonly fates: readonly Fate[];
+  readonly callResults: readonly CallResult[];
   /** Scheduler steps after which the caller disconnects; 0 for never. */
-  readonly vanishesAt: number;
+  readonly disconnectsAt: number;
 }
 
-async function vanish(
+async function disconnect(
   s: fc.Scheduler,
   fiber: Fiber.Fiber<unknown>,
   steps: number,
@@ -174,16 +177,16 @@
 async function runScenario(
   s: fc.Scheduler,
   scenario: Scenario,
-  replaced: Partial<UpstreamClient> = {},
+  overrides: Partial<UpstreamClient> = {},
 ) {
   const world = createFakeWorld(s, 15);
-  const engine = createEngine(s, [...scenario.fates]);
-  let early = 0;
+  const engine = createEngine(s, [...scenario.callResults]);
+  let earlyReleases = 0;
   const host = createFakeHost(world, "entry-1", {
     plan: { faults: [], diesAtCall: 0 },
-    createUpstreams: () => ({ ...engine.client, ...replaced }),
+    createUpstreams: () => ({ ...engine.client, ...overrides }),
     onRelease: () => {
-      if (engine.countStreams() > host.getSlotsInUse()) early++;
+      if (engine.countStreams() > host.getSlotsInUse()) earlyReleases++;
     },
   });
   const answer = { outcome: "", status: 0, body: "" };
@@ -196,7 +199,9 @@
     }),
   );
   const fiber = forkScheduled(s, run, 15);
-  if (scenario.vanishesAt > 0) void vanish(s, fiber, scenario.vanishesAt);
+  if (scenario.disconnectsAt > 0) {
+    void disconnect(s, fiber, scenario.disconnectsAt);
+  }
   const ended = Effect.runPromise(Fiber.await(fiber));
   await s.waitFor(ended);
   const exit = await ended;
@@ -205,7 +210,7 @@
   const parts = [...answer.body.matchAll(/^id: (\d+)$/gm)].map((match) =>
     Number(match[1])
   );
-  return { outcome, parts, early, engine, host };
+  return { outcome, parts, early: earlyReleases, engine, host };
 }
 
 test("a slot is released once, after its engine has stopped", async () => {
@@ -217,7 +222,7 @@
     fc.asyncProperty(
       fc.scheduler(),
       fc.record({
-        fates: fc.array(fate, { maxLength: 12 }),
+        fates: fc.array(callResult, { maxLength: 12 }),
         vanishesAt: fc.oneof(fc.constant(0), fc.integer({ min: 1, max: 30 })),
       }),
       async (s, scenario) => {
@@ -227,7 +232,7 @@
         assert.equal(early, 0);
         assert.equal(engine.countStreams(), 0);
         assert.deepEqual(parts, parts.map((_, index) => index));
-        if (outcome === "answered") assert.equal(parts.length, LENGTH);
+        if (outcome === "answered") assert.equal(parts.length, STREAM_LENGTH);
         if (outcome === "not-run") assert.ok(!engine.everBegan());
       },
     ),
