--- a/src/requests/end.ts
+++ b/src/requests/end.ts
@@ -38,16 +38,16 @@
 }
 
 /** Sends the response of a plain service. */
-export function sendAnswer(
+export function sendResponse(
   res: ServerResponse,
   request: string,
-  answer: RecordedEnd,
+  response: RecordedEnd,
 ): void {
   if (res.destroyed) return;
   res.setHeader(OUTCOME_HEADER, "answered");
   res.setHeader(REQUEST_HEADER, request);
-  res.writeHead(answer.status, { "content-type": "application/json" });
-  res.end(answer.body);
+  res.writeHead(response.status, { "content-type": "application/json" });
+  res.end(response.body);
 }
 
 /** Sends the last event of a complete stream. */
--- a/src/requests/run_at_most_once.ts
+++ b/src/requests/run_at_most_once.ts
@@ -21,7 +21,7 @@
 import type { SlotHandle } from "../slots/mod.ts";
 import type { AdmittedRequest } from "../types.ts";
 import { UpstreamError, wasNotSent } from "../upstreams/mod.ts";
-import { createFailureReply, recordEnd, sendAnswer } from "./end.ts";
+import { createFailureReply, recordEnd, sendResponse } from "./end.ts";
 import { type ParsedCall, reject, type RequestRejected } from "./parse.ts";
 import {
   createMayHaveRunReply,
@@ -171,13 +171,13 @@
     },
   ).pipe(
     Effect.map((end) => {
-      sendAnswer(context.res, admitted.id, end);
+      sendResponse(context.res, admitted.id, end);
       recordEnd(host, admitted, { outcome: "answered", cost: 1, reason: "" });
     }),
     Effect.catchTag("AlreadyEnded", ({ end }) =>
       Effect.sync(() => {
         context.res.setHeader(RECORDED_HEADER, "true");
-        sendAnswer(context.res, admitted.id, end);
+        sendResponse(context.res, admitted.id, end);
         recordEnd(host, admitted, {
           outcome: "answered",
           cost: 0,
--- a/src/requests/run_idempotent.ts
+++ b/src/requests/run_idempotent.ts
@@ -19,7 +19,7 @@
 import {
   createFailureReply,
   recordEnd,
-  sendAnswer,
+  sendResponse,
   sendStreamEnd,
 } from "./end.ts";
 import { type ParsedCall, reject, type RequestRejected } from "./parse.ts";
@@ -197,7 +197,7 @@
 ): Effect.Effect<void, UpstreamError> {
   const { admitted, res } = context;
   return runOnPlainService(context, slot).pipe(
-    Effect.map((answer) => sendAnswer(res, admitted.id, answer)),
+    Effect.map((answer) => sendResponse(res, admitted.id, answer)),
   );
 }
 
--- a/src/requests/run_on_engine.ts
+++ b/src/requests/run_on_engine.ts
@@ -26,7 +26,7 @@
 import type { Progress, ServeHost } from "./types.ts";
 
 /** Input of an attempt. */
-export interface EngineRun {
+export interface EngineAttempt {
   readonly request: string;
   readonly name: StreamName;
   readonly upstream: Upstream;
@@ -41,47 +41,47 @@
 /** Streams the response to the caller; returns its cost in tokens. */
 export function runOnEngine(
   host: ServeHost,
-  run: EngineRun,
+  attempt: EngineAttempt,
 ): Effect.Effect<number, UpstreamError | CallerLost> {
-  const { progress, upstream } = run;
+  const { progress, upstream } = attempt;
   const place: StreamPlace = {
     address: upstream.address,
-    stream: run.name.stream,
+    stream: attempt.name.stream,
   };
   return Effect.gen(function* () {
     const startMs = host.clock.monotonicMs();
     progress.isSent = true;
-    const stream = yield* openStream(host, run, place);
+    const stream = yield* openStream(host, attempt, place);
     progress.mayHaveRun = true;
     const time = (each: AnswerStream) =>
-      measureTokenTimes(host, each, run, startMs);
+      measureTokenTimes(host, each, attempt, startMs);
     return yield* followStream<CallerLost>(time(stream), progress, {
       resume: (offset) =>
         host.upstreams.resume(place, offset).pipe(Effect.map(time)),
       deliver: (event) => {
-        sendHeaders(host, run);
+        sendHeaders(host, attempt);
         const { offset, data } = event;
         const text = `id: ${offset}\nevent: token\ndata: ${data}\n\n`;
-        return writeToCaller(run.res, text);
+        return writeToCaller(attempt.res, text);
       },
       onResumed: (offset) =>
         host.recorder.record({
           kind: "stream-resumed",
-          request: run.request,
-          team: run.name.team,
+          request: attempt.request,
+          team: attempt.name.team,
           upstream: upstream.id,
           offset,
         }),
     });
   }).pipe(
-    Effect.tap(() => Effect.sync(() => sendHeaders(host, run))),
+    Effect.tap(() => Effect.sync(() => sendHeaders(host, attempt))),
     Effect.onExit((exit) =>
       Effect.sync(() => {
         if (!progress.isSent || !mayStillRun(exit)) return;
         progress.pendingUpstreamWork = abandonStream(place, {
           upstreams: host.upstreams,
           givesGrace: () => !host.isDraining() && !isUpstreamFailure(exit),
-          isOver: () => host.clock.monotonicMs() > run.deadlineMs,
+          isOver: () => host.clock.monotonicMs() > attempt.deadlineMs,
         });
       })
     ),
@@ -95,7 +95,7 @@
 function measureTokenTimes(
   host: ServeHost,
   stream: AnswerStream,
-  run: EngineRun,
+  run: EngineAttempt,
   startMs: number,
 ): AnswerStream {
   const { progress } = run;
@@ -124,7 +124,7 @@
  */
 function openStream(
   host: ServeHost,
-  run: EngineRun,
+  run: EngineAttempt,
   place: StreamPlace,
 ): Effect.Effect<AnswerStream, UpstreamError> {
   return run.open.pipe(
@@ -139,7 +139,7 @@
   );
 }
 
-function sendHeaders(host: ServeHost, run: EngineRun): void {
+function sendHeaders(host: ServeHost, run: EngineAttempt): void {
   const { res } = run;
   if (res.headersSent || res.destroyed) return;
   res.setHeader(REQUEST_HEADER, run.request);
--- a/src/requests/run_on_plain_service.ts
+++ b/src/requests/run_on_plain_service.ts
@@ -13,7 +13,7 @@
 import { getRemainingMs, type Progress, type ServeHost } from "./types.ts";
 
 /** Input of a call. */
-export interface PlainRun {
+export interface PlainAttempt {
   readonly host: ServeHost;
   readonly admitted: AdmittedRequest;
   readonly call: ParsedCall;
@@ -25,10 +25,10 @@
  * connection proves that it was not.
  */
 export function runOnPlainService(
-  run: PlainRun,
+  attempt: PlainAttempt,
   slot: SlotHandle,
 ): Effect.Effect<PlainAnswer, UpstreamError> {
-  const { host, admitted, call, progress } = run;
+  const { host, admitted, call, progress } = attempt;
   return Effect.gen(function* () {
     const startMs = host.clock.monotonicMs();
     progress.isSent = true;
--- a/src/requests/use_slot.ts
+++ b/src/requests/use_slot.ts
@@ -71,10 +71,10 @@
   host: ServeHost,
   admitted: AdmittedRequest,
   slot: SlotHandle | undefined,
-  run: { readonly progress: Progress; readonly isAnswered: boolean },
+  attempt: { readonly progress: Progress; readonly isAnswered: boolean },
 ): void {
   if (slot === undefined) return;
-  const { progress, isAnswered } = run;
+  const { progress, isAnswered } = attempt;
   const { firstByteMs, isSent, pendingUpstreamWork } = progress;
   const failed = isSent ? "failed" as const : "unused" as const;
   const result = isAnswered ? "answered" as const : failed;
@@ -130,9 +130,9 @@
   host: ServeHost,
   admitted: AdmittedRequest,
   held: { slot?: SlotHandle },
-  use: SlotTask<A, E>,
+  task: SlotTask<A, E>,
 ): Effect.Effect<void, RequestRejected> {
-  const { progress } = use;
+  const { progress } = task;
   const wait = Effect.callback<void, RequestRejected>((resume) => {
     const start = (slot: SlotHandle) => {
       if (host.health.isDown(slot.upstream.id)) {
@@ -144,7 +144,7 @@
       host.backlog.leave(admitted, "started");
       resume(Effect.void);
     };
-    host.backlog.enter(admitted, use.bodyBytes, (retryAfterMs) => {
+    host.backlog.enter(admitted, task.bodyBytes, (retryAfterMs) => {
       host.slots.cancel(admitted);
       resume(rejectUnserved(progress, "deadlineLost", retryAfterMs));
     });
@@ -170,7 +170,7 @@
     Effect.tap(() =>
       Effect.sync(() => {
         recordDispatch(host, admitted, held.slot!);
-        use.onSlotGranted();
+        task.onSlotGranted();
       })
     ),
   );
