--- a/src/quarantine/quarantine_test.ts
+++ b/src/quarantine/quarantine_test.ts
@@ -118,7 +118,7 @@
       async (s, order, faults) => {
         const fleet = createFleet(s, true);
         for (let host = 0; host < 5; host++) fleet.addHost(faults);
-        const options = { sendings: order, guarded: true };
+        const options = { sendings: order, isEnforced: true };
         const history = await sendCrashingContent(fleet, options);
         assert.deepEqual(checkHistory(history, statedLimits), []);
         assert.equal(history.length, CRASH_LIMIT);
@@ -132,7 +132,7 @@
   const [s] = fc.sample(fc.scheduler(), { numRuns: 1, seed: 1 });
   const fleet = createFleet(s!, true);
   fleet.addHost();
-  const options = { sendings: [0], guarded: false };
+  const options = { sendings: [0], isEnforced: false };
   const broken = checkHistory(
     await sendCrashingContent(fleet, options),
     statedLimits,
--- a/src/requests/run_idempotent_test.ts
+++ b/src/requests/run_idempotent_test.ts
@@ -127,7 +127,7 @@
   return {
     client: client as UpstreamClient,
     countStreams: () => streams.size,
-    everBegan: () => hasStarted,
+    hasStarted: () => hasStarted,
   };
 }
 
@@ -156,7 +156,7 @@
 interface Scenario {
   readonly callResults: readonly CallResult[];
   /** Scheduler steps after which the caller disconnects; 0 for never. */
-  readonly disconnectsAt: number;
+  readonly callerSteps: number;
 }
 
 async function disconnect(
@@ -199,9 +199,7 @@
     }),
   );
   const fiber = forkScheduled(s, run, 15);
-  if (scenario.disconnectsAt > 0) {
-    void disconnect(s, fiber, scenario.disconnectsAt);
-  }
+  if (scenario.callerSteps > 0) void disconnect(s, fiber, scenario.callerSteps);
   const ended = Effect.runPromise(Fiber.await(fiber));
   await s.waitFor(ended);
   const exit = await ended;
@@ -210,7 +208,7 @@
   const parts = [...answer.body.matchAll(/^id: (\d+)$/gm)].map((match) =>
     Number(match[1])
   );
-  return { outcome, parts, early: earlyReleases, engine, host };
+  return { outcome, parts, earlyReleases, engine, host };
 }
 
 test("a slot is released once, after its engine has stopped", async () => {
@@ -222,18 +220,21 @@
     fc.asyncProperty(
       fc.scheduler(),
       fc.record({
-        fates: fc.array(callResult, { maxLength: 12 }),
-        vanishesAt: fc.oneof(fc.constant(0), fc.integer({ min: 1, max: 30 })),
+        callResults: fc.array(callResult, { maxLength: 12 }),
+        callerSteps: fc.oneof(
+          fc.constant(0),
+          fc.integer({ min: 1, max: 30 }),
+        ),
       }),
       async (s, scenario) => {
         const seen = await runScenario(s, scenario);
-        const { outcome, parts, early, engine, host } = seen;
+        const { outcome, parts, earlyReleases, engine, host } = seen;
         assert.equal(host.getSlotsInUse(), 0);
-        assert.equal(early, 0);
+        assert.equal(earlyReleases, 0);
         assert.equal(engine.countStreams(), 0);
         assert.deepEqual(parts, parts.map((_, index) => index));
         if (outcome === "answered") assert.equal(parts.length, STREAM_LENGTH);
-        if (outcome === "not-run") assert.ok(!engine.everBegan());
+        if (outcome === "not-run") assert.ok(!engine.hasStarted());
       },
     ),
     { numRuns: 500, seed: 1 },
@@ -247,10 +248,10 @@
     fc.asyncProperty(
       fc.scheduler(),
       fc.integer({ min: 1, max: 30 }),
-      async (s, vanishesAt) => {
-        const scenario = { fates: [], vanishesAt };
+      async (s, callerSteps) => {
+        const scenario = { callResults: [], callerSteps };
         const seen = await runScenario(s, scenario, { cancelIfUnread });
-        assert.equal(seen.early, 0);
+        assert.equal(seen.earlyReleases, 0);
       },
     ),
     { numRuns: 100, seed: 1 },
--- a/src/requests/run_on_engine.ts
+++ b/src/requests/run_on_engine.ts
@@ -95,10 +95,10 @@
 function measureTokenTimes(
   host: ServeHost,
   stream: AnswerStream,
-  run: EngineAttempt,
+  attempt: EngineAttempt,
   startMs: number,
 ): AnswerStream {
-  const { progress } = run;
+  const { progress } = attempt;
   const next = Effect.suspend(() => {
     const askedMs = host.clock.monotonicMs();
     return stream.next.pipe(Effect.tap((event) =>
@@ -124,26 +124,29 @@
  */
 function openStream(
   host: ServeHost,
-  run: EngineAttempt,
+  attempt: EngineAttempt,
   place: StreamPlace,
 ): Effect.Effect<AnswerStream, UpstreamError> {
-  return run.open.pipe(
+  return attempt.open.pipe(
     Effect.catchTag("UpstreamError", (err) => {
-      if (err.failure === "refused") run.progress.isSent = false;
+      if (err.failure === "refused") attempt.progress.isSent = false;
       if (!mayHaveRun(err) || err.failure === "forgotten") {
         return Effect.fail(err);
       }
-      run.progress.mayHaveRun = true;
-      return host.upstreams.resume(place, run.progress.nextOffset);
+      attempt.progress.mayHaveRun = true;
+      return host.upstreams.resume(place, attempt.progress.nextOffset);
     }),
   );
 }
 
-function sendHeaders(host: ServeHost, run: EngineAttempt): void {
-  const { res } = run;
+function sendHeaders(host: ServeHost, attempt: EngineAttempt): void {
+  const { res } = attempt;
   if (res.headersSent || res.destroyed) return;
-  res.setHeader(REQUEST_HEADER, run.request);
-  res.setHeader(RESUME_HEADER, createResumeToken(run.name, host.fleetSecret));
+  res.setHeader(REQUEST_HEADER, attempt.request);
+  res.setHeader(
+    RESUME_HEADER,
+    createResumeToken(attempt.name, host.fleetSecret),
+  );
   res.writeHead(200, { "content-type": "text/event-stream" });
 }
 
