--- a/src/measure/fleet_fixture.ts
+++ b/src/measure/fleet_fixture.ts
@@ -290,7 +290,7 @@
     requests.push(req);
     getOrCreate(queued, `${host}/${req.team}`, () => []).push(req);
     const entry = live.get(host)!;
-    entry.fleet.slots.wait(req, (slot) => start(entry, req, { slot, call }));
+    entry.fleet.slots.acquire(req, (slot) => start(entry, req, { slot, call }));
     agenda.after(timeoutMs, () => {
       if (req.state !== "waiting" || !entry.isUp) return;
       entry.fleet.slots.cancel(req);
--- a/src/requests/use_slot.ts
+++ b/src/requests/use_slot.ts
@@ -137,7 +137,7 @@
     const start = (slot: SlotHandle) => {
       if (host.health.isDown(slot.upstream.id)) {
         releaseAfterHold(host, slot);
-        host.slots.wait(admitted, start);
+        host.slots.acquire(admitted, start);
         return;
       }
       held.slot = slot;
@@ -148,7 +148,7 @@
       host.slots.cancel(admitted);
       resume(rejectUnserved(progress, "deadlineLost", retryAfterMs));
     });
-    host.slots.wait(admitted, start);
+    host.slots.acquire(admitted, start);
     return Effect.sync(() => {
       host.backlog.leave(admitted, "gave-up");
       host.slots.cancel(admitted);
--- a/src/router/flusher.ts
+++ b/src/router/flusher.ts
@@ -53,8 +53,8 @@
 ): SlotClient {
   return {
     ...slots,
-    wait(req, start) {
-      slots.wait(req, (slot) =>
+    acquire(req, start) {
+      slots.acquire(req, (slot) =>
         start({
           ...slot,
           release(end) {
--- a/src/slots/slot_client.ts
+++ b/src/slots/slot_client.ts
@@ -57,7 +57,7 @@
   /**
    * Queues the request; calls `start` with the granted slot, possibly at once.
    */
-  wait(req: AdmittedRequest, start: (slot: SlotHandle) => void): void;
+  acquire(req: AdmittedRequest, start: (slot: SlotHandle) => void): void;
   /** Removes a waiting request; returns false when it already has its slot. */
   cancel(req: AdmittedRequest): boolean;
   receiveGrant(grant: Grant): void;
@@ -243,7 +243,7 @@
   }
 
   return {
-    wait(req, start) {
+    acquire(req, start) {
       const { queues, requester } = getService(req.service);
       const handle = queues.getTotal() === 0 ? tryTakeKept(req) : undefined;
       if (handle !== undefined) {
--- a/src/slots/slot_client_test.ts
+++ b/src/slots/slot_client_test.ts
@@ -65,13 +65,13 @@
 test("a kept slot serves the next request without a message", () => {
   const { client, requests, releases } = createFixture(1);
   const handles: SlotHandle[] = [];
-  client.wait(createRequest("r1"), (handle) => handles.push(handle));
+  client.acquire(createRequest("r1"), (handle) => handles.push(handle));
   client.flush();
   client.receiveGrant(createGrant(1, true));
   handles[0]!.release(ANSWERED);
   client.flush();
   const told = requests.length;
-  client.wait(createRequest("r2"), (handle) => handles.push(handle));
+  client.acquire(createRequest("r2"), (handle) => handles.push(handle));
   client.flush();
   assert.equal(handles.length, 2);
   assert.equal(requests.length, told);
@@ -83,12 +83,12 @@
   // slot kept there for a new request, which is cut off when the engine stops.
   const { client, releases, leaving } = createFixture(1);
   const handles: SlotHandle[] = [];
-  client.wait(createRequest("r1"), (handle) => handles.push(handle));
+  client.acquire(createRequest("r1"), (handle) => handles.push(handle));
   client.flush();
   client.receiveGrant(createGrant(1, true));
   handles[0]!.release(ANSWERED);
   leaving.add("engine-1");
-  client.wait(createRequest("r2"), (handle) => handles.push(handle));
+  client.acquire(createRequest("r2"), (handle) => handles.push(handle));
   assert.equal(handles.length, 1);
   assert.deepEqual(releases.map((each) => each.slot), [1]);
 });
@@ -109,7 +109,7 @@
   // the slot.
   const { client, releases } = createFixture(1);
   const req = createRequest("r1");
-  client.wait(req, () => assert.fail("started"));
+  client.acquire(req, () => assert.fail("started"));
   client.flush();
   client.cancel(req);
   client.receiveGrant(createGrant(1, false));
@@ -118,7 +118,7 @@
 
 test("more owners are asked the longer a request waits", () => {
   const { client, requests, time } = createFixture(20);
-  client.wait(createRequest("r1"), () => {});
+  client.acquire(createRequest("r1"), () => {});
   const counts: number[] = [];
   for (const nowMs of [0, 100, 200, 500]) {
     time.nowMs = nowMs;
@@ -131,7 +131,7 @@
 test("all slot requests are withdrawn once no request waits", () => {
   const { client, requests, time } = createFixture(8);
   const req = createRequest("r1");
-  client.wait(req, () => {});
+  client.acquire(req, () => {});
   time.nowMs = 500;
   client.flush();
   client.cancel(req);
--- a/src/testing/fake_request_host.ts
+++ b/src/testing/fake_request_host.ts
@@ -182,7 +182,7 @@
   }
 
   const client = {
-    wait(req: AdmittedRequest, start: (slot: SlotHandle) => void) {
+    acquire(req: AdmittedRequest, start: (slot: SlotHandle) => void) {
       waiting.add(req);
       void scheduler.schedule(Promise.resolve(), "grant").then(() => {
         if (waiting.delete(req) && !io.isDead()) start(createHandle());
