--- a/src/requests/resume_stream.ts
+++ b/src/requests/resume_stream.ts
@@ -1,7 +1,7 @@
 /**
- * `GET /v1/streams/{token}?offset=N`: goes on with a stream that any host of the
- * fleet began, as after that host died. It takes no slot: the engine works on
- * the stream already.
+ * Handles `GET /v1/streams/{token}?offset=N`: resumes a stream that any host of
+ * the fleet started, for example after that host died. It takes no slot, since
+ * the engine is already working on the stream.
  *
  * @module
  */
@@ -14,21 +14,21 @@
 import type { CallerLost } from "./caller.ts";
 import { sendStreamEnd } from "./end.ts";
 import { authenticate, reject, type RequestRejected } from "./parse.ts";
-import { createMayHaveRun, createNotRun } from "./reply.ts";
+import { createMayHaveRunReply, createNotRunReply } from "./reply.ts";
 import { runOnEngine } from "./run_on_engine.ts";
 import { createProgress, type Progress, type ServeHost } from "./types.ts";
 
-/** Paths of streams start with this. */
+/** Path prefix of streams. */
 export const STREAMS_PATH = "/v1/streams/";
 
-/** What a resumption asks for. */
+/** A parsed request to resume a stream. */
 interface Resumption {
   readonly name: StreamName;
   readonly upstream: Upstream;
   readonly offset: number;
 }
 
-/** Serves one resumption to its end. */
+/** Resumes a stream and delivers it to its end. */
 export function resumeStream(
   host: ServeHost,
   deployment: Deployment,
@@ -59,41 +59,42 @@
       open: host.upstreams.resume(place, offset),
     }).pipe(
       Effect.ensuring(
-        Effect.sync(() => chargeLater(host, resumption, progress)),
+        Effect.sync(() => scheduleCharge(host, resumption, progress)),
       ),
       Effect.catchTag(
         "UpstreamError",
-        (err) => reject(toGone(err, resumption, progress)),
+        (err) => reject(createResumeFailureReply(err, resumption, progress)),
       ),
     );
     sendStreamEnd(res, request, cost);
   });
 }
 
-function chargeLater(
+function scheduleCharge(
   host: ServeHost,
   resumption: Resumption,
   progress: Progress,
 ): void {
-  const leftover = progress.leftover ?? Effect.succeed(0);
-  host.runDetached(leftover.pipe(Effect.map((tokens) => {
+  const pendingWork = progress.pendingUpstreamWork ?? Effect.succeed(0);
+  host.runDetached(pendingWork.pipe(Effect.map((tokens) => {
     progress.cost = Math.max(progress.cost, tokens);
-    chargeRest(host, resumption, progress);
+    chargeUndelivered(host, resumption, progress);
   })));
 }
 
 /**
- * The host that began the stream charges what it passed on, unless it is dead:
- * then the whole stream is charged here.
+ * Charges the tokens that the host which started the stream has not charged.
+ * That host charges what it delivered, unless it is dead; then the whole stream
+ * is charged here.
  */
-function chargeRest(
+function chargeUndelivered(
   host: ServeHost,
   resumption: Resumption,
   progress: Progress,
 ): void {
   const { name, offset } = resumption;
-  const isCharged = !host.isProcessGone(name.host, name.incarnation);
-  const cost = progress.cost - (isCharged ? offset : 0);
+  const isPrefixCharged = !host.isProcessDead(name.host, name.incarnation);
+  const cost = progress.cost - (isPrefixCharged ? offset : 0);
   if (cost > 0) host.charge(name.service, name.team, cost);
 }
 
@@ -107,24 +108,24 @@
   const token = url.pathname.slice(STREAMS_PATH.length);
   const name = tryReadResumeToken(token, host.fleetSecret);
   if (name === undefined || name.team !== team) {
-    return reject(createNotRun(403, "badResumeToken"));
+    return reject(createNotRunReply(403, "badResumeToken"));
   }
   const text = url.searchParams.get("offset") ?? "0";
   const offset = Number(text);
   if (!Number.isInteger(offset) || offset < 0) {
-    return reject(createNotRun(400, "badOffset", { args: [text] }));
+    return reject(createNotRunReply(400, "badOffset", { args: [text] }));
   }
   const upstream = deployment.upstreams.find((each) =>
     each.id === name.upstream
   );
   if (upstream === undefined) {
-    const args = ["its upstream is no longer declared"];
-    return reject(createMayHaveRun(410, "resumeGone", { args }));
+    const args = ["its upstream is no longer configured"];
+    return reject(createMayHaveRunReply(410, "resumeGone", { args }));
   }
   return Effect.succeed({ name, upstream, offset });
 }
 
-function toGone(
+function createResumeFailureReply(
   err: UpstreamError,
   resumption: Resumption,
   progress: Progress,
@@ -132,7 +133,7 @@
   const { offset, upstream } = resumption;
   if (progress.nextOffset > offset) {
     const args = [progress.nextOffset - 1, upstream.id, err.reason];
-    return createMayHaveRun(502, "answerIncomplete", { args });
+    return createMayHaveRunReply(502, "answerIncomplete", { args });
   }
-  return createMayHaveRun(410, "resumeGone", { args: [err.reason] });
+  return createMayHaveRunReply(410, "resumeGone", { args: [err.reason] });
 }
--- a/src/requests/run_once_test.ts
+++ b/src/requests/run_at_most_once_test.ts
@@ -1,7 +1,7 @@
 /**
- * Tests that what may not be repeated runs at most once, and that "not run" is
- * said only when it is so: over lost replies, a store that is down, hosts that
- * race, and hosts that die between any two calls.
+ * Tests that a non-idempotent request runs at most once, and that its outcome
+ * is "not-run" only if it did not run: with lost replies, an unavailable table
+ * service, concurrent hosts, and hosts that die between any two calls.
  *
  * @module
  */
@@ -21,7 +21,7 @@
   sendBooking,
   type SendingEnd,
 } from "../testing/fake_request_host.ts";
-import { runOnce } from "./run_once.ts";
+import { runAtMostOnce } from "./run_at_most_once.ts";
 
 const fault = fc.constantFrom<IoFault>(
   "none",
@@ -37,12 +37,15 @@
   diesAtCall: fc.oneof(fc.constant(0), fc.integer({ min: 1, max: 6 })),
 });
 
-/** Timeouts that come at any moment, and ones that seldom come first. */
-const patience = fc.constantFrom(1, 15);
+/**
+ * Scheduler steps in a second of a time-out: with 1 it may expire at any
+ * moment, with 15 rarely before other events.
+ */
+const timeoutSteps = fc.constantFrom(1, 15);
 
-const noPlan: IoPlan = { faults: [], diesAtCall: 0 };
+const noFaults: IoPlan = { faults: [], diesAtCall: 0 };
 
-/** Sends one booking to the hosts at once, and then to each in turn. */
+/** Sends one booking to all hosts at once, and then to each in turn. */
 async function sendToAll(
   world: ReturnType<typeof createFakeWorld>,
   hosts: readonly FakeHost[],
@@ -51,7 +54,11 @@
   const send = (host: FakeHost) => {
     sendings++;
     const sending = `${host.id}-${sendings}`;
-    return sendBooking(world, host, { run: runOnce, sending, work: "visit-1" });
+    return sendBooking(world, host, {
+      run: runAtMostOnce,
+      sending,
+      work: "visit-1",
+    });
   };
   const alive = () => hosts.filter((host) => !host.io.isDead());
   const together = Promise.all(alive().map(send));
@@ -65,15 +72,16 @@
   return ends;
 }
 
-test("a booking runs at most once and is never wrongly told not run", async () => {
-  // Two fitters stand at one door: a caller sent its booking again to another
-  // host, because the first host died, or the store's reply was lost after the
-  // claim took effect, and the second host found no claim and ran it too.
+test("a booking runs at most once and is not-run only if it did not run", async () => {
+  // Guards against a booking that runs twice: a caller resent its booking to
+  // another host because the first host died, or because the table service's
+  // reply was lost after the claim took effect, and the second host found no
+  // claim and ran the booking too.
   await fc.assert(
     fc.asyncProperty(
       fc.scheduler(),
       fc.array(plan, { minLength: 1, maxLength: 3 }),
-      patience,
+      timeoutSteps,
       async (scheduler, plans, steps) => {
         const world = createFakeWorld(scheduler, steps);
         const hosts = plans.map((each, index) =>
@@ -105,7 +113,7 @@
     fc.asyncProperty(fc.scheduler(), async (scheduler) => {
       const world = createFakeWorld(scheduler);
       const hosts = ["entry-1", "entry-2"].map((id) =>
-        createFakeHost(world, id, { plan: noPlan, claims })
+        createFakeHost(world, id, { plan: noFaults, claims })
       );
       await sendToAll(world, hosts);
       await runToRest(scheduler);
@@ -117,7 +125,7 @@
   assert.ok(found.failed);
 });
 
-test("where every failure counts as refused the checker reports it", async () => {
+test("the checker reports that every failure counts as refused", async () => {
   const [scheduler] = fc.sample(fc.scheduler(), { numRuns: 1, seed: 1 });
   const world = createFakeWorld(scheduler!);
   const host = createFakeHost(world, "entry-1", {
@@ -127,7 +135,7 @@
     },
     createUpstreams: (io) => createFakeUpstreams(world, io, () => "refused"),
   });
-  const options = { run: runOnce, sending: "1", work: "visit-1" };
+  const options = { run: runAtMostOnce, sending: "1", work: "visit-1" };
   const sent = sendBooking(world, host, options);
   await world.scheduler.waitFor(sent);
   await runToRest(world.scheduler);
@@ -137,22 +145,23 @@
   assert.ok(broken.includes("at-most-once"));
 });
 
-test("a key that was told not run can be used again", async () => {
-  // The store was down for a moment, and the caller was told "not run, come
-  // back". When it came back it was told that the request was under way, for
-  // good: the claim had taken effect and nobody had given it up.
+test("a key whose outcome was not-run can be used again", async () => {
+  // Guards against a key that stays claimed for ever: the table service was
+  // unavailable for a moment and the caller got "not-run, retry later". Its
+  // retry was told that the request was under way, because the claim had taken
+  // effect and nobody had released it.
   await fc.assert(
     fc.asyncProperty(
       fc.scheduler(),
       fc.array(fault, { maxLength: 6 }),
-      patience,
+      timeoutSteps,
       async (scheduler, faults, steps) => {
         const world = createFakeWorld(scheduler, steps);
         const first = createFakeHost(world, "entry-1", {
           plan: { faults, diesAtCall: 0 },
         });
-        const second = createFakeHost(world, "entry-2", { plan: noPlan });
-        const options = { run: runOnce, work: "visit-1" };
+        const second = createFakeHost(world, "entry-2", { plan: noFaults });
+        const options = { run: runAtMostOnce, work: "visit-1" };
         const sent = sendBooking(world, first, { ...options, sending: "1" });
         await scheduler.waitFor(sent);
         const end = await sent;
@@ -163,7 +172,7 @@
         await runToRest(scheduler);
         assert.deepEqual(checkHistory(world.history, statedLimits), []);
         if (end.outcome === "not-run") {
-          // A timeout of the second claim is the scheduler's choice.
+          // The scheduler may let the second claim time out.
           assert.ok(["answered", "not-run"].includes(answer.outcome));
         }
         if (end.outcome === "answered" && answer.outcome === "answered") {
--- a/src/requests/run_idempotent.ts
+++ b/src/requests/run_idempotent.ts
@@ -1,10 +1,10 @@
 /**
- * Runs of a request that may be repeated: on another upstream when one fails
- * before anything was delivered.
+ * Runs a request that may be repeated: it is retried on another upstream when
+ * an upstream fails before anything was delivered.
  *
- * Load: upstreams that die or refuse while requests are in flight. Harm
- * prevented: callers lose answers that another upstream could give, or retries
- * multiply until nothing succeeds.
+ * Load: upstreams die or refuse connections while requests are in flight.
+ * Failure prevented: callers lose responses that another upstream could give,
+ * or retries multiply until no request succeeds.
  *
  * @module
  */
@@ -16,11 +16,20 @@
 import type { AdmittedRequest } from "../types.ts";
 import { UpstreamError, wasNotSent } from "../upstreams/mod.ts";
 import type { CallerLost } from "./caller.ts";
-import { recordEnd, sendAnswer, sendStreamEnd, toReply } from "./end.ts";
+import {
+  createFailureReply,
+  recordEnd,
+  sendResponse,
+  sendStreamEnd,
+} from "./end.ts";
 import { type ParsedCall, reject, type RequestRejected } from "./parse.ts";
 import { looksLikeCrash, runOnEngine } from "./run_on_engine.ts";
 import { runOnPlainService } from "./run_on_plain_service.ts";
-import { checkQuarantine, runAtUpstream, takeTurn } from "./run_suspect.ts";
+import {
+  checkQuarantine,
+  runAtUpstream,
+  withTrialIfSuspect,
+} from "./run_suspect.ts";
 import {
   createProgress,
   getRemainingMs,
@@ -29,16 +38,19 @@
 } from "./types.ts";
 import { withSlot } from "./use_slot.ts";
 
-/** Runs of an idempotent request that reach an upstream, at most. */
-export const MAX_RUNS = 3;
+/**
+ * Maximum number of attempts of an idempotent request that reach an upstream.
+ */
+export const MAX_ATTEMPTS = 3;
 
 /**
- * Refused connections of one request, at most. They cost next to nothing and
- * each marks its upstream as down, so there may be as many as upstreams.
+ * Maximum number of refused connections of one request. They cost next to
+ * nothing, and each marks its upstream as down, so there may be as many as
+ * there are upstreams.
  */
-const MAX_REFUSALS = 10;
+const MAX_REFUSED_CONNECTIONS = 10;
 
-interface RunContext {
+interface RequestContext {
   readonly host: ServeHost;
   readonly admitted: AdmittedRequest;
   readonly call: ParsedCall;
@@ -46,7 +58,7 @@
   readonly progress: Progress;
 }
 
-/** Runs the request until it is answered or given up. */
+/** Runs the request until it succeeds or must not be retried. */
 export function runIdempotent(
   host: ServeHost,
   admitted: AdmittedRequest,
@@ -56,16 +68,17 @@
   const progress = createProgress();
   const context = { host, admitted, call, res, progress };
   return Effect.gen(function* () {
-    const tries = { runs: 0, refusals: 0 };
+    const tries = { attempts: 0, refusals: 0 };
     while (true) {
-      // Counted and cleared within the turn: the next run of the same content,
-      // here or elsewhere, must know of it.
-      const run = runOnce(context, tries.runs).pipe(
+      // Crashes are recorded, and suspicion is cleared, before the trial of a
+      // suspect ends: the next attempt with the same content, at this or
+      // another host, has to know the result.
+      const attempt = runAttempt(context, tries.attempts).pipe(
         Effect.tap(() => clearSuspicion(context)),
-        Effect.tapError((err) => countCrash(context, err)),
+        Effect.tapError((err) => recordIfCrash(context, err)),
       );
-      const turn = { ...admitted, progress };
-      const err = yield* takeTurn(host, turn, run).pipe(
+      const trial = { ...admitted, progress };
+      const err = yield* withTrialIfSuspect(host, trial, attempt).pipe(
         Effect.map(() => undefined),
         Effect.catchTag("UpstreamError", (err) => Effect.succeed(err)),
       );
@@ -78,42 +91,45 @@
   });
 }
 
-function clearSuspicion(context: RunContext): Effect.Effect<void> {
+function clearSuspicion(context: RequestContext): Effect.Effect<void> {
   const { host, admitted, progress } = context;
   return Effect.suspend(() =>
-    progress.isAlone ? host.quarantine.clear(admitted.fingerprint) : Effect.void
+    progress.hasExclusiveUse
+      ? host.quarantine.clear(admitted.fingerprint)
+      : Effect.void
   );
 }
 
-function countCrash(
-  context: RunContext,
+function recordIfCrash(
+  context: RequestContext,
   err: { readonly _tag: string },
 ): Effect.Effect<void> {
   const { host, admitted, progress } = context;
   return Effect.suspend(() => {
     if (!(err instanceof UpstreamError)) return Effect.void;
     if (!looksLikeCrash(err, progress)) return Effect.void;
-    // What was delivered can't be taken back, so such a request ends here.
+    // Delivered events cannot be withdrawn, so the request ends with this
+    // crash.
     const isFinal = progress.nextOffset > 0;
-    const crash = { isAlone: progress.isAlone, isFinal };
+    const crash = { isExclusive: progress.hasExclusiveUse, isFinal };
     return host.quarantine.recordCrash(admitted.fingerprint, crash);
   }).pipe(Effect.asVoid);
 }
 
-function runOnce(
-  context: RunContext,
-  number: number,
+function runAttempt(
+  context: RequestContext,
+  attempt: number,
 ): Effect.Effect<void, UpstreamError | RequestRejected | CallerLost> {
   const { host, admitted, progress } = context;
   return withSlot(host, admitted, {
     progress,
     bodyBytes: Buffer.byteLength(context.call.body),
     prepare: Effect.void,
-    onSlot() {},
+    onSlotGranted() {},
     run: (slot) => {
       const run = context.call.service.kind === "engine"
-        ? runStream(context, slot, number)
-        : runCall(context, slot);
+        ? runStream(context, slot, attempt)
+        : runPlainCall(context, slot);
       const input = {
         fingerprint: admitted.fingerprint,
         deadlineMs: admitted.deadlineMs,
@@ -122,15 +138,15 @@
       };
       return runAtUpstream(host, input, run).pipe(
         Effect.tapError((err) =>
-          Effect.sync(() => noteRefusal(context, slot, err))
+          Effect.sync(() => markDownIfRefused(context, slot, err))
         ),
       );
     },
   });
 }
 
-function noteRefusal(
-  context: RunContext,
+function markDownIfRefused(
+  context: RequestContext,
   slot: SlotHandle,
   err: { readonly _tag: string },
 ): void {
@@ -140,14 +156,15 @@
 }
 
 function runStream(
-  context: RunContext,
+  context: RequestContext,
   slot: SlotHandle,
-  run: number,
+  attempt: number,
 ): Effect.Effect<void, UpstreamError | CallerLost> {
   const { host, admitted, call, res, progress } = context;
   const { upstream } = slot;
-  // Each run is a stream of its own, so that none mixes with an earlier one.
-  const stream = run === 0 ? admitted.id : `${admitted.id}.${run}`;
+  // Each attempt has its own stream id, so that no attempt receives events of
+  // an earlier one.
+  const stream = attempt === 0 ? admitted.id : `${admitted.id}.${attempt}`;
   const { address } = upstream;
   return runOnEngine(host, {
     request: admitted.id,
@@ -174,45 +191,48 @@
   );
 }
 
-function runCall(
-  context: RunContext,
+function runPlainCall(
+  context: RequestContext,
   slot: SlotHandle,
 ): Effect.Effect<void, UpstreamError> {
   const { admitted, res } = context;
   return runOnPlainService(context, slot).pipe(
-    Effect.map((answer) => sendAnswer(res, admitted.id, answer)),
+    Effect.map((answer) => sendResponse(res, admitted.id, answer)),
   );
 }
 
-/** Succeeds when the request may run again, else fails with its final reply. */
+/**
+ * Succeeds when the request may be retried, otherwise fails with its final
+ * reply.
+ */
 function decideAfterFailure(
-  context: RunContext,
+  context: RequestContext,
   err: UpstreamError,
-  tries: { runs: number; refusals: number },
+  tries: { attempts: number; refusals: number },
 ): Effect.Effect<void, RequestRejected> {
   const { host, admitted, progress } = context;
   return Effect.gen(function* () {
-    const giveUp = reject(toReply(err, admitted, progress));
+    const fail = reject(createFailureReply(err, admitted, progress));
     if (!progress.isSent && wasNotSent(err)) {
       tries.refusals++;
-      if (tries.refusals > MAX_REFUSALS) yield* giveUp;
+      if (tries.refusals > MAX_REFUSED_CONNECTIONS) yield* fail;
       recordRetry(context, err);
       return;
     }
-    tries.runs++;
+    tries.attempts++;
     const isCrash = looksLikeCrash(err, progress);
     if (isCrash) yield* checkQuarantine(host, admitted.fingerprint, true);
-    if (progress.nextOffset > 0 || tries.runs >= MAX_RUNS) yield* giveUp;
-    // Whatever ran beside a crash is run again outside the budget: it does so
-    // one at a time, which bounds the load.
+    if (progress.nextOffset > 0 || tries.attempts >= MAX_ATTEMPTS) yield* fail;
+    // Requests that ran on a crashing upstream are retried outside the retry
+    // budget: as suspects they run one at a time, which bounds the load.
     const mayRetry = isCrash ||
       host.retryBudget.tryTake(admitted.team, admitted.service);
-    if (!mayRetry) yield* giveUp;
+    if (!mayRetry) yield* fail;
     recordRetry(context, err);
   });
 }
 
-function recordRetry(context: RunContext, err: UpstreamError): void {
+function recordRetry(context: RequestContext, err: UpstreamError): void {
   const { id: request, team } = context.admitted;
   context.host.recorder.record({
     kind: "request-retried",
--- a/src/requests/run_suspect.ts
+++ b/src/requests/run_suspect.ts
@@ -1,6 +1,7 @@
 /**
- * Runs on an upstream beside others, or alone when the content was running
- * while an upstream failed; and what is told of content that crashes upstreams.
+ * Runs a request on its upstream: normally beside other requests, but alone
+ * when its content is a suspect, that is when it was running while an upstream
+ * crashed. Requests whose content is in quarantine are refused.
  *
  * @module
  */
@@ -9,11 +10,11 @@
 import type { Upstream } from "../types.ts";
 import { UpstreamError } from "../upstreams/mod.ts";
 import { reject, type RequestRejected } from "./parse.ts";
-import { createMayHaveRun, createNotRun } from "./reply.ts";
+import { createMayHaveRunReply, createNotRunReply } from "./reply.ts";
 import type { Progress, ServeHost } from "./types.ts";
 import { checkDeadline } from "./use_slot.ts";
 
-/** Refuses content that is in quarantine. */
+/** Rejects a request whose content is in quarantine. */
 export function checkQuarantine(
   host: ServeHost,
   fingerprint: string,
@@ -24,17 +25,23 @@
     const options = { args: [host.quarantine.getCrashes(fingerprint)] };
     return reject(
       mayHaveRun
-        ? createMayHaveRun(422, "quarantined", options)
-        : createNotRun(422, "quarantined", options),
+        ? createMayHaveRunReply(422, "quarantined", options)
+        : createNotRunReply(422, "quarantined", options),
     );
   });
 }
 
-/** Pause between looks whether another host's run has ended, in ms. */
-const TRIAL_PAUSE_MS = 250;
+/**
+ * Interval between checks whether the trial of another host has ended, in ms.
+ */
+const TRIAL_POLL_INTERVAL_MS = 250;
 
-/** Holds a suspect back until no other run of it, or of a suspect here, goes on. */
-export function takeTurn<A, E>(
+/**
+ * Runs a request. When its content is a suspect, first waits until no other
+ * trial of that content runs in the fleet and no other suspect runs at this
+ * host.
+ */
+export function withTrialIfSuspect<A, E>(
   host: ServeHost,
   input: {
     readonly fingerprint: string;
@@ -46,11 +53,11 @@
   const { fingerprint } = input;
   const { quarantine } = host;
   return Effect.gen(function* () {
-    yield* quarantine.catchUp;
-    input.progress.hasTurn = false;
+    yield* quarantine.refreshIfPartitioned;
+    input.progress.hasTrial = false;
     if (quarantine.getCrashes(fingerprint) === 0) return yield* run;
     yield* waitForTrial(host, input);
-    input.progress.hasTurn = true;
+    input.progress.hasTrial = true;
     return yield* host.occupancy.inTurn(run).pipe(
       Effect.ensuring(
         Effect.sync(() => host.runDetached(quarantine.endTrial(fingerprint))),
@@ -60,8 +67,9 @@
 }
 
 /**
- * Callers that send the same content at many hosts at once get one run of it at
- * a time: the second learns how the first ended before it begins.
+ * Waits for the fleet-wide trial reservation of the content. When callers send
+ * the same content to many hosts at once, only one attempt runs at a time: the
+ * second starts after the result of the first is known.
  */
 function waitForTrial(
   host: ServeHost,
@@ -75,13 +83,16 @@
     while (true) {
       const result = yield* host.quarantine.beginTrial(input.fingerprint);
       if (result !== "busy") return;
-      yield* Effect.sleep(TRIAL_PAUSE_MS);
+      yield* Effect.sleep(TRIAL_POLL_INTERVAL_MS);
       yield* checkDeadline(host, input);
     }
   });
 }
 
-/** Runs on the upstream, alone when the content is a suspect. */
+/**
+ * Runs the request on the upstream, with exclusive use when the content is a
+ * suspect.
+ */
 export function runAtUpstream<A, E>(
   host: ServeHost,
   input: {
@@ -95,13 +106,13 @@
 ): Effect.Effect<A, E | RequestRejected | UpstreamError> {
   const { fingerprint, upstream, progress } = input;
   return Effect.gen(function* () {
-    yield* host.quarantine.catchUp;
+    yield* host.quarantine.refreshIfPartitioned;
     yield* checkQuarantine(host, fingerprint, progress.mayHaveRun);
     const isSuspect = host.quarantine.getCrashes(fingerprint) > 0;
-    // It came under suspicion while it waited for its slot.
-    if (isSuspect && !progress.hasTurn) yield* holdBack();
-    progress.isAlone = false;
-    if (isSuspect) yield* enterAlone(host, upstream.id, progress);
+    // The content became a suspect while the request waited for its slot.
+    if (isSuspect && !progress.hasTrial) yield* failHeldBack();
+    progress.hasExclusiveUse = false;
+    if (isSuspect) yield* enterExclusively(host, upstream.id, progress);
     else yield* host.occupancy.enter(upstream.id);
     return yield* checkDeadline(host, input).pipe(
       Effect.flatMap(() => run),
@@ -112,24 +123,25 @@
   });
 }
 
-function holdBack(): Effect.Effect<never, UpstreamError> {
-  const reason = "A request with this content has to run alone";
+function failHeldBack(): Effect.Effect<never, UpstreamError> {
+  const reason =
+    "The content is suspected of crashing upstreams and must run alone";
   return Effect.fail(new UpstreamError({ failure: "held-back", reason }));
 }
 
-function enterAlone(
+function enterExclusively(
   host: ServeHost,
   upstream: string,
   progress: Progress,
 ): Effect.Effect<void, RequestRejected> {
   return Effect.gen(function* () {
-    progress.isAlone = yield* host.occupancy.enterAlone(upstream);
-    if (progress.isAlone) return;
+    progress.hasExclusiveUse = yield* host.occupancy.enterAlone(upstream);
+    if (progress.hasExclusiveUse) return;
     const options = { retryAfterMs: 5_000 };
     yield* reject(
       progress.mayHaveRun
-        ? createMayHaveRun(503, "suspectNotAlone", options)
-        : createNotRun(503, "suspectNotAlone", options),
+        ? createMayHaveRunReply(503, "suspectNotAlone", options)
+        : createNotRunReply(503, "suspectNotAlone", options),
     );
   });
 }
