--- a/src/discovery/leaving_lives.ts
+++ b/src/discovery/leaving_instances.ts
@@ -7,24 +7,24 @@
  */
 
 /** One start of an upstream. */
-export interface UpstreamLife {
+export interface UpstreamInstance {
   readonly id: string;
   /** Wall milliseconds of the start; the same id may start again. */
   readonly incarnation: number;
 }
 
 /** The starts that are known to leave. */
-export interface LeavingLives {
-  has(life: UpstreamLife): boolean;
+export interface LeavingInstances {
+  has(life: UpstreamInstance): boolean;
   /** False when it was known. */
-  add(life: UpstreamLife): boolean;
+  add(life: UpstreamInstance): boolean;
 }
 
 /** Starts remembered; the oldest goes first. */
-const MAX_LIVES = 4_000;
+const MAX_INSTANCES = 4_000;
 
 /** Makes an empty set. */
-export function createLeavingLives(): LeavingLives {
+export function createLeavingInstances(): LeavingInstances {
   const lives = new Set<string>();
   return {
     has: (life) => lives.has(getKey(life)),
@@ -32,12 +32,12 @@
       const key = getKey(life);
       if (lives.has(key)) return false;
       lives.add(key);
-      if (lives.size > MAX_LIVES) lives.delete(lives.keys().next().value!);
+      if (lives.size > MAX_INSTANCES) lives.delete(lives.keys().next().value!);
       return true;
     },
   };
 }
 
-function getKey({ id, incarnation }: UpstreamLife): string {
+function getKey({ id, incarnation }: UpstreamInstance): string {
   return `${incarnation}/${id}`;
 }
--- a/src/discovery/mod.ts
+++ b/src/discovery/mod.ts
@@ -4,7 +4,7 @@
  * @module
  */
 
-export * from "./leaving_lives.ts";
+export * from "./leaving_instances.ts";
 export * from "./passing_on.ts";
 export * from "./positions.ts";
 export * from "./readers.ts";
--- a/src/discovery/upstream_directory.ts
+++ b/src/discovery/upstream_directory.ts
@@ -15,7 +15,10 @@
  */
 
 import { type Clock, getOrCreate } from "../core/mod.ts";
-import { createLeavingLives, type UpstreamLife } from "./leaving_lives.ts";
+import {
+  createLeavingInstances,
+  type UpstreamInstance,
+} from "./leaving_instances.ts";
 import { isLaterEra, NO_POSITION, type TablePosition } from "./positions.ts";
 import { createRemovedRows } from "./removed_rows.ts";
 import type { TableRow, UpstreamEntry } from "./types.ts";
@@ -29,7 +32,7 @@
   /** Requests that the upstream works on at once; 0 for an unknown one. */
   getSlots(upstream: string): number;
   /** An upstream has said itself that it leaves; false when it was known. */
-  noteLeaving(life: UpstreamLife, from: LeavingSource): boolean;
+  noteLeaving(life: UpstreamInstance, from: LeavingSource): boolean;
   /** Takes in the table's rows as of the position. */
   update(
     rows: ReadonlyMap<string, TableRow<UpstreamEntry>>,
@@ -77,7 +80,7 @@
   /** Where the present era was first read. */
   let returned = NO_POSITION;
   let ready: ReadonlyMap<string, readonly UpstreamEntry[]> = new Map();
-  const leaving = createLeavingLives();
+  const leaving = createLeavingInstances();
   const removed = createRemovedRows();
   const keptUntilMs = new Map<string, number>();
   let nextExpiryMs = Infinity;
--- a/src/entry/knowledge.ts
+++ b/src/entry/knowledge.ts
@@ -26,7 +26,7 @@
   type TableState,
   type UpstreamDirectory,
   type UpstreamEntry,
-  type UpstreamLife,
+  type UpstreamInstance,
 } from "../discovery/mod.ts";
 import type { Fact } from "../membership/mod.ts";
 import { createEraWatch } from "./era_watch.ts";
@@ -71,7 +71,7 @@
   /** Takes in what another host tells: a reader's report, or who leaves. */
   receive(fact: Fact): void;
   /** An upstream has told this host that it leaves; the others are told. */
-  noteLeaving(life: UpstreamLife): void;
+  noteLeaving(life: UpstreamInstance): void;
   /** A table as it is passed on; `undefined` for one never seen. */
   tryGetTable(name: string): Uint8Array | undefined;
   /** Follows the platform; never ends. */
--- a/src/entry/leaving_facts.ts
+++ b/src/entry/leaving_facts.ts
@@ -5,19 +5,19 @@
  * @module
  */
 
-import type { UpstreamLife } from "../discovery/mod.ts";
+import type { UpstreamInstance } from "../discovery/mod.ts";
 import type { Fact } from "../membership/mod.ts";
 
 /** Key prefix of these facts; behind it stand incarnation and id. */
 export const LEAVING_KEY = "upstream-leaving/";
 
 /** The fact that this start of the upstream leaves. */
-export function createLeavingFact({ id, incarnation }: UpstreamLife): Fact {
+export function createLeavingFact({ id, incarnation }: UpstreamInstance): Fact {
   return { key: `${LEAVING_KEY}${incarnation}/${id}`, version: 1, value: "" };
 }
 
 /** Reads what `createLeavingFact` has made. */
-export function readLeavingFact(fact: Fact): UpstreamLife {
+export function readLeavingFact(fact: Fact): UpstreamInstance {
   const text = fact.key.slice(LEAVING_KEY.length);
   const slash = text.indexOf("/");
   return {
--- a/src/forwarding/call.ts
+++ b/src/forwarding/call.ts
@@ -13,7 +13,7 @@
 import type {
   UpstreamDirectory,
   UpstreamEntry,
-  UpstreamLife,
+  UpstreamInstance,
 } from "../discovery/mod.ts";
 import type { LoadView } from "../load/mod.ts";
 import type { Distance } from "../placement/mod.ts";
@@ -33,7 +33,7 @@
   readonly agent: Agent;
   readonly directory: UpstreamDirectory;
   /** An upstream has said in an answer that it leaves. */
-  noteLeaving(life: UpstreamLife): void;
+  noteLeaving(life: UpstreamInstance): void;
   readonly queue: PromptQueue;
   readonly load: LoadView;
   /** What has been seen of the service, and what its upstreams may read. */
--- a/src/upstreams/rest_watch.ts
+++ b/src/upstreams/rest_watch.ts
@@ -13,21 +13,21 @@
  */
 
 import type { Clock } from "../core/mod.ts";
-import type { UpstreamLife } from "../discovery/mod.ts";
+import type { UpstreamInstance } from "../discovery/mod.ts";
 
 /** The rests that this host was asked for. */
 export interface RestWatch {
   /** The upstream wants no request for so long, in ms. */
-  note(life: UpstreamLife, restMs: number): void;
+  note(life: UpstreamInstance, restMs: number): void;
   /** What is left of the rest, in ms; 0 for none. */
-  getLeftMs(life: UpstreamLife): number;
+  getLeftMs(life: UpstreamInstance): number;
   /** An answer shows that the upstream takes requests again. */
-  noteAnswered(life: UpstreamLife): void;
+  noteAnswered(life: UpstreamInstance): void;
   /**
    * Those that may get a request now. One that has just rested gets a few at a
    * time until it has answered some, unless there is no other.
    */
-  filterOpen<T extends UpstreamLife>(
+  filterOpen<T extends UpstreamInstance>(
     upstreams: readonly T[],
     getInFlight: (id: string) => number,
   ): readonly T[];
@@ -54,12 +54,12 @@
 export function createRestWatch(clock: Clock): RestWatch {
   const rests = new Map<string, Rest>();
 
-  function tryGet({ id, incarnation }: UpstreamLife): Rest | undefined {
+  function tryGet({ id, incarnation }: UpstreamInstance): Rest | undefined {
     const rest = rests.get(id);
     return rest?.incarnation === incarnation ? rest : undefined;
   }
 
-  function getLeftMs(life: UpstreamLife): number {
+  function getLeftMs(life: UpstreamInstance): number {
     const untilMs = tryGet(life)?.untilMs ?? -Infinity;
     return Math.max(0, untilMs - clock.monotonicMs());
   }
