--- a/src/discovery/shared_table.ts
+++ b/src/discovery/shared_table.ts
@@ -14,7 +14,7 @@
   NO_POSITION,
   type TablePosition,
 } from "./positions.ts";
-import type { TableChange, TableRow, TableState } from "./types.ts";
+import type { TableChange, TableRow, TableSnapshot } from "./types.ts";
 
 /** A host's copy of a table. */
 export interface SharedTable<T> {
@@ -24,14 +24,14 @@
   getChangedPosition(): TablePosition;
   getRows(): ReadonlyMap<string, TableRow<T>>;
   /** Takes a whole copy; false when it is not newer. */
-  replace(state: TableState<T>): boolean;
+  replace(state: TableSnapshot<T>): boolean;
   /**
    * Takes what changed since the position that was asked for; false when nothing
    * did, or when it does not add to the present copy.
    */
   apply(change: TableChange<T>): boolean;
   /** The copy as it is passed on. */
-  getState(): TableState<T>;
+  getState(): TableSnapshot<T>;
 }
 
 /** Makes a copy of a table never seen. */
--- a/src/discovery/table_follower.ts
+++ b/src/discovery/table_follower.ts
@@ -10,12 +10,12 @@
 import type { Clock } from "../core/mod.ts";
 import { isLaterEra, isSameEra, type TablePosition } from "./positions.ts";
 import type { SharedTable } from "./shared_table.ts";
-import { type TableChange, TableError, type WatchedTable } from "./types.ts";
+import { type TableChange, TableError, type TableSource } from "./types.ts";
 
 /** What a follower needs of the process. */
 export interface FollowerHost<T> {
   readonly clock: Clock;
-  readonly source: WatchedTable<T>;
+  readonly source: TableSource<T>;
   readonly table: SharedTable<T>;
   isReader(): boolean;
   /** The platform has answered; `changed` when the copy is another now. */
@@ -88,7 +88,7 @@
   const follow = Effect.suspend(() => {
     const asked = host.table.getPosition();
     const waitMs = hasFailed ? 0 : FOLLOW_WAIT_MS;
-    return host.source.follow(asked.version, waitMs).pipe(
+    return host.source.pollChanges(asked.version, waitMs).pipe(
       Effect.flatMap((change) => checkEra(change, asked)),
       Effect.map((change) => {
         hasJustRead = false;
--- a/src/discovery/table_follower_test.ts
+++ b/src/discovery/table_follower_test.ts
@@ -26,7 +26,7 @@
           calls++;
           return { version, rows: [] };
         }),
-      follow: () =>
+      pollChanges: () =>
         Effect.sync(() => {
           calls++;
           version++;
@@ -151,7 +151,7 @@
           calls++;
           return { version: 5, rows: [] };
         }),
-      follow: () => {
+      pollChanges: () => {
         calls++;
         const reason = "The history is gone";
         return Effect.fail(new TableError({ kind: "history-lost", reason }));
@@ -188,7 +188,7 @@
     ...createReaderHost(clock),
     source: {
       read: () => Effect.sync(() => states.shift()!),
-      follow: () =>
+      pollChanges: () =>
         Effect.sync(() => {
           follows++;
           const change = { version: 23, changed: [], removed: [] };
--- a/src/discovery/types.ts
+++ b/src/discovery/types.ts
@@ -34,7 +34,7 @@
 }
 
 /** A whole table as of one version of the platform. */
-export interface TableState<T> extends TablePosition {
+export interface TableSnapshot<T> extends TablePosition {
   readonly rows: readonly TableRow<T>[];
 }
 
@@ -54,10 +54,10 @@
 }> {}
 
 /** A table of the platform. Rows that can't be read are left out and logged. */
-export interface WatchedTable<T> {
-  read(): Effect.Effect<TableState<T>, TableError>;
+export interface TableSource<T> {
+  read(): Effect.Effect<TableSnapshot<T>, TableError>;
   /** Answers as soon as something changes, or with nothing after the wait. */
-  follow(
+  pollChanges(
     after: number,
     waitMs: number,
   ): Effect.Effect<TableChange<T>, TableError>;
@@ -73,7 +73,7 @@
 
 /** All that the entry hosts keep at the platform or learn from it. */
 export interface EntryPlatform {
-  readonly config: WatchedTable<RoutingConfig>;
-  readonly upstreams: WatchedTable<UpstreamEntry>;
+  readonly config: TableSource<RoutingConfig>;
+  readonly upstreams: TableSource<UpstreamEntry>;
   readonly hosts: HostDirectory;
 }
--- a/src/entry/knowledge.ts
+++ b/src/entry/knowledge.ts
@@ -23,7 +23,7 @@
   type SharedTable,
   TABLE_NAMES,
   type TableName,
-  type TableState,
+  type TableSnapshot,
   type UpstreamDirectory,
   type UpstreamEntry,
   type UpstreamInstance,
@@ -159,7 +159,7 @@
         return;
       }
       const text = Buffer.from(bytes).toString("utf8");
-      const state = JSON.parse(text) as TableState<unknown>;
+      const state = JSON.parse(text) as TableSnapshot<unknown>;
       const isNewer = tables[table].replace(state);
       host.onFetched(table, isNewer ? "newer" : "not-newer");
       if (isNewer) onChanged(table, peer);
--- a/src/testing/fake_tables.ts
+++ b/src/testing/fake_tables.ts
@@ -14,9 +14,9 @@
   type TableChange,
   type TableName,
   type TableRow,
-  type TableState,
+  type TableSnapshot,
+  type TableSource,
   type UpstreamEntry,
-  type WatchedTable,
 } from "../discovery/mod.ts";
 import { TableError } from "../discovery/types.ts";
 import type { RoutingConfig } from "../routing/mod.ts";
@@ -124,7 +124,7 @@
     return [...table.keys].filter((key) => !present.has(key));
   }
 
-  function read<T>(table: FakeTable<T>): Effect.Effect<TableState<T>> {
+  function read<T>(table: FakeTable<T>): Effect.Effect<TableSnapshot<T>> {
     return Effect.sync(() => ({ era, version, rows: table.rows }));
   }
 
@@ -181,10 +181,10 @@
     host: string,
     name: TableName,
     table: FakeTable<T>,
-  ): WatchedTable<T> {
+  ): TableSource<T> {
     return {
       read: () => call(host, name, { waitMs: 0, answer: read(table) }),
-      follow: (after, waitMs) =>
+      pollChanges: (after, waitMs) =>
         call(host, name, { waitMs, answer: follow(table, after, waitMs) }),
     };
   }
