--- a/src/discovery/passing_on.ts
+++ b/src/discovery/passing_on.ts
@@ -18,7 +18,7 @@
 import type { Clock } from "../core/mod.ts";
 import type { Fact } from "../membership/mod.ts";
 import { isNewer, type TablePosition } from "./positions.ts";
-import { TURNED_AWAY_MS } from "./readers.ts";
+import { FAILURE_MEMORY_MS } from "./reader_selection.ts";
 
 /** The tables that are passed on. */
 export type TableName = "config" | "upstreams";
@@ -187,7 +187,7 @@
   function isTurnedAway(table: TableName, peerAddress: string): boolean {
     const sinceMs = states[table].turnedAwayMs.get(peerAddress);
     if (sinceMs === undefined) return false;
-    return clock.monotonicMs() - sinceMs < TURNED_AWAY_MS;
+    return clock.monotonicMs() - sinceMs < FAILURE_MEMORY_MS;
   }
 
   return {
--- a/src/discovery/readers.ts
+++ b/src/discovery/reader_selection.ts
@@ -17,30 +17,30 @@
  * Hosts that read at the same time. With three, the first two may lose the
  * platform in the same second and nobody waits for a new one.
  */
-export const READERS = 3;
+export const READER_COUNT = 3;
 
 /**
  * A host that was turned away is passed over for so long, in ms; by then most
  * short outages are over and it may be asked again.
  */
-export const TURNED_AWAY_MS = 5_000;
+export const FAILURE_MEMORY_MS = 5_000;
 
 /**
  * Without a confirmation by any reader for so long, in ms, a host reads itself:
  * twice the second in which a reader confirms, so that a lost datagram alone
  * does not do it.
  */
-export const UNCONFIRMED_MS = 2_000;
+export const CONFIRMATION_TIMEOUT_MS = 2_000;
 
 const READER_KEY = "platform-reader";
 
 /** What the choice is made from. */
-export interface ReaderInput {
+export interface ReaderSelectionInput {
   readonly self: string;
   /** Hosts that are alive, this one included. */
   readonly hosts: readonly string[];
   /** Whether the platform has turned the host away lately. */
-  isTurnedAway(host: string): boolean;
+  hasRecentFailure(host: string): boolean;
   /** Time since any reader confirmed its tables, in ms. */
   readonly unconfirmedMs: number;
 }
@@ -56,7 +56,7 @@
   | "turned-away";
 
 /** What a host does about a table, and why. */
-export interface ReadingChoice {
+export interface ReadingDecision {
   readonly reads: boolean;
   readonly because: ReadingReason;
   /** Hosts passed over, since the platform has turned them away. */
@@ -64,19 +64,19 @@
 }
 
 /** Whether this host follows the platform's tables now. */
-export function decideToRead(input: ReaderInput): ReadingChoice {
-  const accepted = input.hosts.filter((host) => !input.isTurnedAway(host));
-  const passedOver = input.hosts.length - accepted.length;
-  if (input.unconfirmedMs > UNCONFIRMED_MS) {
+export function decideToRead(input: ReaderSelectionInput): ReadingDecision {
+  const healthy = input.hosts.filter((host) => !input.hasRecentFailure(host));
+  const passedOver = input.hosts.length - healthy.length;
+  if (input.unconfirmedMs > CONFIRMATION_TIMEOUT_MS) {
     return { reads: true, because: "unconfirmed", passedOver };
   }
   // Where the platform turns everyone away, somebody must see it come back.
-  const candidates = accepted.length > 0 ? accepted : input.hosts;
+  const candidates = healthy.length > 0 ? healthy : input.hosts;
   const ranked = rankByRendezvous(READER_KEY, candidates);
-  if (ranked.slice(0, READERS).includes(input.self)) {
+  if (ranked.slice(0, READER_COUNT).includes(input.self)) {
     return { reads: true, because: "first-in-rank", passedOver };
   }
-  const isPassedOver = !candidates.includes(input.self);
-  const because = isPassedOver ? "turned-away" : "others-first";
+  const isExcluded = !candidates.includes(input.self);
+  const because = isExcluded ? "turned-away" : "others-first";
   return { reads: false, because, passedOver };
 }
--- a/src/discovery/readers_test.ts
+++ b/src/discovery/reader_selection_test.ts
@@ -1,6 +1,10 @@
 import { deepStrictEqual, strictEqual } from "node:assert";
 import { test } from "node:test";
-import { decideToRead, READERS, UNCONFIRMED_MS } from "./readers.ts";
+import {
+  CONFIRMATION_TIMEOUT_MS,
+  decideToRead,
+  READER_COUNT,
+} from "./reader_selection.ts";
 
 const hosts = Array.from({ length: 89 }, (_, at) => `10.0.0.${at}:7400`);
 
@@ -9,14 +13,14 @@
     decideToRead({
       self,
       hosts,
-      isTurnedAway: (host) => turnedAway.includes(host),
+      hasRecentFailure: (host) => turnedAway.includes(host),
       unconfirmedMs,
     }).reads
   );
 }
 
 test("of 89 hosts three follow the platform and not all", () => {
-  strictEqual(getReaders().length, READERS);
+  strictEqual(getReaders().length, READER_COUNT);
 });
 
 test("readers that the platform turns away are replaced at once", () => {
@@ -25,7 +29,7 @@
   // and callers would go on with the key past the bound.
   const before = getReaders();
   const after = getReaders(before);
-  strictEqual(after.length, READERS);
+  strictEqual(after.length, READER_COUNT);
   strictEqual(after.some((host) => before.includes(host)), false);
 });
 
@@ -35,5 +39,5 @@
 
 test("a host that hears of no reader reads itself", () => {
   // The datagrams of the readers are lost on a cut link.
-  strictEqual(getReaders([], UNCONFIRMED_MS + 1).length, hosts.length);
+  strictEqual(getReaders([], CONFIRMATION_TIMEOUT_MS + 1).length, hosts.length);
 });
--- a/src/entry/knowledge.ts
+++ b/src/entry/knowledge.ts
@@ -18,7 +18,7 @@
   type EntryPlatform,
   followTable,
   type PassingOn,
-  type ReadingChoice,
+  type ReadingDecision,
   REPORT_KEY,
   type SharedTable,
   TABLE_NAMES,
@@ -88,7 +88,7 @@
   };
   const fetching = new Set<TableName>();
   const lost = new Set<TableName>();
-  const choices = new Map<TableName, ReadingChoice>();
+  const choices = new Map<TableName, ReadingDecision>();
   const eras = createEraWatch({
     clock: host.clock,
     log: host.log,
@@ -176,7 +176,7 @@
     const choice = decideToRead({
       self: host.peerAddress,
       hosts: host.getHosts(),
-      isTurnedAway: (peer) => passingOn.isTurnedAway(table, peer),
+      hasRecentFailure: (peer) => passingOn.isTurnedAway(table, peer),
       unconfirmedMs,
     });
     logChoice(table, choice, unconfirmedMs);
@@ -185,7 +185,7 @@
 
   function logChoice(
     table: TableName,
-    choice: ReadingChoice,
+    choice: ReadingDecision,
     unconfirmedMs: number,
   ): void {
     const known = choices.get(table);
--- a/src/testing/knowledge_soak.ts
+++ b/src/testing/knowledge_soak.ts
@@ -6,7 +6,7 @@
  */
 
 import * as Effect from "effect/Effect";
-import { READERS, TABLE_NAMES } from "../discovery/mod.ts";
+import { READER_COUNT, TABLE_NAMES } from "../discovery/mod.ts";
 import { createRandom, type Random } from "../measure/random.ts";
 import { createTroubles } from "./fleet_troubles.ts";
 import { createKnowledgeChecks } from "./knowledge_checks.ts";
@@ -87,7 +87,8 @@
   function countCalls(calls: number, changes: number): void {
     if (troubles.hasAny() || getCalmMs() < 2 * CALM_MS) return;
     calmCalls += calls;
-    neededCalls += READERS * (TABLE_NAMES.length * STEP_MS / 1_000 + changes);
+    neededCalls += READER_COUNT *
+      (TABLE_NAMES.length * STEP_MS / 1_000 + changes);
   }
 
   const step = Effect.gen(function* () {
