--- a/src/discovery/mod.ts
+++ b/src/discovery/mod.ts
@@ -5,7 +5,7 @@
  */
 
 export * from "./leaving_instances.ts";
-export * from "./passing_on.ts";
+export * from "./table_distribution.ts";
 export * from "./positions.ts";
 export * from "./reader_selection.ts";
 export * from "./shared_table.ts";
--- a/src/discovery/passing_on.ts
+++ b/src/discovery/table_distribution.ts
@@ -41,7 +41,7 @@
 }
 
 /** What passing on needs of the process. */
-export interface PassingOnHost {
+export interface TableDistributionHost {
   readonly clock: Clock;
   readonly peerAddress: string;
   /** Wall milliseconds of this process's start. */
@@ -60,18 +60,18 @@
 }
 
 /** The reports of this host and of others. */
-export interface PassingOn {
+export interface TableDistribution {
   /** This host has read the table; `changed` when its copy is another now. */
-  confirm(table: TableName, changed: boolean): void;
+  recordRead(table: TableName, changed: boolean): void;
   /** The platform has turned this host away, or did not answer. */
-  turnedAway(table: TableName): void;
+  recordFailure(table: TableName): void;
   /** Takes in another host's report. */
   receive(fact: Fact): void;
-  isTurnedAway(table: TableName, peerAddress: string): boolean;
+  hasRecentFailure(table: TableName, peerAddress: string): boolean;
   /** Time since a reader last read the table, this host included, in ms. */
   getUnconfirmedMs(table: TableName): number;
   /** Whether some host was turned away within the time given, in ms. */
-  wasOutageWithin(ms: number): boolean;
+  hadOutageWithin(ms: number): boolean;
 }
 
 /**
@@ -79,10 +79,10 @@
  * is replaced, hosts pass by reports of a form that they can't read, and follow
  * the platform by themselves if they hear no others.
  */
-export const REPORT_KEY = "table-reader/";
+export const REPORT_KEY_PREFIX = "table-reader/";
 
 /** Between two confirmations of a table without a change, in ms. */
-const CONFIRM_MS = 700;
+const CONFIRM_INTERVAL_MS = 700;
 
 /**
  * Up to so many hosts a confirmation goes straight to all: three readers then
@@ -90,10 +90,10 @@
  * gossip a confirmation takes seven rounds to reach 80 hosts, 1.8 s of the two
  * after which a host reads the platform itself. Larger fleets gossip it.
  */
-const PUSH_ALL_HOSTS = 100;
+const MAX_PUSH_HOSTS = 100;
 
 /** What a host knows of who reads one table, in monotonic ms. */
-interface ReadingState {
+interface TableReadState {
   /** When some host read it last, this one included. */
   confirmedMs: number;
   /**
@@ -103,23 +103,25 @@
    */
   readMs: number;
   /** The last of this host's readings that the others were told. */
-  toldMs: number;
+  reportedMs: number;
   /** When hosts were turned away, by peer address, this host included. */
-  readonly turnedAwayMs: Map<string, number>;
+  readonly lastFailureMs: Map<string, number>;
 }
 
 /** Makes the reports of a host that knows none. */
-export function createPassingOn(host: PassingOnHost): PassingOn {
+export function createTableDistribution(
+  host: TableDistributionHost,
+): TableDistribution {
   const { clock } = host;
-  const states: Readonly<Record<TableName, ReadingState>> = {
-    config: createReadingState(),
-    upstreams: createReadingState(),
+  const states: Readonly<Record<TableName, TableReadState>> = {
+    config: createTableReadState(),
+    upstreams: createTableReadState(),
   };
   let lastOutageMs = -Infinity;
-  let reports = 0;
+  let reportVersion = 0;
 
   function createTableReport(table: TableName): TableReport {
-    const { readMs, turnedAwayMs } = states[table];
+    const { readMs, lastFailureMs: turnedAwayMs } = states[table];
     return {
       // Up to which it was read rises with each change of any table: told, it
       // would have every host fetch a copy that it has, at each report.
@@ -135,7 +137,7 @@
     return Math.round(clock.monotonicMs() - sinceMs);
   }
 
-  function tell(isUrgent: boolean): void {
+  function publishReport(isUrgent: boolean): void {
     const report: ReaderReport = {
       peerAddress: host.peerAddress,
       tables: {
@@ -143,30 +145,30 @@
         upstreams: createTableReport("upstreams"),
       },
     };
-    reports++;
+    reportVersion++;
     const fact = {
       // A restarted host counts from the start again, under another key.
-      key: `${REPORT_KEY}${host.peerAddress}/${host.incarnation}`,
-      version: reports,
+      key: `${REPORT_KEY_PREFIX}${host.peerAddress}/${host.incarnation}`,
+      version: reportVersion,
       value: JSON.stringify(report),
     };
     for (const table of TABLE_NAMES) {
-      states[table].toldMs = states[table].readMs;
+      states[table].reportedMs = states[table].readMs;
     }
-    if (isUrgent || host.countHosts() <= PUSH_ALL_HOSTS) host.pushFact(fact);
+    if (isUrgent || host.countHosts() <= MAX_PUSH_HOSTS) host.pushFact(fact);
     else host.spreadFact(fact);
   }
 
-  function noteTurnedAway(
+  function setLastFailure(
     table: TableName,
     peerAddress: string,
     sinceMs: number,
   ): void {
-    states[table].turnedAwayMs.set(peerAddress, sinceMs);
+    states[table].lastFailureMs.set(peerAddress, sinceMs);
     lastOutageMs = Math.max(lastOutageMs, sinceMs);
   }
 
-  function receiveTable(
+  function receiveTableReport(
     table: TableName,
     peerAddress: string,
     report: TableReport,
@@ -174,8 +176,8 @@
     const { readMsAgo, turnedAwayMsAgo } = report;
     const state = states[table];
     const nowMs = clock.monotonicMs();
-    if (turnedAwayMsAgo === undefined) state.turnedAwayMs.delete(peerAddress);
-    else noteTurnedAway(table, peerAddress, nowMs - turnedAwayMsAgo);
+    if (turnedAwayMsAgo === undefined) state.lastFailureMs.delete(peerAddress);
+    else setLastFailure(table, peerAddress, nowMs - turnedAwayMsAgo);
     if (readMsAgo !== undefined) {
       state.confirmedMs = Math.max(state.confirmedMs, nowMs - readMsAgo);
     }
@@ -184,51 +186,53 @@
     }
   }
 
-  function isTurnedAway(table: TableName, peerAddress: string): boolean {
-    const sinceMs = states[table].turnedAwayMs.get(peerAddress);
+  function hasRecentFailure(table: TableName, peerAddress: string): boolean {
+    const sinceMs = states[table].lastFailureMs.get(peerAddress);
     if (sinceMs === undefined) return false;
     return clock.monotonicMs() - sinceMs < FAILURE_MEMORY_MS;
   }
 
   return {
-    confirm(table, changed) {
+    recordRead(table, changed) {
       const state = states[table];
       const nowMs = clock.monotonicMs();
       state.confirmedMs = nowMs;
       state.readMs = nowMs;
-      const wasTurnedAway = state.turnedAwayMs.delete(host.peerAddress);
+      const wasTurnedAway = state.lastFailureMs.delete(host.peerAddress);
       const isUrgent = changed || wasTurnedAway;
-      if (isUrgent || nowMs - state.toldMs >= CONFIRM_MS) tell(isUrgent);
+      if (isUrgent || nowMs - state.reportedMs >= CONFIRM_INTERVAL_MS) {
+        publishReport(isUrgent);
+      }
     },
-    turnedAway(table) {
+    recordFailure(table) {
       lastOutageMs = clock.monotonicMs();
       // A host may pass itself over only for as long as the others do. Were it to
       // count from its last failure, of which nobody heard, all would leave the
       // table to the first in rank, and these to one another.
-      if (isTurnedAway(table, host.peerAddress)) return;
+      if (hasRecentFailure(table, host.peerAddress)) return;
       // The others replace a reader at once. Told again, it is no news for them.
-      const isUrgent = !states[table].turnedAwayMs.has(host.peerAddress);
-      noteTurnedAway(table, host.peerAddress, lastOutageMs);
-      tell(isUrgent);
+      const isUrgent = !states[table].lastFailureMs.has(host.peerAddress);
+      setLastFailure(table, host.peerAddress, lastOutageMs);
+      publishReport(isUrgent);
     },
     receive(fact) {
       const { peerAddress, tables } = JSON.parse(fact.value) as ReaderReport;
       for (const table of TABLE_NAMES) {
-        receiveTable(table, peerAddress, tables[table]);
+        receiveTableReport(table, peerAddress, tables[table]);
       }
     },
-    isTurnedAway,
+    hasRecentFailure: hasRecentFailure,
     getUnconfirmedMs: (table) =>
       clock.monotonicMs() - states[table].confirmedMs,
-    wasOutageWithin: (ms) => clock.monotonicMs() - lastOutageMs < ms,
+    hadOutageWithin: (ms) => clock.monotonicMs() - lastOutageMs < ms,
   };
 }
 
-function createReadingState(): ReadingState {
+function createTableReadState(): TableReadState {
   return {
     confirmedMs: -Infinity,
     readMs: -Infinity,
-    toldMs: -Infinity,
-    turnedAwayMs: new Map(),
+    reportedMs: -Infinity,
+    lastFailureMs: new Map(),
   };
 }
--- a/src/discovery/passing_on_test.ts
+++ b/src/discovery/table_distribution_test.ts
@@ -2,14 +2,17 @@
 import { test } from "node:test";
 import { createManualClock } from "../core/mod.ts";
 import type { Fact } from "../membership/mod.ts";
-import { createPassingOn, type TableName } from "./passing_on.ts";
+import {
+  createTableDistribution,
+  type TableName,
+} from "./table_distribution.ts";
 
 function createHost(peerAddress: string, clock = createManualClock(5_000)) {
   const versions: Record<TableName, number> = { config: 0, upstreams: 0 };
   const platform: { era: number | undefined } = { era: undefined };
   const sent: Fact[] = [];
   const fetched: string[] = [];
-  const passingOn = createPassingOn({
+  const passingOn = createTableDistribution({
     clock,
     peerAddress,
     incarnation: 1,
@@ -28,7 +31,7 @@
   const reader = createHost("a:1");
   const other = createHost("b:1");
   reader.versions.config = 12;
-  reader.passingOn.confirm("config", true);
+  reader.passingOn.recordRead("config", true);
   other.passingOn.receive(reader.sent[0]!);
   deepStrictEqual(other.fetched, ["config from a:1"]);
   strictEqual(other.passingOn.getUnconfirmedMs("config"), 0);
@@ -39,7 +42,7 @@
   // prefix below; a host that reads such a report as one by table, or the other
   // way round, fails at each datagram.
   const reader = createHost("a:1");
-  reader.passingOn.confirm("config", true);
+  reader.passingOn.recordRead("config", true);
   strictEqual(reader.sent[0]!.key.startsWith("reader/"), false);
 });
 
@@ -49,9 +52,9 @@
   // both, the other hosts would wait for it instead of reading themselves.
   const reader = createHost("a:1");
   const other = createHost("b:1", reader.clock);
-  reader.passingOn.confirm("config", false);
+  reader.passingOn.recordRead("config", false);
   reader.clock.advance(2_500);
-  reader.passingOn.confirm("upstreams", true);
+  reader.passingOn.recordRead("upstreams", true);
   other.passingOn.receive(reader.sent.at(-1)!);
   strictEqual(other.passingOn.getUnconfirmedMs("upstreams"), 0);
   strictEqual(other.passingOn.getUnconfirmedMs("config"), 2_500);
@@ -65,10 +68,10 @@
   const reader = createHost("a:1");
   const middle = createHost("b:1", reader.clock);
   const last = createHost("c:1", reader.clock);
-  reader.passingOn.confirm("config", false);
+  reader.passingOn.recordRead("config", false);
   middle.passingOn.receive(reader.sent[0]!);
   reader.clock.advance(1_000);
-  middle.passingOn.turnedAway("config");
+  middle.passingOn.recordFailure("config");
   last.passingOn.receive(middle.sent[0]!);
   strictEqual(middle.passingOn.getUnconfirmedMs("config"), 1_000);
   strictEqual(last.passingOn.getUnconfirmedMs("config"), Infinity);
@@ -77,22 +80,22 @@
 test("a reader that may read one table alone is passed over for the other", () => {
   const reader = createHost("a:1");
   const other = createHost("b:1", reader.clock);
-  reader.passingOn.turnedAway("config");
-  reader.passingOn.confirm("upstreams", false);
+  reader.passingOn.recordFailure("config");
+  reader.passingOn.recordRead("upstreams", false);
   for (const fact of reader.sent) other.passingOn.receive(fact);
-  strictEqual(other.passingOn.isTurnedAway("config", "a:1"), true);
-  strictEqual(other.passingOn.isTurnedAway("upstreams", "a:1"), false);
+  strictEqual(other.passingOn.hasRecentFailure("config", "a:1"), true);
+  strictEqual(other.passingOn.hasRecentFailure("upstreams", "a:1"), false);
 });
 
 test("a change is told at once, a confirmation once in a while", () => {
   const { passingOn, clock, sent } = createHost("a:1");
-  passingOn.confirm("config", false);
-  passingOn.confirm("config", false);
+  passingOn.recordRead("config", false);
+  passingOn.recordRead("config", false);
   strictEqual(sent.length, 1);
-  passingOn.confirm("config", true);
+  passingOn.recordRead("config", true);
   strictEqual(sent.length, 2);
   clock.advance(700);
-  passingOn.confirm("config", false);
+  passingOn.recordRead("config", false);
   strictEqual(sent.length, 3);
   deepStrictEqual(sent.map((fact) => fact.version), [1, 2, 3]);
 });
@@ -104,13 +107,13 @@
   const other = createHost("b:1", reader.clock);
   for (let at = 0; at < 20; at++) {
     const sent = reader.sent.length;
-    reader.passingOn.turnedAway("config");
+    reader.passingOn.recordFailure("config");
     for (const fact of reader.sent.slice(sent)) other.passingOn.receive(fact);
-    strictEqual(other.passingOn.isTurnedAway("config", "a:1"), true);
+    strictEqual(other.passingOn.hasRecentFailure("config", "a:1"), true);
     reader.clock.advance(550);
     strictEqual(
-      reader.passingOn.isTurnedAway("config", "a:1"),
-      other.passingOn.isTurnedAway("config", "a:1"),
+      reader.passingOn.hasRecentFailure("config", "a:1"),
+      other.passingOn.hasRecentFailure("config", "a:1"),
     );
   }
   strictEqual(reader.sent.length, 2);
@@ -119,15 +122,15 @@
 test("a reader that was turned away says so, and is asked again later", () => {
   const reader = createHost("a:1");
   const other = createHost("b:1");
-  reader.passingOn.turnedAway("config");
-  reader.passingOn.turnedAway("config");
+  reader.passingOn.recordFailure("config");
+  reader.passingOn.recordFailure("config");
   strictEqual(reader.sent.length, 1);
   other.passingOn.receive(reader.sent[0]!);
-  strictEqual(other.passingOn.isTurnedAway("config", "a:1"), true);
-  strictEqual(other.passingOn.wasOutageWithin(1_000), true);
-  reader.passingOn.confirm("config", false);
+  strictEqual(other.passingOn.hasRecentFailure("config", "a:1"), true);
+  strictEqual(other.passingOn.hadOutageWithin(1_000), true);
+  reader.passingOn.recordRead("config", false);
   other.passingOn.receive(reader.sent[1]!);
-  strictEqual(other.passingOn.isTurnedAway("config", "a:1"), false);
+  strictEqual(other.passingOn.hasRecentFailure("config", "a:1"), false);
 });
 
 test("a reader of the next era is asked for a lower version, one of an earlier era never", () => {
@@ -138,8 +141,8 @@
   Object.assign(other.versions, { config: 40, upstreams: 40 });
   reader.platform.era = 2;
   other.platform.era = 1;
-  reader.passingOn.confirm("config", true);
-  other.passingOn.confirm("config", true);
+  reader.passingOn.recordRead("config", true);
+  other.passingOn.recordRead("config", true);
   other.passingOn.receive(reader.sent[0]!);
   reader.passingOn.receive(other.sent[0]!);
   deepStrictEqual(other.fetched, ["config from a:1", "upstreams from a:1"]);
--- a/src/entry/knowledge.ts
+++ b/src/entry/knowledge.ts
@@ -11,17 +11,17 @@
 import type { Clock } from "../core/mod.ts";
 import type { Decision, Inputs } from "../diagnostics/mod.ts";
 import {
-  createPassingOn,
   createSharedTable,
+  createTableDistribution,
   createUpstreamDirectory,
   decideToRead,
   type EntryPlatform,
   followTable,
-  type PassingOn,
   type ReadingDecision,
-  REPORT_KEY,
+  REPORT_KEY_PREFIX,
   type SharedTable,
   TABLE_NAMES,
+  type TableDistribution,
   type TableName,
   type TableSnapshot,
   type UpstreamDirectory,
@@ -96,7 +96,7 @@
   });
   let routes: RouteTable | undefined;
 
-  const passingOn: PassingOn = createPassingOn({
+  const passingOn: TableDistribution = createTableDistribution({
     clock: host.clock,
     peerAddress: host.peerAddress,
     incarnation: host.incarnation,
@@ -110,7 +110,7 @@
   const directory = createUpstreamDirectory({
     clock: host.clock,
     wasOutageWithin: (ms) =>
-      passingOn.wasOutageWithin(ms) || eras.wasReturnWithin(ms),
+      passingOn.hadOutageWithin(ms) || eras.wasReturnWithin(ms),
     onChange(entry, change, from) {
       host.log({
         event: "upstream-changed",
@@ -176,7 +176,7 @@
     const choice = decideToRead({
       self: host.peerAddress,
       hosts: host.getHosts(),
-      hasRecentFailure: (peer) => passingOn.isTurnedAway(table, peer),
+      hasRecentFailure: (peer) => passingOn.hasRecentFailure(table, peer),
       unconfirmedMs,
     });
     logChoice(table, choice, unconfirmedMs);
@@ -214,7 +214,7 @@
           host.log({ event: "platform-regained", table: name, reason });
         }
         if (changed) onChanged(name, "platform");
-        passingOn.confirm(name, changed);
+        passingOn.recordRead(name, changed);
       },
       onFailure(err) {
         if (!lost.has(name)) {
@@ -222,7 +222,7 @@
           host.log({ event: "platform-lost", table: name, reason });
         }
         lost.add(name);
-        passingOn.turnedAway(name);
+        passingOn.recordFailure(name);
       },
       onDefect(defect) {
         const reason = String(defect);
@@ -243,7 +243,7 @@
       ),
     }),
     receive(fact) {
-      if (fact.key.startsWith(REPORT_KEY)) passingOn.receive(fact);
+      if (fact.key.startsWith(REPORT_KEY_PREFIX)) passingOn.receive(fact);
       else if (fact.key.startsWith(LEAVING_KEY)) {
         directory.noteLeaving(readLeavingFact(fact), "host");
       }
