--- a/src/discovery/removed_rows.ts
+++ b/src/discovery/removed_rows.ts
@@ -18,11 +18,11 @@
    * this host first read the platform after it, so that what is newer was written
    * since.
    */
-  isOld(row: TableRow<UpstreamEntry>, returned: TablePosition): boolean;
+  isStale(row: TableRow<UpstreamEntry>, returned: TablePosition): boolean;
 }
 
 /** Rows remembered; the oldest goes first. */
-const MAX_ROWS = 1_000;
+const MAX_REMOVED_ROWS = 1_000;
 
 interface RemovedRow {
   readonly row: TableRow<UpstreamEntry>;
@@ -36,9 +36,11 @@
     add(row, at) {
       removed.delete(row.key);
       removed.set(row.key, { row, at });
-      if (removed.size > MAX_ROWS) removed.delete(removed.keys().next().value!);
+      if (removed.size > MAX_REMOVED_ROWS) {
+        removed.delete(removed.keys().next().value!);
+      }
     },
-    isOld(row, returned) {
+    isStale(row, returned) {
       const known = removed.get(row.key);
       if (known === undefined || !isLaterEra(returned, known.at)) return false;
       if (known.row.value.incarnation !== row.value.incarnation) return false;
--- a/src/discovery/upstream_directory.ts
+++ b/src/discovery/upstream_directory.ts
@@ -168,7 +168,7 @@
       const next = new Map<string, TableRow<UpstreamEntry>>();
       if (isLaterEra(at, position)) returned = at;
       for (const [id, row] of tableRows) {
-        if (removed.isOld(row, returned)) continue;
+        if (removed.isStale(row, returned)) continue;
         keptUntilMs.delete(id);
         tellChange(id, row.value);
         next.set(id, row);
