--- a/src/discovery/table_follower.ts
+++ b/src/discovery/table_follower.ts
@@ -9,14 +9,14 @@
 import * as Effect from "effect/Effect";
 import type { Clock } from "../core/mod.ts";
 import { isLaterEra, isSameEra, type TablePosition } from "./positions.ts";
-import type { SharedTable } from "./shared_table.ts";
+import type { TableReplica } from "./table_replica.ts";
 import { type TableChange, TableError, type TableSource } from "./types.ts";
 
 /** What a follower needs of the process. */
 export interface FollowerHost<T> {
   readonly clock: Clock;
   readonly source: TableSource<T>;
-  readonly table: SharedTable<T>;
+  readonly table: TableReplica<T>;
   isReader(): boolean;
   /** The platform has answered; `changed` when the copy is another now. */
   onContact(changed: boolean): void;
--- a/src/discovery/table_follower_test.ts
+++ b/src/discovery/table_follower_test.ts
@@ -4,7 +4,7 @@
 import * as Fiber from "effect/Fiber";
 import * as TestClock from "effect/testing/TestClock";
 import { createManualClock, type ManualClock } from "../core/mod.ts";
-import { createSharedTable } from "./shared_table.ts";
+import { createTableReplica } from "./table_replica.ts";
 import { followTable } from "./table_follower.ts";
 import { TableError } from "./types.ts";
 
@@ -34,7 +34,7 @@
           return { version, changed: [row], removed: [] };
         }).pipe(Effect.delay(STEP_MS)),
     },
-    table: createSharedTable<string>(),
+    table: createTableReplica<string>(),
     isReader: () => isReader,
     onContact() {
       if (!mustThrow) return;
@@ -157,7 +157,7 @@
         return Effect.fail(new TableError({ kind: "history-lost", reason }));
       },
     },
-    table: createSharedTable<string>(),
+    table: createTableReplica<string>(),
   });
   await play(
     follower,
@@ -174,7 +174,7 @@
 test("changes of another era are not added; the whole table is read", async () => {
   // Guards against a gap: versions below the one asked from were given out again.
   const clock = createManualClock(10_000);
-  const table = createSharedTable<string>();
+  const table = createTableReplica<string>();
   const states = [
     { era: 1, version: 20, rows: [] },
     {
--- a/src/discovery/shared_table.ts
+++ b/src/discovery/table_replica.ts
@@ -17,7 +17,7 @@
 import type { TableChange, TableRow, TableSnapshot } from "./types.ts";
 
 /** A host's copy of a table. */
-export interface SharedTable<T> {
+export interface TableReplica<T> {
   /** Up to which the platform was read. */
   getPosition(): TablePosition;
   /** Of the newest change; differs from host to host only by lag. */
@@ -31,26 +31,26 @@
    */
   apply(change: TableChange<T>): boolean;
   /** The copy as it is passed on. */
-  getState(): TableSnapshot<T>;
+  getSnapshot(): TableSnapshot<T>;
 }
 
 /** Makes a copy of a table never seen. */
-export function createSharedTable<T>(): SharedTable<T> {
+export function createTableReplica<T>(): TableReplica<T> {
   let rows: ReadonlyMap<string, TableRow<T>> = new Map();
   let position = NO_POSITION;
   let changedPosition = NO_POSITION;
 
   /** Goes on to the version in its era, or in the known one if it names none. */
-  function moveTo({ era = position.era, version }: TablePosition): void {
+  function advanceTo({ era = position.era, version }: TablePosition): void {
     position = { era, version };
   }
 
-  function set(
+  function setRows(
     next: ReadonlyMap<string, TableRow<T>>,
     nextPosition: TablePosition,
   ): void {
     rows = next;
-    moveTo(nextPosition);
+    advanceTo(nextPosition);
     changedPosition = position;
   }
 
@@ -62,13 +62,13 @@
       if (!isNewer(state, position)) return false;
       const next = new Map(state.rows.map((row) => [row.key, row]));
       // Rows of two eras may bear the same version and be others.
-      const isKnown = changedPosition.version > 0 &&
-        !isLaterEra(state, position) && isSame(rows, next);
-      if (isKnown) {
-        moveTo(state);
+      const isUnchanged = changedPosition.version > 0 &&
+        !isLaterEra(state, position) && haveSameRows(rows, next);
+      if (isUnchanged) {
+        advanceTo(state);
         return false;
       }
-      set(next, state);
+      setRows(next, state);
       return true;
     },
     apply(change) {
@@ -77,18 +77,18 @@
       const next = new Map(rows);
       for (const key of change.removed) next.delete(key);
       for (const row of change.changed) next.set(row.key, row);
-      if (isSame(rows, next)) {
-        moveTo(change);
+      if (haveSameRows(rows, next)) {
+        advanceTo(change);
         return false;
       }
-      set(next, change);
+      setRows(next, change);
       return true;
     },
-    getState: () => ({ ...changedPosition, rows: [...rows.values()] }),
+    getSnapshot: () => ({ ...changedPosition, rows: [...rows.values()] }),
   };
 }
 
-function isSame<T>(
+function haveSameRows<T>(
   a: ReadonlyMap<string, TableRow<T>>,
   b: ReadonlyMap<string, TableRow<T>>,
 ): boolean {
--- a/src/discovery/shared_table_test.ts
+++ b/src/discovery/table_replica_test.ts
@@ -1,6 +1,6 @@
 import { deepStrictEqual, strictEqual } from "node:assert";
 import { test } from "node:test";
-import { createSharedTable } from "./shared_table.ts";
+import { createTableReplica } from "./table_replica.ts";
 
 const row = (key: string, version: number) => ({
   key,
@@ -13,7 +13,7 @@
   // still has the configuration from before. It meets host A, which has the
   // new one, and each passes its copy on. If A took B's, the key would work
   // again at A.
-  const table = createSharedTable<string>();
+  const table = createTableReplica<string>();
   table.replace({ version: 20, rows: [row("config", 19)] });
   strictEqual(table.replace({ version: 12, rows: [row("config", 11)] }), false);
   strictEqual(
@@ -24,7 +24,7 @@
 });
 
 test("changes add to the copy, and what is removed is gone", () => {
-  const table = createSharedTable<string>();
+  const table = createTableReplica<string>();
   table.replace({ version: 5, rows: [row("a", 1), row("b", 2)] });
   strictEqual(
     table.apply({ version: 7, changed: [row("c", 6)], removed: ["a"] }),
@@ -34,7 +34,7 @@
 });
 
 test("a copy that brings nothing new only raises the version", () => {
-  const table = createSharedTable<string>();
+  const table = createTableReplica<string>();
   table.replace({ version: 5, rows: [row("a", 1)] });
   strictEqual(table.replace({ version: 9, rows: [row("a", 1)] }), false);
   strictEqual(table.getPosition().version, 9);
@@ -43,14 +43,14 @@
 
 test("a copy of the next era replaces one of higher versions, and no other way round", () => {
   // Guards against a host that waits until a store back from a copy has come by.
-  const table = createSharedTable<string>();
+  const table = createTableReplica<string>();
   table.replace({ era: 1, version: 20, rows: [row("a", 7), row("b", 19)] });
   strictEqual(
     table.replace({ era: 2, version: 15, rows: [row("a", 7)] }),
     true,
   );
   deepStrictEqual([...table.getRows().keys()], ["a"]);
-  deepStrictEqual(table.getState(), {
+  deepStrictEqual(table.getSnapshot(), {
     era: 2,
     version: 15,
     rows: [row("a", 7)],
@@ -67,7 +67,7 @@
 
 test("a row of the next era with the version of another one is not taken for it", () => {
   // Guards against a copy that keeps what the store has lost.
-  const table = createSharedTable<string>();
+  const table = createTableReplica<string>();
   table.replace({ era: 1, version: 20, rows: [row("a", 19)] });
   const again = { key: "a", version: 19, value: "written again" };
   strictEqual(table.replace({ era: 2, version: 20, rows: [again] }), true);
@@ -75,7 +75,7 @@
 });
 
 test("where no era is named, versions alone count, and a known era stays", () => {
-  const table = createSharedTable<string>();
+  const table = createTableReplica<string>();
   table.replace({ version: 20, rows: [row("a", 19)] });
   strictEqual(table.replace({ version: 12, rows: [] }), false);
   table.apply({ era: 3, version: 21, changed: [row("b", 21)], removed: [] });
--- a/src/entry/knowledge.ts
+++ b/src/entry/knowledge.ts
@@ -11,18 +11,18 @@
 import type { Clock } from "../core/mod.ts";
 import type { Decision, Inputs } from "../diagnostics/mod.ts";
 import {
-  createSharedTable,
   createTableDistribution,
+  createTableReplica,
   createUpstreamDirectory,
   decideToRead,
   type EntryPlatform,
   followTable,
   type ReadingDecision,
   REPORT_KEY_PREFIX,
-  type SharedTable,
   TABLE_NAMES,
   type TableDistribution,
   type TableName,
+  type TableReplica,
   type TableSnapshot,
   type UpstreamDirectory,
   type UpstreamEntry,
@@ -80,11 +80,11 @@
 
 /** Makes the knowledge of a host that knows nothing. */
 export function createKnowledge(host: KnowledgeHost): Knowledge {
-  const config = createSharedTable<RoutingConfig>();
-  const upstreams = createSharedTable<UpstreamEntry>();
-  const tables: Record<TableName, SharedTable<unknown>> = {
-    config: config as SharedTable<unknown>,
-    upstreams: upstreams as SharedTable<unknown>,
+  const config = createTableReplica<RoutingConfig>();
+  const upstreams = createTableReplica<UpstreamEntry>();
+  const tables: Record<TableName, TableReplica<unknown>> = {
+    config: config as TableReplica<unknown>,
+    upstreams: upstreams as TableReplica<unknown>,
   };
   const fetching = new Set<TableName>();
   const lost = new Set<TableName>();
@@ -256,7 +256,7 @@
       const table = tables[name as TableName];
       if (table === undefined) return undefined;
       if (table.getPosition().version === 0) return undefined;
-      return Buffer.from(JSON.stringify(table.getState()));
+      return Buffer.from(JSON.stringify(table.getSnapshot()));
     },
     run: Effect.all([follow("config"), follow("upstreams")], {
       concurrency: "unbounded",
