--- a/src/discovery/table_follower.ts
+++ b/src/discovery/table_follower.ts
@@ -13,13 +13,13 @@
 import { type TableChange, TableError, type TableSource } from "./types.ts";
 
 /** What a follower needs of the process. */
-export interface FollowerHost<T> {
+export interface TableFollowerHost<T> {
   readonly clock: Clock;
   readonly source: TableSource<T>;
   readonly table: TableReplica<T>;
   isReader(): boolean;
   /** The platform has answered; `changed` when the copy is another now. */
-  onContact(changed: boolean): void;
+  onAnswer(changed: boolean): void;
   onFailure(err: TableError): void;
   /** What the host does with the table has failed. */
   onDefect(defect: unknown): void;
@@ -32,16 +32,16 @@
  * shows after this and the client's slack, which together leave a second of the
  * 2.5 s within which a configuration must be in force.
  */
-export const FOLLOW_WAIT_MS = 1_000;
+export const LONG_POLL_MS = 1_000;
 
 /** Wait between two looks at whether this host is a reader, in ms. */
-const IDLE_CHECK_MS = 200;
+const READER_CHECK_INTERVAL_MS = 200;
 
 /** Wait before the next try after a failure, in ms; half of it is random. */
 const RETRY_WAIT_MS = 500;
 
 /** While nothing is known every caller is refused, so that a try costs less. */
-const FIRST_RETRY_WAIT_MS = 200;
+const EMPTY_RETRY_WAIT_MS = 200;
 
 /**
  * A host that has just started does not know yet who reads, and reads itself, for
@@ -52,8 +52,8 @@
  * force. It counts from the start: a host that takes over from another reader
  * later must not hear of changes late.
  */
-const START_MS = 5_000;
-const START_WAIT_MS = 800;
+const STARTUP_MS = 5_000;
+const STARTUP_PAUSE_MS = 800;
 
 /**
  * Failure guarded against: the platform has come back from an older copy, and has
@@ -71,44 +71,46 @@
 }
 
 /** Follows for ever; interrupt it to end. */
-export function followTable<T>(host: FollowerHost<T>): Effect.Effect<never> {
+export function followTable<T>(
+  host: TableFollowerHost<T>,
+): Effect.Effect<never> {
   const startedMs = host.clock.monotonicMs();
-  let mustRead = true;
+  let needsFullRead = true;
   /** Nothing has been followed since the last whole read. */
   let hasJustRead = false;
   /** The platform may be another one now; its next answer is wanted at once. */
   let hasFailed = false;
 
   const read = host.source.read().pipe(Effect.map((state) => {
-    mustRead = false;
+    needsFullRead = false;
     hasJustRead = true;
     return host.table.replace(state);
   }));
 
-  const follow = Effect.suspend(() => {
+  const poll = Effect.suspend(() => {
     const asked = host.table.getPosition();
-    const waitMs = hasFailed ? 0 : FOLLOW_WAIT_MS;
+    const waitMs = hasFailed ? 0 : LONG_POLL_MS;
     return host.source.pollChanges(asked.version, waitMs).pipe(
       Effect.flatMap((change) => checkEra(change, asked)),
       Effect.map((change) => {
         hasJustRead = false;
         hasFailed = false;
         // Meanwhile a whole copy of another era may have come from a peer.
-        const isOther = !isSameEra(asked, host.table.getPosition());
-        return isOther ? false : host.table.apply(change);
+        const isOtherEra = !isSameEra(asked, host.table.getPosition());
+        return isOtherEra ? false : host.table.apply(change);
       }),
     );
   });
 
-  const settle = Effect.suspend(() =>
-    host.clock.monotonicMs() - startedMs > START_MS
+  const pauseDuringStartup = Effect.suspend(() =>
+    host.clock.monotonicMs() - startedMs > STARTUP_MS
       ? Effect.void
-      : Effect.sleep(START_WAIT_MS)
+      : Effect.sleep(STARTUP_PAUSE_MS)
   );
 
-  const step = Effect.suspend(() => mustRead ? read : follow).pipe(
-    Effect.map((changed) => host.onContact(changed)),
-    Effect.andThen(settle),
+  const step = Effect.suspend(() => needsFullRead ? read : poll).pipe(
+    Effect.map((changed) => host.onAnswer(changed)),
+    Effect.andThen(pauseDuringStartup),
     Effect.catchTag("TableError", (err) => recover(err)),
     // A host that stopped to follow would keep its copy for good, and others,
     // which take it for a reader, would not notice for as long as it answers.
@@ -120,23 +122,23 @@
 
   function recover(err: TableError): Effect.Effect<void> {
     if (err.kind === "history-lost") {
-      mustRead = true;
+      needsFullRead = true;
       // Without a wait a read that brings no way to follow repeats at once.
-      return hasJustRead ? wait(RETRY_WAIT_MS) : Effect.void;
+      return hasJustRead ? waitWithJitter(RETRY_WAIT_MS) : Effect.void;
     }
     hasFailed = true;
     host.onFailure(err);
     const isKnown = host.table.getPosition().version > 0;
-    return wait(isKnown ? RETRY_WAIT_MS : FIRST_RETRY_WAIT_MS);
+    return waitWithJitter(isKnown ? RETRY_WAIT_MS : EMPTY_RETRY_WAIT_MS);
   }
 
   /** About so long, in ms; half of it is random. */
-  function wait(ms: number): Effect.Effect<void> {
+  function waitWithJitter(ms: number): Effect.Effect<void> {
     return Effect.sleep(ms * (0.5 + host.random() / 2));
   }
 
-  const turn = Effect.suspend(() =>
-    host.isReader() ? step : Effect.sleep(IDLE_CHECK_MS)
+  const iteration = Effect.suspend(() =>
+    host.isReader() ? step : Effect.sleep(READER_CHECK_INTERVAL_MS)
   );
-  return Effect.forever(turn);
+  return Effect.forever(iteration);
 }
--- a/src/discovery/table_follower_test.ts
+++ b/src/discovery/table_follower_test.ts
@@ -36,7 +36,7 @@
     },
     table: createTableReplica<string>(),
     isReader: () => isReader,
-    onContact() {
+    onAnswer() {
       if (!mustThrow) return;
       mustThrow = false;
       throw new RangeError("Too large to be told");
--- a/src/entry/knowledge.ts
+++ b/src/entry/knowledge.ts
@@ -208,7 +208,7 @@
       table: tables[name],
       isReader: () => isReader(name),
       random: host.random,
-      onContact(changed) {
+      onAnswer(changed) {
         if (lost.delete(name)) {
           const reason = "It answers again";
           host.log({ event: "platform-regained", table: name, reason });
