--- a/src/discovery/upstream_directory.ts
+++ b/src/discovery/upstream_directory.ts
@@ -32,7 +32,7 @@
   /** Requests that the upstream works on at once; 0 for an unknown one. */
   getSlots(upstream: string): number;
   /** An upstream has said itself that it leaves; false when it was known. */
-  noteLeaving(life: UpstreamInstance, from: LeavingSource): boolean;
+  markLeaving(life: UpstreamInstance, from: LeavingSource): boolean;
   /** Takes in the table's rows as of the position. */
   update(
     rows: ReadonlyMap<string, TableRow<UpstreamEntry>>,
@@ -41,10 +41,10 @@
 }
 
 /** What the directory needs of the process. */
-export interface DirectoryHost {
+export interface UpstreamDirectoryHost {
   readonly clock: Clock;
   /** Whether the platform was away within the time given, in ms. */
-  wasOutageWithin(ms: number): boolean;
+  hadOutageWithin(ms: number): boolean;
   /** An upstream has come, left, or is kept for the grace after an outage. */
   onChange(
     entry: UpstreamEntry,
@@ -69,39 +69,39 @@
 export const LAPSE_GRACE_MS = 2_300;
 
 /** An outage counts as recent for so long, in ms: three missed heartbeats. */
-const OUTAGE_MEMORY_MS = 4_000;
+const RECENT_OUTAGE_MS = 4_000;
 
 /** Makes a directory without upstreams. */
 export function createUpstreamDirectory(
-  host: DirectoryHost,
+  host: UpstreamDirectoryHost,
 ): UpstreamDirectory {
   let rows: ReadonlyMap<string, TableRow<UpstreamEntry>> = new Map();
   let position = NO_POSITION;
   /** Where the present era was first read. */
-  let returned = NO_POSITION;
+  let eraStart = NO_POSITION;
   let ready: ReadonlyMap<string, readonly UpstreamEntry[]> = new Map();
-  const leaving = createLeavingInstances();
-  const removed = createRemovedRows();
+  const leavingInstances = createLeavingInstances();
+  const removedRows = createRemovedRows();
   const keptUntilMs = new Map<string, number>();
   let nextExpiryMs = Infinity;
 
-  function rebuild(): void {
+  function rebuildReady(): void {
     const next = new Map<string, UpstreamEntry[]>();
     const ids = [...rows.keys()].sort();
     for (const id of ids) {
       const entry = rows.get(id)!.value;
-      if (!isTakingWork(entry)) continue;
+      if (!acceptsWork(entry)) continue;
       getOrCreate(next, entry.service, () => []).push(entry);
     }
     ready = next;
     nextExpiryMs = Math.min(Infinity, ...keptUntilMs.values());
   }
 
-  function isTakingWork(entry: UpstreamEntry): boolean {
-    return entry.state === "ready" && !leaving.has(entry);
+  function acceptsWork(entry: UpstreamEntry): boolean {
+    return entry.state === "ready" && !leavingInstances.has(entry);
   }
 
-  function expireKept(): void {
+  function removeExpired(): void {
     const nowMs = host.clock.monotonicMs();
     if (nowMs < nextExpiryMs) return;
     const next = new Map(rows);
@@ -111,27 +111,29 @@
       next.delete(id);
     }
     rows = next;
-    rebuild();
+    rebuildReady();
   }
 
   function remove(row: TableRow<UpstreamEntry>): void {
     keptUntilMs.delete(row.key);
-    removed.add(row, position);
+    removedRows.add(row, position);
     host.onChange(row.value, "removed", "table");
   }
 
-  function tellChange(id: string, entry: UpstreamEntry): void {
+  function reportChange(id: string, entry: UpstreamEntry): void {
     const known = rows.get(id)?.value;
     const isSameLife = known?.incarnation === entry.incarnation;
     if (isSameLife && known?.state === entry.state) return;
     if (entry.state === "leaving") {
-      if (leaving.add(entry)) host.onChange(entry, "leaving", "table");
-    } else if (!leaving.has(entry)) host.onChange(entry, "added", "table");
+      if (leavingInstances.add(entry)) host.onChange(entry, "leaving", "table");
+    } else if (!leavingInstances.has(entry)) {
+      host.onChange(entry, "added", "table");
+    }
   }
 
   function keepOrRemove(row: TableRow<UpstreamEntry>): boolean {
-    const mayReturn = isTakingWork(row.value) &&
-      host.wasOutageWithin(OUTAGE_MEMORY_MS);
+    const mayReturn = acceptsWork(row.value) &&
+      host.hadOutageWithin(RECENT_OUTAGE_MS);
     if (!mayReturn) {
       remove(row);
       return false;
@@ -145,32 +147,32 @@
 
   return {
     getReady(service) {
-      expireKept();
+      removeExpired();
       return ready.get(service) ?? [];
     },
     isReady(entry) {
-      expireKept();
+      removeExpired();
       const known = rows.get(entry.id)?.value;
-      return known !== undefined && isTakingWork(known) &&
+      return known !== undefined && acceptsWork(known) &&
         known.incarnation === entry.incarnation;
     },
     getSlots: (upstream) => rows.get(upstream)?.value.slots ?? 0,
-    noteLeaving(life, from) {
-      if (!leaving.add(life)) return false;
+    markLeaving(life, from) {
+      if (!leavingInstances.add(life)) return false;
       const known = rows.get(life.id)?.value;
       if (known?.incarnation === life.incarnation) {
         host.onChange(known, "leaving", from);
-        rebuild();
+        rebuildReady();
       }
       return true;
     },
     update(tableRows, at) {
       const next = new Map<string, TableRow<UpstreamEntry>>();
-      if (isLaterEra(at, position)) returned = at;
+      if (isLaterEra(at, position)) eraStart = at;
       for (const [id, row] of tableRows) {
-        if (removed.isStale(row, returned)) continue;
+        if (removedRows.isStale(row, eraStart)) continue;
         keptUntilMs.delete(id);
-        tellChange(id, row.value);
+        reportChange(id, row.value);
         next.set(id, row);
       }
       position = at;
@@ -178,7 +180,7 @@
         if (!next.has(id) && keepOrRemove(row)) next.set(id, row);
       }
       rows = next;
-      rebuild();
+      rebuildReady();
     },
   };
 }
--- a/src/discovery/upstream_directory_test.ts
+++ b/src/discovery/upstream_directory_test.ts
@@ -14,7 +14,7 @@
   const changes: string[] = [];
   const directory = createUpstreamDirectory({
     clock,
-    wasOutageWithin: () => isOutage,
+    hadOutageWithin: () => isOutage,
     onChange: (entry, change) => changes.push(`${entry.id} ${change}`),
   });
   /** The table in that era, its rows written at the version. */
@@ -36,7 +36,7 @@
     directory,
     changes,
     setOutage: (value: boolean) => isOutage = value,
-    leave: (entry: UpstreamEntry) => directory.noteLeaving(entry, "answer"),
+    leave: (entry: UpstreamEntry) => directory.markLeaving(entry, "answer"),
     update: (...entries: readonly UpstreamEntry[]) =>
       updateIn({ era: 1, rowVersion: 1 }, entries),
     updateIn,
--- a/src/entry/knowledge.ts
+++ b/src/entry/knowledge.ts
@@ -109,7 +109,7 @@
   });
   const directory = createUpstreamDirectory({
     clock: host.clock,
-    wasOutageWithin: (ms) =>
+    hadOutageWithin: (ms) =>
       passingOn.hadOutageWithin(ms) || eras.wasReturnWithin(ms),
     onChange(entry, change, from) {
       host.log({
@@ -245,11 +245,11 @@
     receive(fact) {
       if (fact.key.startsWith(REPORT_KEY_PREFIX)) passingOn.receive(fact);
       else if (fact.key.startsWith(LEAVING_KEY)) {
-        directory.noteLeaving(readLeavingFact(fact), "host");
+        directory.markLeaving(readLeavingFact(fact), "host");
       }
     },
     noteLeaving(life) {
-      if (!directory.noteLeaving(life, "answer")) return;
+      if (!directory.markLeaving(life, "answer")) return;
       host.pushFact(createLeavingFact(life));
     },
     tryGetTable(name) {
--- a/src/testing/forward_fixture.ts
+++ b/src/testing/forward_fixture.ts
@@ -168,7 +168,7 @@
   );
   const directory = createUpstreamDirectory({
     clock: systemClock,
-    wasOutageWithin: () => false,
+    hadOutageWithin: () => false,
     onChange: () => {},
   });
   directory.update(
@@ -252,7 +252,7 @@
     codec: createTestCodec(),
     agent: createUpstreamAgent(),
     directory,
-    noteLeaving: (life) => void directory.noteLeaving(life, "answer"),
+    noteLeaving: (life) => void directory.markLeaving(life, "answer"),
     load,
     getPacing: () => pacing,
     queue: createPromptQueue({
