--- a/src/discovery/leaving_instances.ts
+++ b/src/discovery/leaving_instances.ts
@@ -15,9 +15,9 @@
 
 /** The starts that are known to leave. */
 export interface LeavingInstances {
-  has(life: UpstreamInstance): boolean;
+  has(instance: UpstreamInstance): boolean;
   /** False when it was known. */
-  add(life: UpstreamInstance): boolean;
+  add(instance: UpstreamInstance): boolean;
 }
 
 /** Starts remembered; the oldest goes first. */
@@ -25,14 +25,16 @@
 
 /** Makes an empty set. */
 export function createLeavingInstances(): LeavingInstances {
-  const lives = new Set<string>();
+  const instances = new Set<string>();
   return {
-    has: (life) => lives.has(getKey(life)),
-    add(life) {
-      const key = getKey(life);
-      if (lives.has(key)) return false;
-      lives.add(key);
-      if (lives.size > MAX_INSTANCES) lives.delete(lives.keys().next().value!);
+    has: (instance) => instances.has(getKey(instance)),
+    add(instance) {
+      const key = getKey(instance);
+      if (instances.has(key)) return false;
+      instances.add(key);
+      if (instances.size > MAX_INSTANCES) {
+        instances.delete(instances.keys().next().value!);
+      }
       return true;
     },
   };
--- a/src/discovery/reader_selection_test.ts
+++ b/src/discovery/reader_selection_test.ts
@@ -8,12 +8,12 @@
 
 const hosts = Array.from({ length: 89 }, (_, at) => `10.0.0.${at}:7400`);
 
-function getReaders(turnedAway: readonly string[] = [], unconfirmedMs = 0) {
+function getReaders(failed: readonly string[] = [], unconfirmedMs = 0) {
   return hosts.filter((self) =>
     decideToRead({
       self,
       hosts,
-      hasRecentFailure: (host) => turnedAway.includes(host),
+      hasRecentFailure: (host) => failed.includes(host),
       unconfirmedMs,
     }).reads
   );
--- a/src/discovery/removed_rows.ts
+++ b/src/discovery/removed_rows.ts
@@ -18,7 +18,7 @@
    * this host first read the platform after it, so that what is newer was written
    * since.
    */
-  isStale(row: TableRow<UpstreamEntry>, returned: TablePosition): boolean;
+  isStale(row: TableRow<UpstreamEntry>, eraStart: TablePosition): boolean;
 }
 
 /** Rows remembered; the oldest goes first. */
@@ -40,11 +40,11 @@
         removed.delete(removed.keys().next().value!);
       }
     },
-    isStale(row, returned) {
+    isStale(row, eraStart) {
       const known = removed.get(row.key);
-      if (known === undefined || !isLaterEra(returned, known.at)) return false;
+      if (known === undefined || !isLaterEra(eraStart, known.at)) return false;
       if (known.row.value.incarnation !== row.value.incarnation) return false;
-      return row.version <= Math.min(known.row.version, returned.version);
+      return row.version <= Math.min(known.row.version, eraStart.version);
     },
   };
 }
--- a/src/discovery/table_distribution.ts
+++ b/src/discovery/table_distribution.ts
@@ -121,13 +121,13 @@
   let reportVersion = 0;
 
   function createTableReport(table: TableName): TableReport {
-    const { readMs, lastFailureMs: turnedAwayMs } = states[table];
+    const { readMs, lastFailureMs } = states[table];
     return {
       // Up to which it was read rises with each change of any table: told, it
       // would have every host fetch a copy that it has, at each report.
       ...host.getChangedPosition(table),
       readMsAgo: getAgeMs(readMs),
-      turnedAwayMsAgo: getAgeMs(turnedAwayMs.get(host.peerAddress)),
+      turnedAwayMsAgo: getAgeMs(lastFailureMs.get(host.peerAddress)),
     };
   }
 
@@ -198,8 +198,8 @@
       const nowMs = clock.monotonicMs();
       state.confirmedMs = nowMs;
       state.readMs = nowMs;
-      const wasTurnedAway = state.lastFailureMs.delete(host.peerAddress);
-      const isUrgent = changed || wasTurnedAway;
+      const hadFailed = state.lastFailureMs.delete(host.peerAddress);
+      const isUrgent = changed || hadFailed;
       if (isUrgent || nowMs - state.reportedMs >= CONFIRM_INTERVAL_MS) {
         publishReport(isUrgent);
       }
@@ -221,7 +221,7 @@
         receiveTableReport(table, peerAddress, tables[table]);
       }
     },
-    hasRecentFailure: hasRecentFailure,
+    hasRecentFailure,
     getUnconfirmedMs: (table) =>
       clock.monotonicMs() - states[table].confirmedMs,
     hadOutageWithin: (ms) => clock.monotonicMs() - lastOutageMs < ms,
--- a/src/discovery/table_distribution_test.ts
+++ b/src/discovery/table_distribution_test.ts
@@ -12,7 +12,7 @@
   const platform: { era: number | undefined } = { era: undefined };
   const sent: Fact[] = [];
   const fetched: string[] = [];
-  const passingOn = createTableDistribution({
+  const distribution = createTableDistribution({
     clock,
     peerAddress,
     incarnation: 1,
@@ -23,7 +23,7 @@
     getChangedPosition: (table) => ({ ...platform, version: versions[table] }),
     fetch: (table, peer) => fetched.push(`${table} from ${peer}`),
   });
-  return { clock, passingOn, versions, platform, sent, fetched };
+  return { clock, distribution, versions, platform, sent, fetched };
 }
 
 test("a host that lacks a version fetches it from the reader that has it", () => {
@@ -31,10 +31,10 @@
   const reader = createHost("a:1");
   const other = createHost("b:1");
   reader.versions.config = 12;
-  reader.passingOn.recordRead("config", true);
-  other.passingOn.receive(reader.sent[0]!);
+  reader.distribution.recordRead("config", true);
+  other.distribution.receive(reader.sent[0]!);
   deepStrictEqual(other.fetched, ["config from a:1"]);
-  strictEqual(other.passingOn.getUnconfirmedMs("config"), 0);
+  strictEqual(other.distribution.getUnconfirmedMs("config"), 0);
 });
 
 test("hosts that know another form of reports pass this one by", () => {
@@ -42,7 +42,7 @@
   // prefix below; a host that reads such a report as one by table, or the other
   // way round, fails at each datagram.
   const reader = createHost("a:1");
-  reader.passingOn.recordRead("config", true);
+  reader.distribution.recordRead("config", true);
   strictEqual(reader.sent[0]!.key.startsWith("reader/"), false);
 });
 
@@ -52,13 +52,13 @@
   // both, the other hosts would wait for it instead of reading themselves.
   const reader = createHost("a:1");
   const other = createHost("b:1", reader.clock);
-  reader.passingOn.recordRead("config", false);
+  reader.distribution.recordRead("config", false);
   reader.clock.advance(2_500);
-  reader.passingOn.recordRead("upstreams", true);
-  other.passingOn.receive(reader.sent.at(-1)!);
-  strictEqual(other.passingOn.getUnconfirmedMs("upstreams"), 0);
-  strictEqual(other.passingOn.getUnconfirmedMs("config"), 2_500);
-  strictEqual(reader.passingOn.getUnconfirmedMs("config"), 2_500);
+  reader.distribution.recordRead("upstreams", true);
+  other.distribution.receive(reader.sent.at(-1)!);
+  strictEqual(other.distribution.getUnconfirmedMs("upstreams"), 0);
+  strictEqual(other.distribution.getUnconfirmedMs("config"), 2_500);
+  strictEqual(reader.distribution.getUnconfirmedMs("config"), 2_500);
 });
 
 test("a host tells of its own readings, not of what it heard", () => {
@@ -68,34 +68,34 @@
   const reader = createHost("a:1");
   const middle = createHost("b:1", reader.clock);
   const last = createHost("c:1", reader.clock);
-  reader.passingOn.recordRead("config", false);
-  middle.passingOn.receive(reader.sent[0]!);
+  reader.distribution.recordRead("config", false);
+  middle.distribution.receive(reader.sent[0]!);
   reader.clock.advance(1_000);
-  middle.passingOn.recordFailure("config");
-  last.passingOn.receive(middle.sent[0]!);
-  strictEqual(middle.passingOn.getUnconfirmedMs("config"), 1_000);
-  strictEqual(last.passingOn.getUnconfirmedMs("config"), Infinity);
+  middle.distribution.recordFailure("config");
+  last.distribution.receive(middle.sent[0]!);
+  strictEqual(middle.distribution.getUnconfirmedMs("config"), 1_000);
+  strictEqual(last.distribution.getUnconfirmedMs("config"), Infinity);
 });
 
 test("a reader that may read one table alone is passed over for the other", () => {
   const reader = createHost("a:1");
   const other = createHost("b:1", reader.clock);
-  reader.passingOn.recordFailure("config");
-  reader.passingOn.recordRead("upstreams", false);
-  for (const fact of reader.sent) other.passingOn.receive(fact);
-  strictEqual(other.passingOn.hasRecentFailure("config", "a:1"), true);
-  strictEqual(other.passingOn.hasRecentFailure("upstreams", "a:1"), false);
+  reader.distribution.recordFailure("config");
+  reader.distribution.recordRead("upstreams", false);
+  for (const fact of reader.sent) other.distribution.receive(fact);
+  strictEqual(other.distribution.hasRecentFailure("config", "a:1"), true);
+  strictEqual(other.distribution.hasRecentFailure("upstreams", "a:1"), false);
 });
 
 test("a change is told at once, a confirmation once in a while", () => {
-  const { passingOn, clock, sent } = createHost("a:1");
-  passingOn.recordRead("config", false);
-  passingOn.recordRead("config", false);
+  const { distribution, clock, sent } = createHost("a:1");
+  distribution.recordRead("config", false);
+  distribution.recordRead("config", false);
   strictEqual(sent.length, 1);
-  passingOn.recordRead("config", true);
+  distribution.recordRead("config", true);
   strictEqual(sent.length, 2);
   clock.advance(700);
-  passingOn.recordRead("config", false);
+  distribution.recordRead("config", false);
   strictEqual(sent.length, 3);
   deepStrictEqual(sent.map((fact) => fact.version), [1, 2, 3]);
 });
@@ -107,13 +107,15 @@
   const other = createHost("b:1", reader.clock);
   for (let at = 0; at < 20; at++) {
     const sent = reader.sent.length;
-    reader.passingOn.recordFailure("config");
-    for (const fact of reader.sent.slice(sent)) other.passingOn.receive(fact);
-    strictEqual(other.passingOn.hasRecentFailure("config", "a:1"), true);
+    reader.distribution.recordFailure("config");
+    for (const fact of reader.sent.slice(sent)) {
+      other.distribution.receive(fact);
+    }
+    strictEqual(other.distribution.hasRecentFailure("config", "a:1"), true);
     reader.clock.advance(550);
     strictEqual(
-      reader.passingOn.hasRecentFailure("config", "a:1"),
-      other.passingOn.hasRecentFailure("config", "a:1"),
+      reader.distribution.hasRecentFailure("config", "a:1"),
+      other.distribution.hasRecentFailure("config", "a:1"),
     );
   }
   strictEqual(reader.sent.length, 2);
@@ -122,15 +124,15 @@
 test("a reader that was turned away says so, and is asked again later", () => {
   const reader = createHost("a:1");
   const other = createHost("b:1");
-  reader.passingOn.recordFailure("config");
-  reader.passingOn.recordFailure("config");
+  reader.distribution.recordFailure("config");
+  reader.distribution.recordFailure("config");
   strictEqual(reader.sent.length, 1);
-  other.passingOn.receive(reader.sent[0]!);
-  strictEqual(other.passingOn.hasRecentFailure("config", "a:1"), true);
-  strictEqual(other.passingOn.hadOutageWithin(1_000), true);
-  reader.passingOn.recordRead("config", false);
-  other.passingOn.receive(reader.sent[1]!);
-  strictEqual(other.passingOn.hasRecentFailure("config", "a:1"), false);
+  other.distribution.receive(reader.sent[0]!);
+  strictEqual(other.distribution.hasRecentFailure("config", "a:1"), true);
+  strictEqual(other.distribution.hadOutageWithin(1_000), true);
+  reader.distribution.recordRead("config", false);
+  other.distribution.receive(reader.sent[1]!);
+  strictEqual(other.distribution.hasRecentFailure("config", "a:1"), false);
 });
 
 test("a reader of the next era is asked for a lower version, one of an earlier era never", () => {
@@ -141,10 +143,10 @@
   Object.assign(other.versions, { config: 40, upstreams: 40 });
   reader.platform.era = 2;
   other.platform.era = 1;
-  reader.passingOn.recordRead("config", true);
-  other.passingOn.recordRead("config", true);
-  other.passingOn.receive(reader.sent[0]!);
-  reader.passingOn.receive(other.sent[0]!);
+  reader.distribution.recordRead("config", true);
+  other.distribution.recordRead("config", true);
+  other.distribution.receive(reader.sent[0]!);
+  reader.distribution.receive(other.sent[0]!);
   deepStrictEqual(other.fetched, ["config from a:1", "upstreams from a:1"]);
   deepStrictEqual(reader.fetched, []);
 });
--- a/src/discovery/table_follower.ts
+++ b/src/discovery/table_follower.ts
@@ -62,11 +62,11 @@
  */
 function checkEra<T>(
   change: TableChange<T>,
-  asked: TablePosition,
+  requested: TablePosition,
 ): Effect.Effect<TableChange<T>, TableError> {
-  if (isSameEra(change, asked)) return Effect.succeed(change);
-  const reason = `The platform's era is ${change.era}, not ${asked.era}`;
-  const kind = isLaterEra(change, asked) ? "history-lost" : "unreachable";
+  if (isSameEra(change, requested)) return Effect.succeed(change);
+  const reason = `The platform's era is ${change.era}, not ${requested.era}`;
+  const kind = isLaterEra(change, requested) ? "history-lost" : "unreachable";
   return Effect.fail(new TableError({ kind, reason }));
 }
 
@@ -81,22 +81,22 @@
   /** The platform may be another one now; its next answer is wanted at once. */
   let hasFailed = false;
 
-  const read = host.source.read().pipe(Effect.map((state) => {
+  const read = host.source.read().pipe(Effect.map((snapshot) => {
     needsFullRead = false;
     hasJustRead = true;
-    return host.table.replace(state);
+    return host.table.replace(snapshot);
   }));
 
   const poll = Effect.suspend(() => {
-    const asked = host.table.getPosition();
+    const requested = host.table.getPosition();
     const waitMs = hasFailed ? 0 : LONG_POLL_MS;
-    return host.source.pollChanges(asked.version, waitMs).pipe(
-      Effect.flatMap((change) => checkEra(change, asked)),
+    return host.source.pollChanges(requested.version, waitMs).pipe(
+      Effect.flatMap((change) => checkEra(change, requested)),
       Effect.map((change) => {
         hasJustRead = false;
         hasFailed = false;
         // Meanwhile a whole copy of another era may have come from a peer.
-        const isOtherEra = !isSameEra(asked, host.table.getPosition());
+        const isOtherEra = !isSameEra(requested, host.table.getPosition());
         return isOtherEra ? false : host.table.apply(change);
       }),
     );
--- a/src/discovery/table_follower_test.ts
+++ b/src/discovery/table_follower_test.ts
@@ -69,7 +69,7 @@
   return {
     clock,
     isReader: () => true,
-    onContact: () => {},
+    onAnswer: () => {},
     onFailure: () => {},
     onDefect: () => {},
     random: () => 0.5,
--- a/src/discovery/table_replica.ts
+++ b/src/discovery/table_replica.ts
@@ -24,7 +24,7 @@
   getChangedPosition(): TablePosition;
   getRows(): ReadonlyMap<string, TableRow<T>>;
   /** Takes a whole copy; false when it is not newer. */
-  replace(state: TableSnapshot<T>): boolean;
+  replace(snapshot: TableSnapshot<T>): boolean;
   /**
    * Takes what changed since the position that was asked for; false when nothing
    * did, or when it does not add to the present copy.
@@ -58,17 +58,17 @@
     getPosition: () => position,
     getChangedPosition: () => changedPosition,
     getRows: () => rows,
-    replace(state) {
-      if (!isNewer(state, position)) return false;
-      const next = new Map(state.rows.map((row) => [row.key, row]));
+    replace(snapshot) {
+      if (!isNewer(snapshot, position)) return false;
+      const next = new Map(snapshot.rows.map((row) => [row.key, row]));
       // Rows of two eras may bear the same version and be others.
       const isUnchanged = changedPosition.version > 0 &&
-        !isLaterEra(state, position) && haveSameRows(rows, next);
+        !isLaterEra(snapshot, position) && haveSameRows(rows, next);
       if (isUnchanged) {
-        advanceTo(state);
+        advanceTo(snapshot);
         return false;
       }
-      setRows(next, state);
+      setRows(next, snapshot);
       return true;
     },
     apply(change) {
--- a/src/discovery/upstream_directory.ts
+++ b/src/discovery/upstream_directory.ts
@@ -32,7 +32,7 @@
   /** Requests that the upstream works on at once; 0 for an unknown one. */
   getSlots(upstream: string): number;
   /** An upstream has said itself that it leaves; false when it was known. */
-  markLeaving(life: UpstreamInstance, from: LeavingSource): boolean;
+  markLeaving(instance: UpstreamInstance, from: LeavingSource): boolean;
   /** Takes in the table's rows as of the position. */
   update(
     rows: ReadonlyMap<string, TableRow<UpstreamEntry>>,
@@ -122,8 +122,8 @@
 
   function reportChange(id: string, entry: UpstreamEntry): void {
     const known = rows.get(id)?.value;
-    const isSameLife = known?.incarnation === entry.incarnation;
-    if (isSameLife && known?.state === entry.state) return;
+    const isSameInstance = known?.incarnation === entry.incarnation;
+    if (isSameInstance && known?.state === entry.state) return;
     if (entry.state === "leaving") {
       if (leavingInstances.add(entry)) host.onChange(entry, "leaving", "table");
     } else if (!leavingInstances.has(entry)) {
@@ -157,10 +157,10 @@
         known.incarnation === entry.incarnation;
     },
     getSlots: (upstream) => rows.get(upstream)?.value.slots ?? 0,
-    markLeaving(life, from) {
-      if (!leavingInstances.add(life)) return false;
-      const known = rows.get(life.id)?.value;
-      if (known?.incarnation === life.incarnation) {
+    markLeaving(instance, from) {
+      if (!leavingInstances.add(instance)) return false;
+      const known = rows.get(instance.id)?.value;
+      if (known?.incarnation === instance.incarnation) {
         host.onChange(known, "leaving", from);
         rebuildReady();
       }
