--- a/src/discovery/leaving_instances.ts
+++ b/src/discovery/leaving_instances.ts
@@ -21,20 +21,18 @@
 }
 
 /** Starts remembered; the oldest goes first. */
-const MAX_INSTANCES = 4_000;
+const MAX_KNOWN = 4_000;
 
 /** Makes an empty set. */
 export function createLeavingInstances(): LeavingInstances {
-  const instances = new Set<string>();
+  const known = new Set<string>();
   return {
-    has: (instance) => instances.has(getKey(instance)),
+    has: (instance) => known.has(getKey(instance)),
     add(instance) {
       const key = getKey(instance);
-      if (instances.has(key)) return false;
-      instances.add(key);
-      if (instances.size > MAX_INSTANCES) {
-        instances.delete(instances.keys().next().value!);
-      }
+      if (known.has(key)) return false;
+      known.add(key);
+      if (known.size > MAX_KNOWN) known.delete(known.keys().next().value!);
       return true;
     },
   };
--- a/src/discovery/removed_rows.ts
+++ b/src/discovery/removed_rows.ts
@@ -22,7 +22,7 @@
 }
 
 /** Rows remembered; the oldest goes first. */
-const MAX_REMOVED_ROWS = 1_000;
+const MAX_ROWS = 1_000;
 
 interface RemovedRow {
   readonly row: TableRow<UpstreamEntry>;
@@ -36,9 +36,7 @@
     add(row, at) {
       removed.delete(row.key);
       removed.set(row.key, { row, at });
-      if (removed.size > MAX_REMOVED_ROWS) {
-        removed.delete(removed.keys().next().value!);
-      }
+      if (removed.size > MAX_ROWS) removed.delete(removed.keys().next().value!);
     },
     isStale(row, eraStart) {
       const known = removed.get(row.key);
--- a/src/discovery/table_distribution.ts
+++ b/src/discovery/table_distribution.ts
@@ -82,7 +82,7 @@
 export const REPORT_KEY_PREFIX = "table-reader/";
 
 /** Between two confirmations of a table without a change, in ms. */
-const CONFIRM_INTERVAL_MS = 700;
+const CONFIRM_MS = 700;
 
 /**
  * Up to so many hosts a confirmation goes straight to all: three readers then
@@ -137,7 +137,7 @@
     return Math.round(clock.monotonicMs() - sinceMs);
   }
 
-  function publishReport(isUrgent: boolean): void {
+  function publish(isUrgent: boolean): void {
     const report: ReaderReport = {
       peerAddress: host.peerAddress,
       tables: {
@@ -200,9 +200,7 @@
       state.readMs = nowMs;
       const hadFailed = state.lastFailureMs.delete(host.peerAddress);
       const isUrgent = changed || hadFailed;
-      if (isUrgent || nowMs - state.reportedMs >= CONFIRM_INTERVAL_MS) {
-        publishReport(isUrgent);
-      }
+      if (isUrgent || nowMs - state.reportedMs >= CONFIRM_MS) publish(isUrgent);
     },
     recordFailure(table) {
       lastOutageMs = clock.monotonicMs();
@@ -213,7 +211,7 @@
       // The others replace a reader at once. Told again, it is no news for them.
       const isUrgent = !states[table].lastFailureMs.has(host.peerAddress);
       setLastFailure(table, host.peerAddress, lastOutageMs);
-      publishReport(isUrgent);
+      publish(isUrgent);
     },
     receive(fact) {
       const { peerAddress, tables } = JSON.parse(fact.value) as ReaderReport;
--- a/src/discovery/table_distribution_test.ts
+++ b/src/discovery/table_distribution_test.ts
@@ -12,7 +12,7 @@
   const platform: { era: number | undefined } = { era: undefined };
   const sent: Fact[] = [];
   const fetched: string[] = [];
-  const distribution = createTableDistribution({
+  const reports = createTableDistribution({
     clock,
     peerAddress,
     incarnation: 1,
@@ -23,7 +23,7 @@
     getChangedPosition: (table) => ({ ...platform, version: versions[table] }),
     fetch: (table, peer) => fetched.push(`${table} from ${peer}`),
   });
-  return { clock, distribution, versions, platform, sent, fetched };
+  return { clock, reports, versions, platform, sent, fetched };
 }
 
 test("a host that lacks a version fetches it from the reader that has it", () => {
@@ -31,10 +31,10 @@
   const reader = createHost("a:1");
   const other = createHost("b:1");
   reader.versions.config = 12;
-  reader.distribution.recordRead("config", true);
-  other.distribution.receive(reader.sent[0]!);
+  reader.reports.recordRead("config", true);
+  other.reports.receive(reader.sent[0]!);
   deepStrictEqual(other.fetched, ["config from a:1"]);
-  strictEqual(other.distribution.getUnconfirmedMs("config"), 0);
+  strictEqual(other.reports.getUnconfirmedMs("config"), 0);
 });
 
 test("hosts that know another form of reports pass this one by", () => {
@@ -42,7 +42,7 @@
   // prefix below; a host that reads such a report as one by table, or the other
   // way round, fails at each datagram.
   const reader = createHost("a:1");
-  reader.distribution.recordRead("config", true);
+  reader.reports.recordRead("config", true);
   strictEqual(reader.sent[0]!.key.startsWith("reader/"), false);
 });
 
@@ -52,13 +52,13 @@
   // both, the other hosts would wait for it instead of reading themselves.
   const reader = createHost("a:1");
   const other = createHost("b:1", reader.clock);
-  reader.distribution.recordRead("config", false);
+  reader.reports.recordRead("config", false);
   reader.clock.advance(2_500);
-  reader.distribution.recordRead("upstreams", true);
-  other.distribution.receive(reader.sent.at(-1)!);
-  strictEqual(other.distribution.getUnconfirmedMs("upstreams"), 0);
-  strictEqual(other.distribution.getUnconfirmedMs("config"), 2_500);
-  strictEqual(reader.distribution.getUnconfirmedMs("config"), 2_500);
+  reader.reports.recordRead("upstreams", true);
+  other.reports.receive(reader.sent.at(-1)!);
+  strictEqual(other.reports.getUnconfirmedMs("upstreams"), 0);
+  strictEqual(other.reports.getUnconfirmedMs("config"), 2_500);
+  strictEqual(reader.reports.getUnconfirmedMs("config"), 2_500);
 });
 
 test("a host tells of its own readings, not of what it heard", () => {
@@ -68,34 +68,34 @@
   const reader = createHost("a:1");
   const middle = createHost("b:1", reader.clock);
   const last = createHost("c:1", reader.clock);
-  reader.distribution.recordRead("config", false);
-  middle.distribution.receive(reader.sent[0]!);
+  reader.reports.recordRead("config", false);
+  middle.reports.receive(reader.sent[0]!);
   reader.clock.advance(1_000);
-  middle.distribution.recordFailure("config");
-  last.distribution.receive(middle.sent[0]!);
-  strictEqual(middle.distribution.getUnconfirmedMs("config"), 1_000);
-  strictEqual(last.distribution.getUnconfirmedMs("config"), Infinity);
+  middle.reports.recordFailure("config");
+  last.reports.receive(middle.sent[0]!);
+  strictEqual(middle.reports.getUnconfirmedMs("config"), 1_000);
+  strictEqual(last.reports.getUnconfirmedMs("config"), Infinity);
 });
 
 test("a reader that may read one table alone is passed over for the other", () => {
   const reader = createHost("a:1");
   const other = createHost("b:1", reader.clock);
-  reader.distribution.recordFailure("config");
-  reader.distribution.recordRead("upstreams", false);
-  for (const fact of reader.sent) other.distribution.receive(fact);
-  strictEqual(other.distribution.hasRecentFailure("config", "a:1"), true);
-  strictEqual(other.distribution.hasRecentFailure("upstreams", "a:1"), false);
+  reader.reports.recordFailure("config");
+  reader.reports.recordRead("upstreams", false);
+  for (const fact of reader.sent) other.reports.receive(fact);
+  strictEqual(other.reports.hasRecentFailure("config", "a:1"), true);
+  strictEqual(other.reports.hasRecentFailure("upstreams", "a:1"), false);
 });
 
 test("a change is told at once, a confirmation once in a while", () => {
-  const { distribution, clock, sent } = createHost("a:1");
-  distribution.recordRead("config", false);
-  distribution.recordRead("config", false);
+  const { reports, clock, sent } = createHost("a:1");
+  reports.recordRead("config", false);
+  reports.recordRead("config", false);
   strictEqual(sent.length, 1);
-  distribution.recordRead("config", true);
+  reports.recordRead("config", true);
   strictEqual(sent.length, 2);
   clock.advance(700);
-  distribution.recordRead("config", false);
+  reports.recordRead("config", false);
   strictEqual(sent.length, 3);
   deepStrictEqual(sent.map((fact) => fact.version), [1, 2, 3]);
 });
@@ -107,15 +107,13 @@
   const other = createHost("b:1", reader.clock);
   for (let at = 0; at < 20; at++) {
     const sent = reader.sent.length;
-    reader.distribution.recordFailure("config");
-    for (const fact of reader.sent.slice(sent)) {
-      other.distribution.receive(fact);
-    }
-    strictEqual(other.distribution.hasRecentFailure("config", "a:1"), true);
+    reader.reports.recordFailure("config");
+    for (const fact of reader.sent.slice(sent)) other.reports.receive(fact);
+    strictEqual(other.reports.hasRecentFailure("config", "a:1"), true);
     reader.clock.advance(550);
     strictEqual(
-      reader.distribution.hasRecentFailure("config", "a:1"),
-      other.distribution.hasRecentFailure("config", "a:1"),
+      reader.reports.hasRecentFailure("config", "a:1"),
+      other.reports.hasRecentFailure("config", "a:1"),
     );
   }
   strictEqual(reader.sent.length, 2);
@@ -124,15 +122,15 @@
 test("a reader that was turned away says so, and is asked again later", () => {
   const reader = createHost("a:1");
   const other = createHost("b:1");
-  reader.distribution.recordFailure("config");
-  reader.distribution.recordFailure("config");
+  reader.reports.recordFailure("config");
+  reader.reports.recordFailure("config");
   strictEqual(reader.sent.length, 1);
-  other.distribution.receive(reader.sent[0]!);
-  strictEqual(other.distribution.hasRecentFailure("config", "a:1"), true);
-  strictEqual(other.distribution.hadOutageWithin(1_000), true);
-  reader.distribution.recordRead("config", false);
-  other.distribution.receive(reader.sent[1]!);
-  strictEqual(other.distribution.hasRecentFailure("config", "a:1"), false);
+  other.reports.receive(reader.sent[0]!);
+  strictEqual(other.reports.hasRecentFailure("config", "a:1"), true);
+  strictEqual(other.reports.hadOutageWithin(1_000), true);
+  reader.reports.recordRead("config", false);
+  other.reports.receive(reader.sent[1]!);
+  strictEqual(other.reports.hasRecentFailure("config", "a:1"), false);
 });
 
 test("a reader of the next era is asked for a lower version, one of an earlier era never", () => {
@@ -143,10 +141,10 @@
   Object.assign(other.versions, { config: 40, upstreams: 40 });
   reader.platform.era = 2;
   other.platform.era = 1;
-  reader.distribution.recordRead("config", true);
-  other.distribution.recordRead("config", true);
-  other.distribution.receive(reader.sent[0]!);
-  reader.distribution.receive(other.sent[0]!);
+  reader.reports.recordRead("config", true);
+  other.reports.recordRead("config", true);
+  other.reports.receive(reader.sent[0]!);
+  reader.reports.receive(other.sent[0]!);
   deepStrictEqual(other.fetched, ["config from a:1", "upstreams from a:1"]);
   deepStrictEqual(reader.fetched, []);
 });
--- a/src/discovery/upstream_directory.ts
+++ b/src/discovery/upstream_directory.ts
@@ -80,7 +80,7 @@
   /** Where the present era was first read. */
   let eraStart = NO_POSITION;
   let ready: ReadonlyMap<string, readonly UpstreamEntry[]> = new Map();
-  const leavingInstances = createLeavingInstances();
+  const leaving = createLeavingInstances();
   const removedRows = createRemovedRows();
   const keptUntilMs = new Map<string, number>();
   let nextExpiryMs = Infinity;
@@ -98,7 +98,7 @@
   }
 
   function acceptsWork(entry: UpstreamEntry): boolean {
-    return entry.state === "ready" && !leavingInstances.has(entry);
+    return entry.state === "ready" && !leaving.has(entry);
   }
 
   function removeExpired(): void {
@@ -125,10 +125,8 @@
     const isSameInstance = known?.incarnation === entry.incarnation;
     if (isSameInstance && known?.state === entry.state) return;
     if (entry.state === "leaving") {
-      if (leavingInstances.add(entry)) host.onChange(entry, "leaving", "table");
-    } else if (!leavingInstances.has(entry)) {
-      host.onChange(entry, "added", "table");
-    }
+      if (leaving.add(entry)) host.onChange(entry, "leaving", "table");
+    } else if (!leaving.has(entry)) host.onChange(entry, "added", "table");
   }
 
   function keepOrRemove(row: TableRow<UpstreamEntry>): boolean {
@@ -158,7 +156,7 @@
     },
     getSlots: (upstream) => rows.get(upstream)?.value.slots ?? 0,
     markLeaving(instance, from) {
-      if (!leavingInstances.add(instance)) return false;
+      if (!leaving.add(instance)) return false;
       const known = rows.get(instance.id)?.value;
       if (known?.incarnation === instance.incarnation) {
         host.onChange(known, "leaving", from);
