--- a/src/discovery/leaving_instances.ts
+++ b/src/discovery/leaving_instances.ts
@@ -1,29 +1,31 @@
 /**
- * Starts of upstreams that have said that they leave. Whoever said so once
- * leaves for good: a row of the platform that calls the same start ready is
- * older, or written before the upstream knew.
+ * Remembers the upstream instances that are known to be leaving. An instance
+ * that has announced that it leaves never becomes ready again: a platform row
+ * that still lists the same instance as ready is stale, or was written before
+ * the upstream knew that it would leave.
  *
  * @module
  */
 
-/** One start of an upstream. */
+/** One run of an upstream process. */
 export interface UpstreamInstance {
   readonly id: string;
-  /** Wall milliseconds of the start; the same id may start again. */
+  /** Wall-clock start time in ms; distinguishes restarts under the same id. */
   readonly incarnation: number;
 }
 
-/** The starts that are known to leave. */
+/** The set of upstream instances that are known to be leaving. */
 export interface LeavingInstances {
   has(instance: UpstreamInstance): boolean;
-  /** False when it was known. */
+  /** Returns false if the instance was already in the set. */
   add(instance: UpstreamInstance): boolean;
 }
 
-/** Starts remembered; the oldest goes first. */
+/**
+ * Upper bound on the remembered instances; the oldest entry is evicted first.
+ */
 const MAX_KNOWN = 4_000;
 
-/** Makes an empty set. */
 export function createLeavingInstances(): LeavingInstances {
   const known = new Set<string>();
   return {
--- a/src/discovery/mod.ts
+++ b/src/discovery/mod.ts
@@ -1,5 +1,6 @@
 /**
- * What the entry hosts learn from the platform, and how they pass it on.
+ * How the entry hosts read the platform's tables and distribute them among
+ * themselves.
  *
  * @module
  */
--- a/src/discovery/positions.ts
+++ b/src/discovery/positions.ts
@@ -1,33 +1,37 @@
 /**
- * Places in the platform's history. The platform may come back from an older copy
- * of itself; then its versions go back and are given out again, and its era is the
- * next. So a version alone is no order: the era counts first.
+ * Positions in the platform's change history. The platform may be restored from
+ * an older backup. Its version counter then goes back and the same version
+ * numbers are assigned again, while its era number increases. Positions are
+ * therefore ordered by era first and by version second.
  *
  * @module
  */
 
-/** A place in the platform's history. */
+/** A position in the platform's change history. */
 export interface TablePosition {
-  /** Absent where the platform named none. */
+  /** Absent if the platform did not send an era. */
   readonly era?: number | undefined;
-  /** Within the era, the number of the newest change. */
+  /** Number of the newest change within the era. */
   readonly version: number;
 }
 
-/** The place of a table never seen. */
+/** Position of a table that has not been read yet. */
 export const NO_POSITION: TablePosition = { version: 0 };
 
-/** Whether versions of both can be compared; an unnamed era is any other's. */
+/**
+ * Whether the versions of both positions are comparable. A position without an
+ * era is comparable to any other.
+ */
 export function isSameEra(a: TablePosition, b: TablePosition): boolean {
   return a.era === undefined || b.era === undefined || a.era === b.era;
 }
 
-/** Whether the first comes after the second. */
+/** Whether `a` is newer than `b`. */
 export function isNewer(a: TablePosition, b: TablePosition): boolean {
   return isSameEra(a, b) ? a.version > b.version : isLaterEra(a, b);
 }
 
-/** Whether the platform has come back from a copy between the second and the first. */
+/** Whether the platform was restored from a backup between `b` and `a`. */
 export function isLaterEra(a: TablePosition, b: TablePosition): boolean {
   return !isSameEra(a, b) && a.era! > b.era!;
 }
--- a/src/discovery/reader_selection.ts
+++ b/src/discovery/reader_selection.ts
@@ -1,12 +1,14 @@
 /**
- * Which hosts follow the platform's tables. A few do and pass on what they
- * learn; the others follow only when they hear nothing.
+ * Selects the hosts that read the platform's tables. A few hosts read each
+ * table and distribute it; the other hosts read it only if they receive no
+ * report from a reader.
  *
- * Load: 390 hosts and a table service that prices and limits calls. Harm
- * prevented: each host following by itself takes a call a second and table,
- * which at 89 hosts is more than the service allows, so that nobody learns of a
- * leaving upstream in time; and a few fixed readers that are turned away by the
- * service would leave all others behind.
+ * Load: 390 hosts and a table service that charges for calls and limits their
+ * rate. Failure prevented: if every host read the tables itself, each would
+ * make one call per second and table. At 89 hosts that is more than the service
+ * allows, so no host would learn in time that an upstream is leaving. A fixed
+ * set of readers would not do either: if the service rejected those few hosts,
+ * all other hosts would keep stale tables.
  *
  * @module
  */
@@ -14,40 +16,42 @@
 import { rankByRendezvous } from "../membership/mod.ts";
 
 /**
- * Hosts that read at the same time. With three, the first two may lose the
- * platform in the same second and nobody waits for a new one.
+ * Number of hosts that read a table at the same time. With three readers, two
+ * can lose the platform in the same second and the other hosts still receive
+ * changes without waiting for a new reader.
  */
 export const READER_COUNT = 3;
 
 /**
- * A host that was turned away is passed over for so long, in ms; by then most
- * short outages are over and it may be asked again.
+ * A host whose read failed is not selected as a reader for this time, in ms.
+ * Most short outages are over by then, and the host may try again.
  */
 export const FAILURE_MEMORY_MS = 5_000;
 
 /**
- * Without a confirmation by any reader for so long, in ms, a host reads itself:
- * twice the second in which a reader confirms, so that a lost datagram alone
- * does not do it.
+ * If no reader has reported a successful read for this time, in ms, a host
+ * reads the table itself. Readers report at least once per second; twice that
+ * interval tolerates the loss of one datagram.
  */
 export const CONFIRMATION_TIMEOUT_MS = 2_000;
 
 const READER_KEY = "platform-reader";
 
-/** What the choice is made from. */
+/** The inputs of the selection. */
 export interface ReaderSelectionInput {
   readonly self: string;
-  /** Hosts that are alive, this one included. */
+  /** Peer addresses of the hosts that are alive, including this one. */
   readonly hosts: readonly string[];
-  /** Whether the platform has turned the host away lately. */
+  /** Whether the host's last read of the table failed recently. */
   hasRecentFailure(host: string): boolean;
-  /** Time since any reader confirmed its tables, in ms. */
+  /** Time since the last successful read of the table by any reader, in ms. */
   readonly unconfirmedMs: number;
 }
 
 /**
- * Why a host reads: it is among the first in rank, or heard of no reader. Why it
- * does not: others are before it, or the platform has turned it away.
+ * Why a host reads a table: it ranks among the first hosts, or no reader has
+ * reported a read recently ("unconfirmed"). Why it does not read: other hosts
+ * rank higher, or its own last read failed ("turned-away").
  */
 export type ReadingReason =
   | "first-in-rank"
@@ -55,22 +59,22 @@
   | "others-first"
   | "turned-away";
 
-/** What a host does about a table, and why. */
+/** Whether a host reads a table, and why. */
 export interface ReadingDecision {
   readonly reads: boolean;
   readonly because: ReadingReason;
-  /** Hosts passed over, since the platform has turned them away. */
+  /** Number of hosts that were excluded because their last read failed. */
   readonly passedOver: number;
 }
 
-/** Whether this host follows the platform's tables now. */
+/** Decides whether this host reads the table now. */
 export function decideToRead(input: ReaderSelectionInput): ReadingDecision {
   const healthy = input.hosts.filter((host) => !input.hasRecentFailure(host));
   const passedOver = input.hosts.length - healthy.length;
   if (input.unconfirmedMs > CONFIRMATION_TIMEOUT_MS) {
     return { reads: true, because: "unconfirmed", passedOver };
   }
-  // Where the platform turns everyone away, somebody must see it come back.
+  // If reads fail at all hosts, some must keep trying to detect the recovery.
   const candidates = healthy.length > 0 ? healthy : input.hosts;
   const ranked = rankByRendezvous(READER_KEY, candidates);
   if (ranked.slice(0, READER_COUNT).includes(input.self)) {
--- a/src/discovery/reader_selection_test.ts
+++ b/src/discovery/reader_selection_test.ts
@@ -19,25 +19,25 @@
   );
 }
 
-test("of 89 hosts three follow the platform and not all", () => {
+test("three of 89 hosts read the platform's tables", () => {
   strictEqual(getReaders().length, READER_COUNT);
 });
 
-test("readers that the platform turns away are replaced at once", () => {
-  // The platform serves everyone but a third of the hosts, all three readers
-  // among them. A key is taken away. Without other readers no host would know,
-  // and callers would go on with the key past the bound.
+test("readers whose reads fail are replaced at once", () => {
+  // The platform rejects a third of the hosts, including all three readers,
+  // while an operator revokes an API key. Without replacements no host would
+  // learn of it, and callers could use the key beyond the permitted time.
   const before = getReaders();
   const after = getReaders(before);
   strictEqual(after.length, READER_COUNT);
   strictEqual(after.some((host) => before.includes(host)), false);
 });
 
-test("while the platform turns everyone away somebody still asks", () => {
+test("if reads fail at all hosts, the first in rank keep trying", () => {
   deepStrictEqual(getReaders(hosts), getReaders());
 });
 
-test("a host that hears of no reader reads itself", () => {
-  // The datagrams of the readers are lost on a cut link.
+test("a host that receives no report from a reader reads the table itself", () => {
+  // The readers' datagrams are lost on a broken network link.
   strictEqual(getReaders([], CONFIRMATION_TIMEOUT_MS + 1).length, hosts.length);
 });
--- a/src/discovery/removed_rows.ts
+++ b/src/discovery/removed_rows.ts
@@ -1,6 +1,7 @@
 /**
- * Rows of upstreams that were removed. A platform that is back from an older copy
- * still has them; their upstreams have left or are about to.
+ * Remembers the rows of upstreams that were removed from the platform's table.
+ * A platform that was restored from an older backup lists them again, although
+ * their upstreams have left or are about to leave.
  *
  * @module
  */
@@ -8,20 +9,20 @@
 import { isLaterEra, type TablePosition } from "./positions.ts";
 import type { TableRow, UpstreamEntry } from "./types.ts";
 
-/** The rows that were removed. */
+/** The removed rows. */
 export interface RemovedRows {
-  /** The row is missing at the position, and nothing may come after it. */
+  /** Records that the row is missing from the table as of the position. */
   add(row: TableRow<UpstreamEntry>, at: TablePosition): void;
   /**
-   * Whether the row comes from a copy made before its removal. An upstream that is
-   * there writes its row again after the platform's return; `returned` is where
-   * this host first read the platform after it, so that what is newer was written
-   * since.
+   * Whether the row comes from a backup that was taken before the row's
+   * removal. `eraStart` is the position at which this host first read the
+   * restored platform. An upstream that is still running writes its row again
+   * after the restore, so a row that is newer than `eraStart` is not stale.
    */
   isStale(row: TableRow<UpstreamEntry>, eraStart: TablePosition): boolean;
 }
 
-/** Rows remembered; the oldest goes first. */
+/** Upper bound on the remembered rows; the oldest entry is evicted first. */
 const MAX_ROWS = 1_000;
 
 interface RemovedRow {
@@ -29,7 +30,6 @@
   readonly at: TablePosition;
 }
 
-/** Makes an empty set. */
 export function createRemovedRows(): RemovedRows {
   const removed = new Map<string, RemovedRow>();
   return {
--- a/src/discovery/table_distribution.ts
+++ b/src/discovery/table_distribution.ts
@@ -1,16 +1,19 @@
 /**
- * Passes the platform's tables from the hosts that read them to all others: a
- * reader tells which versions it has, at each change and once in a while, and a
- * host that lacks one fetches the table from it.
+ * Distributes the platform's tables from the hosts that read them to all other
+ * hosts. A reader reports the positions of its tables to all hosts, on each
+ * change and at intervals. A host that lacks a reported version fetches the
+ * table from that reader.
  *
- * Failure guarded against: the platform turns away a third of the hosts, or
- * drops its history, while an operator takes a key away. Without this the hosts
- * concerned go on by the old configuration; with it they have the new one a
- * round trip after the first reader, and never an older one than they had.
+ * Failure prevented: the platform rejects a third of the hosts, or loses its
+ * change history, while an operator revokes an API key. Without the
+ * distribution those hosts would go on using the old configuration. With it
+ * they have the new one a round trip after the first reader, and never an older
+ * one than before.
  *
- * Everything here counts by table. Were contact with one table to count for the
- * other, hosts that hear of the upstreams would not notice that nobody reads the
- * configuration, and would refuse requests on routes that operators have added.
+ * All state is kept per table. If a successful read of one table counted for
+ * the other, hosts that receive the list of upstreams would not notice that no
+ * host reads the configuration, and would refuse requests on routes that
+ * operators have added.
  *
  * @module
  */
@@ -20,95 +23,115 @@
 import { isNewer, type TablePosition } from "./positions.ts";
 import { FAILURE_MEMORY_MS } from "./reader_selection.ts";
 
-/** The tables that are passed on. */
+/** The tables that are distributed. */
 export type TableName = "config" | "upstreams";
 
-/** Names of the tables that are passed on. */
 export const TABLE_NAMES: readonly TableName[] = ["config", "upstreams"];
 
-/** What a reader tells of one table, besides where its newest change stands. */
+/**
+ * A reader's report on one table: the position of the table's newest change,
+ * and the outcome of the reader's own reads.
+ */
 export interface TableReport extends TablePosition {
-  /** Since the platform last answered the reader itself; absent for never. */
+  /**
+   * Time since the reader's last successful read, in ms; absent if there is
+   * none.
+   */
   readonly readMsAgo?: number;
-  /** Since the platform turned the reader away, in ms; absent if it did not. */
+  /**
+   * Time since the reader's last read failed, in ms; absent if it did not fail.
+   */
   readonly turnedAwayMsAgo?: number;
 }
 
-/** What a reader tells of itself. */
+/** A reader's report on all tables. */
 export interface ReaderReport {
   readonly peerAddress: string;
   readonly tables: Readonly<Record<TableName, TableReport>>;
 }
 
-/** What passing on needs of the process. */
+/** Dependencies of the table distribution. */
 export interface TableDistributionHost {
   readonly clock: Clock;
   readonly peerAddress: string;
-  /** Wall milliseconds of this process's start. */
+  /** Wall-clock start time of this process, in ms. */
   readonly incarnation: number;
-  /** To all hosts within one network delay, one datagram for each. */
+  /** Sends the fact directly to all hosts, one datagram each. */
   pushFact(fact: Fact): void;
-  /** To all hosts by gossip. */
+  /** Spreads the fact to all hosts by gossip. */
   spreadFact(fact: Fact): void;
   countHosts(): number;
-  /** Up to which this host knows the table. */
+  /** The position up to which this host's replica is current. */
   getPosition(table: TableName): TablePosition;
-  /** Of the newest change that this host has of the table. */
+  /** The position of the newest change in this host's replica. */
   getChangedPosition(table: TableName): TablePosition;
-  /** Gets a table that is behind from the reader named. */
+  /** Fetches a newer copy of the table from the reader at the address. */
   fetch(table: TableName, peerAddress: string): void;
 }
 
-/** The reports of this host and of others. */
+/** Sends this host's reports and evaluates those of other hosts. */
 export interface TableDistribution {
-  /** This host has read the table; `changed` when its copy is another now. */
+  /**
+   * Records that this host has read the table from the platform; `changed`
+   * tells whether its replica changed.
+   */
   recordRead(table: TableName, changed: boolean): void;
-  /** The platform has turned this host away, or did not answer. */
+  /** Records that the platform rejected this host's read or did not answer. */
   recordFailure(table: TableName): void;
-  /** Takes in another host's report. */
+  /** Processes another host's report. */
   receive(fact: Fact): void;
   hasRecentFailure(table: TableName, peerAddress: string): boolean;
-  /** Time since a reader last read the table, this host included, in ms. */
+  /**
+   * Time since any host, including this one, last read the table from the
+   * platform, in ms.
+   */
   getUnconfirmedMs(table: TableName): number;
-  /** Whether some host was turned away within the time given, in ms. */
+  /** Whether any host's read failed within the last `ms` milliseconds. */
   hadOutageWithin(ms: number): boolean;
 }
 
 /**
- * Key prefix of the facts that carry reports. It names their form: while a fleet
- * is replaced, hosts pass by reports of a form that they can't read, and follow
- * the platform by themselves if they hear no others.
+ * Key prefix of the gossiped facts that carry reports. It identifies the format
+ * of the report: during a rolling upgrade, hosts ignore reports in a format
+ * that they can't read, and read the platform themselves if they receive no
+ * others.
  */
 export const REPORT_KEY_PREFIX = "table-reader/";
 
-/** Between two confirmations of a table without a change, in ms. */
+/** Minimum interval between two reports without a change, in ms. */
 const CONFIRM_MS = 700;
 
 /**
- * Up to so many hosts a confirmation goes straight to all: three readers then
- * send 100 datagrams each for each table in a second, 54 KB/s (computed). By
- * gossip a confirmation takes seven rounds to reach 80 hosts, 1.8 s of the two
- * after which a host reads the platform itself. Larger fleets gossip it.
+ * In fleets of up to this many hosts, reports without a change are sent
+ * directly to all hosts. Three readers then send 100 datagrams each per table
+ * and second, 54 KB/s (computed). By gossip a report would take seven rounds to
+ * reach 80 hosts, which is 1.8 s of the 2 s after which a host reads the
+ * platform itself. Larger fleets use gossip to bound the traffic.
  */
 const MAX_PUSH_HOSTS = 100;
 
-/** What a host knows of who reads one table, in monotonic ms. */
+/**
+ * What this host knows about the reads of one table; times are monotonic ms.
+ */
 interface TableReadState {
-  /** When some host read it last, this one included. */
+  /** Time of the last successful read by any host, including this one. */
   confirmedMs: number;
   /**
-   * When this host read it last. Reports carry this alone: were hosts to pass on
-   * what others said, each way would make it seem fresher by its delay, and an
-   * outage with many reports would look like contact.
+   * Time of this host's own last successful read. Only this is reported. If
+   * hosts also reported what they heard from others, each hop would make a read
+   * look newer by the network delay, and frequent reports during an outage
+   * would look like contact with the platform.
    */
   readMs: number;
-  /** The last of this host's readings that the others were told. */
+  /** The value of `readMs` that was last reported to the other hosts. */
   reportedMs: number;
-  /** When hosts were turned away, by peer address, this host included. */
+  /**
+   * Time of each host's last failed read by peer address, including this host.
+   */
   readonly lastFailureMs: Map<string, number>;
 }
 
-/** Makes the reports of a host that knows none. */
+/** Creates the table distribution of a host that has received no reports. */
 export function createTableDistribution(
   host: TableDistributionHost,
 ): TableDistribution {
@@ -123,15 +146,16 @@
   function createTableReport(table: TableName): TableReport {
     const { readMs, lastFailureMs } = states[table];
     return {
-      // Up to which it was read rises with each change of any table: told, it
-      // would have every host fetch a copy that it has, at each report.
+      // Report the position of the newest change, not the position read. The
+      // latter rises with each change to any table, so each report would make
+      // every host fetch a copy that it already has.
       ...host.getChangedPosition(table),
       readMsAgo: getAgeMs(readMs),
       turnedAwayMsAgo: getAgeMs(lastFailureMs.get(host.peerAddress)),
     };
   }
 
-  /** Whole ms since then; `undefined` for never, which JSON leaves out. */
+  /** Age in whole ms; `undefined` for "never", which JSON omits. */
   function getAgeMs(sinceMs: number | undefined): number | undefined {
     if (sinceMs === undefined || sinceMs === -Infinity) return undefined;
     return Math.round(clock.monotonicMs() - sinceMs);
@@ -147,7 +171,7 @@
     };
     reportVersion++;
     const fact = {
-      // A restarted host counts from the start again, under another key.
+      // A restarted host counts versions from 1 again, under another key.
       key: `${REPORT_KEY_PREFIX}${host.peerAddress}/${host.incarnation}`,
       version: reportVersion,
       value: JSON.stringify(report),
@@ -204,11 +228,13 @@
     },
     recordFailure(table) {
       lastOutageMs = clock.monotonicMs();
-      // A host may pass itself over only for as long as the others do. Were it to
-      // count from its last failure, of which nobody heard, all would leave the
-      // table to the first in rank, and these to one another.
+      // A host must exclude itself for no longer than the other hosts exclude
+      // it. If it counted from its last failure, which it reports to nobody,
+      // all other hosts would leave the table to the hosts that rank first, and
+      // those hosts to each other.
       if (hasRecentFailure(table, host.peerAddress)) return;
-      // The others replace a reader at once. Told again, it is no news for them.
+      // The first failure is urgent because the other hosts replace this reader
+      // at once. A repeated failure is not.
       const isUrgent = !states[table].lastFailureMs.has(host.peerAddress);
       setLastFailure(table, host.peerAddress, lastOutageMs);
       publish(isUrgent);
--- a/src/discovery/table_distribution_test.ts
+++ b/src/discovery/table_distribution_test.ts
@@ -26,8 +26,9 @@
   return { clock, reports, versions, platform, sent, fetched };
 }
 
-test("a host that lacks a version fetches it from the reader that has it", () => {
-  // The platform turns this host away while a key is taken from a caller.
+test("a host that lacks a version fetches it from the reader that reports it", () => {
+  // Guards against a host that keeps a revoked API key valid because the
+  // platform rejects the host's own reads.
   const reader = createHost("a:1");
   const other = createHost("b:1");
   reader.versions.config = 12;
@@ -37,19 +38,21 @@
   strictEqual(other.reports.getUnconfirmedMs("config"), 0);
 });
 
-test("hosts that know another form of reports pass this one by", () => {
-  // A fleet is replaced host by host. Reports of one age for all tables bore the
-  // prefix below; a host that reads such a report as one by table, or the other
-  // way round, fails at each datagram.
+test("hosts that know another report format ignore this one", () => {
+  // During a rolling upgrade, hosts with both report formats are running.
+  // Reports with one age for all tables used the prefix below. A host that
+  // parses such a report as one per table, or the other way round, throws on
+  // each datagram.
   const reader = createHost("a:1");
   reader.reports.recordRead("config", true);
   strictEqual(reader.sent[0]!.key.startsWith("reader/"), false);
 });
 
-test("contact with one table confirms that table alone", () => {
-  // Callers are refused on a route that was added seconds ago. A reader hears of
-  // the upstreams and not of the configuration. Were its contact to count for
-  // both, the other hosts would wait for it instead of reading themselves.
+test("a read of one table confirms that table only", () => {
+  // Guards against callers that are refused on a route added seconds ago. A
+  // reader can read the upstreams but not the configuration. If its reads
+  // counted for both tables, the other hosts would wait for its reports instead
+  // of reading the configuration themselves.
   const reader = createHost("a:1");
   const other = createHost("b:1", reader.clock);
   reader.reports.recordRead("config", false);
@@ -61,10 +64,10 @@
   strictEqual(reader.reports.getUnconfirmedMs("config"), 2_500);
 });
 
-test("a host tells of its own readings, not of what it heard", () => {
-  // The platform is away, and hosts tell one another that it turned them away. A
-  // reader's last contact, passed on from host to host, would seem fresher by the
-  // way's delay each time, and no host would begin to read by itself.
+test("a host reports its own reads, not those reported by others", () => {
+  // The platform is unavailable, and hosts report their failed reads. If they
+  // also reported a reader's last successful read, it would look newer by the
+  // network delay at each hop, and no host would start to read by itself.
   const reader = createHost("a:1");
   const middle = createHost("b:1", reader.clock);
   const last = createHost("c:1", reader.clock);
@@ -77,7 +80,7 @@
   strictEqual(last.reports.getUnconfirmedMs("config"), Infinity);
 });
 
-test("a reader that may read one table alone is passed over for the other", () => {
+test("a reader that can read only one table is excluded for the other", () => {
   const reader = createHost("a:1");
   const other = createHost("b:1", reader.clock);
   reader.reports.recordFailure("config");
@@ -87,7 +90,7 @@
   strictEqual(other.reports.hasRecentFailure("upstreams", "a:1"), false);
 });
 
-test("a change is told at once, a confirmation once in a while", () => {
+test("a change is reported at once, a read without a change at intervals", () => {
   const { reports, clock, sent } = createHost("a:1");
   reports.recordRead("config", false);
   reports.recordRead("config", false);
@@ -100,9 +103,10 @@
   deepStrictEqual(sent.map((fact) => fact.version), [1, 2, 3]);
 });
 
-test("a host passes itself over for as long as the others do", () => {
-  // The platform turns a reader away again and again. It tells the others once;
-  // when their time for it is over, they leave the table to it.
+test("a host excludes itself for as long as the other hosts exclude it", () => {
+  // The platform rejects a reader's reads again and again. The reader reports
+  // only the first failure; once the other hosts stop excluding it, they rely
+  // on it to read the table.
   const reader = createHost("a:1");
   const other = createHost("b:1", reader.clock);
   for (let at = 0; at < 20; at++) {
@@ -119,7 +123,7 @@
   strictEqual(reader.sent.length, 2);
 });
 
-test("a reader that was turned away says so, and is asked again later", () => {
+test("a reader whose read failed reports that, and is selected again later", () => {
   const reader = createHost("a:1");
   const other = createHost("b:1");
   reader.reports.recordFailure("config");
@@ -133,8 +137,8 @@
   strictEqual(other.reports.hasRecentFailure("config", "a:1"), false);
 });
 
-test("a reader of the next era is asked for a lower version, one of an earlier era never", () => {
-  // Guards against hosts that take the copy with the higher number for the newer one.
+test("a lower version of a later era is fetched, a higher one of an earlier era is not", () => {
+  // Guards against hosts that compare version numbers of different eras.
   const reader = createHost("a:1");
   const other = createHost("b:1");
   Object.assign(reader.versions, { config: 12, upstreams: 12 });
--- a/src/discovery/table_follower.ts
+++ b/src/discovery/table_follower.ts
@@ -1,7 +1,8 @@
 /**
- * Follows one table at the platform while this host is one of its readers: reads
- * it once, then waits for changes. Every way in which the platform can fail ends
- * in another try: lost history by a whole read, all else by a wait.
+ * Keeps the replica of one table current while this host is a reader of the
+ * table: reads a snapshot once, then long-polls for changes. Every failure of
+ * the platform leads to another attempt: lost history to a full read, all other
+ * failures to a retry after a delay.
  *
  * @module
  */
@@ -12,73 +13,94 @@
 import type { TableReplica } from "./table_replica.ts";
 import { type TableChange, TableError, type TableSource } from "./types.ts";
 
-/** What a follower needs of the process. */
+/** Dependencies of a table follower. */
 export interface TableFollowerHost<T> {
   readonly clock: Clock;
   readonly source: TableSource<T>;
   readonly table: TableReplica<T>;
   isReader(): boolean;
-  /** The platform has answered; `changed` when the copy is another now. */
+  /**
+   * The platform answered; `changed` tells whether the replica's rows changed.
+   */
   onAnswer(changed: boolean): void;
   onFailure(err: TableError): void;
-  /** What the host does with the table has failed. */
+  /** An unexpected exception, for example from `onAnswer`. */
   onDefect(defect: unknown): void;
-  /** From 0 up to 1; spreads the tries of many hosts. */
+  /** A random number in [0, 1); spreads the retries of many hosts over time. */
   random(): number;
 }
 
 /**
- * Longest wait for a change in one call, in ms. A connection that went silent
- * shows after this and the client's slack, which together leave a second of the
- * 2.5 s within which a configuration must be in force.
+ * Maximum duration of one long poll, in ms. A dead connection is detected after
+ * this time plus the client's own time-out. Together they leave one second of
+ * the 2.5 s within which a new configuration must be in force.
  */
 export const LONG_POLL_MS = 1_000;
 
-/** Wait between two looks at whether this host is a reader, in ms. */
+/**
+ * Interval in ms at which a host that is not a reader checks whether it has
+ * become one.
+ */
 const READER_CHECK_INTERVAL_MS = 200;
 
-/** Wait before the next try after a failure, in ms; half of it is random. */
+/**
+ * Delay before the next attempt after a failure, in ms; half of it is random
+ * jitter.
+ */
 const RETRY_WAIT_MS = 500;
 
-/** While nothing is known every caller is refused, so that a try costs less. */
+/**
+ * Delay before the next attempt while the replica is still empty, in ms. It is
+ * shorter because the host refuses every caller until it has a configuration.
+ */
 const EMPTY_RETRY_WAIT_MS = 200;
 
 /**
- * A host that has just started does not know yet who reads, and reads itself, for
- * some five seconds in a fleet of 80. Upstreams start then as well, each of which
- * is a change, and a call by every host: 2,508 calls before the first caller came.
- * So in its first seconds answers are taken a while apart, in which further
- * changes come together. Less than half of the time in which a change must be in
- * force. It counts from the start: a host that takes over from another reader
- * later must not hear of changes late.
+ * During start-up a follower pauses after each answer, so that several changes
+ * arrive in one call.
+ *
+ * A host that has just started does not know yet which hosts are readers. It
+ * reads the tables itself for about 5 s in a fleet of 80. Upstreams start at
+ * the same time, each of them is one change, and without the pause each change
+ * cost one call by every host: 2,508 calls before the first caller arrived. The
+ * pause is shorter than half of the time within which a change must be in
+ * force. The period counts from the start of the process: a host that replaces
+ * another reader later must receive changes without delay.
  */
 const STARTUP_MS = 5_000;
 const STARTUP_PAUSE_MS = 800;
 
 /**
- * Failure guarded against: the platform has come back from an older copy, and has
- * given out again the version that was asked from. What it wrote below that
- * version stands in no change; only a whole read shows it.
+ * Rejects changes of an era other than the requested position's.
+ *
+ * Failure prevented: after a restore from an older backup, the platform assigns
+ * version numbers again, up to and beyond the version from which this host
+ * polls. The poll does not return changes that were written below that version;
+ * only a full read does.
  */
 function checkEra<T>(
   change: TableChange<T>,
   requested: TablePosition,
 ): Effect.Effect<TableChange<T>, TableError> {
   if (isSameEra(change, requested)) return Effect.succeed(change);
-  const reason = `The platform's era is ${change.era}, not ${requested.era}`;
+  const reason =
+    `The platform answered from era ${change.era}, expected era ${requested.era}`;
   const kind = isLaterEra(change, requested) ? "history-lost" : "unreachable";
   return Effect.fail(new TableError({ kind, reason }));
 }
 
-/** Follows for ever; interrupt it to end. */
+/** Follows the table until the effect is interrupted. */
 export function followTable<T>(
   host: TableFollowerHost<T>,
 ): Effect.Effect<never> {
   const startedMs = host.clock.monotonicMs();
   let needsFullRead = true;
-  /** Nothing has been followed since the last whole read. */
+  /** No poll has succeeded since the last full read. */
   let hasJustRead = false;
-  /** The platform may be another one now; its next answer is wanted at once. */
+  /**
+   * The last call failed. The platform may have been restored since, so the
+   * next poll must return immediately.
+   */
   let hasFailed = false;
 
   const read = host.source.read().pipe(Effect.map((snapshot) => {
@@ -95,7 +117,8 @@
       Effect.map((change) => {
         hasJustRead = false;
         hasFailed = false;
-        // Meanwhile a whole copy of another era may have come from a peer.
+        // A peer's snapshot of another era may have replaced the replica
+        // meanwhile.
         const isOtherEra = !isSameEra(requested, host.table.getPosition());
         return isOtherEra ? false : host.table.apply(change);
       }),
@@ -112,8 +135,9 @@
     Effect.map((changed) => host.onAnswer(changed)),
     Effect.andThen(pauseDuringStartup),
     Effect.catchTag("TableError", (err) => recover(err)),
-    // A host that stopped to follow would keep its copy for good, and others,
-    // which take it for a reader, would not notice for as long as it answers.
+    // If the follower ended here, this host would keep its replica unchanged
+    // for good. The other hosts would still take it for a reader and would not
+    // notice while it answers probes.
     Effect.catchDefect((defect) => {
       host.onDefect(defect);
       return Effect.sleep(RETRY_WAIT_MS);
@@ -123,7 +147,8 @@
   function recover(err: TableError): Effect.Effect<void> {
     if (err.kind === "history-lost") {
       needsFullRead = true;
-      // Without a wait a read that brings no way to follow repeats at once.
+      // If polling fails right after a full read as well, retrying without a
+      // delay would send calls in a tight loop.
       return hasJustRead ? waitWithJitter(RETRY_WAIT_MS) : Effect.void;
     }
     hasFailed = true;
@@ -132,7 +157,7 @@
     return waitWithJitter(isKnown ? RETRY_WAIT_MS : EMPTY_RETRY_WAIT_MS);
   }
 
-  /** About so long, in ms; half of it is random. */
+  /** Waits for between half of the given time and all of it, in ms. */
   function waitWithJitter(ms: number): Effect.Effect<void> {
     return Effect.sleep(ms * (0.5 + host.random() / 2));
   }
--- a/src/discovery/table_follower_test.ts
+++ b/src/discovery/table_follower_test.ts
@@ -10,7 +10,7 @@
 
 const STEP_MS = 100;
 
-/** Follows a table that changes all the time, so that no call waits. */
+/** Follows a table that changes constantly, so that no poll waits. */
 function createFixture() {
   const clock = createManualClock(0);
   let calls = 0;
@@ -46,7 +46,7 @@
     random: () => 0.5,
   });
 
-  /** Lets so much time pass, in ms; gives the calls made meanwhile. */
+  /** Advances the time by `ms`; returns the number of calls made meanwhile. */
   function run(ms: number): Effect.Effect<number> {
     return Effect.gen(function* () {
       const before = calls;
@@ -64,7 +64,7 @@
   };
 }
 
-/** A host that reads, and to which nothing it is told matters. */
+/** Dependencies of a reader that ignores all notifications. */
 function createReaderHost(clock: ManualClock) {
   return {
     clock,
@@ -76,7 +76,7 @@
   };
 }
 
-/** Lets so much time pass, in ms. */
+/** Advances the time by `ms`. */
 function advance(clock: ManualClock, ms: number): Effect.Effect<void> {
   return Effect.gen(function* () {
     for (let at = 0; at < ms; at += STEP_MS) {
@@ -86,7 +86,7 @@
   });
 }
 
-/** Runs the follower in virtual time while the steps pass. */
+/** Runs the follower in virtual time until the steps have completed. */
 function play(
   follower: Effect.Effect<never>,
   steps: Effect.Effect<void>,
@@ -100,10 +100,11 @@
   );
 }
 
-test("a fleet's start does not cost a call for each upstream and host", async () => {
-  // Eighty hosts start, none of which knows yet that others read, while sixty
-  // upstreams register. Every host took a call for every upstream: 2,508 calls
-  // before the first caller came, priced each, and near the platform's rates.
+test("starting a fleet does not cost one call per upstream and host", async () => {
+  // Eighty hosts start while sixty upstreams register, and no host knows yet
+  // that others are readers. Each host used to make one call for each upstream:
+  // 2,508 calls before the first caller arrived, each of them charged, and
+  // close to the platform's rate limits.
   const fixture = createFixture();
   await fixture.play(Effect.gen(function* () {
     const calls = yield* fixture.run(3_000);
@@ -111,10 +112,11 @@
   }));
 });
 
-test("a host that takes over from another reader hears of changes at once", async () => {
-  // Readers are lost a minute after the start. The host that takes over asked
-  // little so far, and was as slow as one that has just started: routes that
-  // operators added were refused for most of a second more.
+test("a host that replaces another reader receives changes without delay", async () => {
+  // Guards against start-up pauses in a host that becomes a reader a minute
+  // after its start. It had made few calls and paused like a host that had just
+  // started, so routes that operators added were refused for almost another
+  // second.
   const fixture = createFixture();
   await fixture.play(Effect.gen(function* () {
     fixture.setReader(false);
@@ -125,9 +127,9 @@
   }));
 });
 
-test("a follower goes on after its host failed to use what it read", async () => {
-  // Telling the other hosts of a change fails once. The host followed the table
-  // no more, without a line in its log, and served by its last copy for good.
+test("a follower continues after an exception in its host's callback", async () => {
+  // Sending a report to the other hosts throws once. The follower used to end
+  // without a log line, and the host kept its last replica for good.
   const fixture = createFixture();
   await fixture.play(Effect.gen(function* () {
     yield* fixture.run(10_000);
@@ -139,8 +141,8 @@
   deepStrictEqual(fixture.defects, [new RangeError("Too large to be told")]);
 });
 
-test("a platform that never has the history asked for is not called without a pause", async () => {
-  // Guards against hundreds of calls a second of each reader.
+test("a platform that always reports lost history is not called in a tight loop", async () => {
+  // Guards against hundreds of calls per second by each reader.
   let calls = 0;
   const clock = createManualClock(10_000);
   const follower = followTable<string>({
@@ -167,12 +169,13 @@
       yield* advance(clock, 10_000);
     }),
   );
-  // Two calls for each try, and a try takes a quarter of a second at least.
+  // Each attempt makes two calls and takes at least 250 ms.
   ok(calls <= 80, `${calls} calls in ten seconds`);
 });
 
-test("changes of another era are not added; the whole table is read", async () => {
-  // Guards against a gap: versions below the one asked from were given out again.
+test("changes of another era are not applied; the full table is read instead", async () => {
+  // Guards against missed changes: after a restore, version numbers below the
+  // requested one are assigned again.
   const clock = createManualClock(10_000);
   const table = createTableReplica<string>();
   const states = [
@@ -192,7 +195,7 @@
         Effect.sync(() => {
           follows++;
           const change = { version: 23, changed: [], removed: [] };
-          // A late answer of the earlier era comes after the second read.
+          // A delayed answer of the earlier era arrives after the second read.
           return { ...change, era: follows === 2 ? 1 : 2 };
         }).pipe(Effect.delay(STEP_MS)),
     },
--- a/src/discovery/table_replica.ts
+++ b/src/discovery/table_replica.ts
@@ -1,8 +1,8 @@
 /**
- * One table of the platform as this host knows it, whether it read the table
- * itself or another host passed it on. A copy bears the platform's era and
- * version, and an older copy never replaces a newer one: what a slow or cut-off
- * peer says can't take this host back.
+ * This host's replica of one platform table, filled by its own reads or by
+ * copies fetched from other hosts. A replica carries the platform's era and
+ * version. An older copy never replaces a newer one, so a slow or partitioned
+ * peer cannot roll this host back.
  *
  * @module
  */
@@ -16,31 +16,37 @@
 } from "./positions.ts";
 import type { TableChange, TableRow, TableSnapshot } from "./types.ts";
 
-/** A host's copy of a table. */
+/** A host's replica of a platform table. */
 export interface TableReplica<T> {
-  /** Up to which the platform was read. */
+  /** The platform position up to which the replica is known to be current. */
   getPosition(): TablePosition;
-  /** Of the newest change; differs from host to host only by lag. */
+  /**
+   * The position of the newest change to the rows. Unlike `getPosition()`, it
+   * differs between hosts only by replication lag.
+   */
   getChangedPosition(): TablePosition;
   getRows(): ReadonlyMap<string, TableRow<T>>;
-  /** Takes a whole copy; false when it is not newer. */
+  /**
+   * Replaces the replica by a snapshot. Returns false if the snapshot is not
+   * newer, or has the same rows in the same era.
+   */
   replace(snapshot: TableSnapshot<T>): boolean;
   /**
-   * Takes what changed since the position that was asked for; false when nothing
-   * did, or when it does not add to the present copy.
+   * Applies the changes since the position that was requested. Returns false if
+   * no row changed or if the changes do not extend this replica.
    */
   apply(change: TableChange<T>): boolean;
-  /** The copy as it is passed on. */
+  /** The snapshot that other hosts fetch from this one. */
   getSnapshot(): TableSnapshot<T>;
 }
 
-/** Makes a copy of a table never seen. */
+/** Creates an empty replica. */
 export function createTableReplica<T>(): TableReplica<T> {
   let rows: ReadonlyMap<string, TableRow<T>> = new Map();
   let position = NO_POSITION;
   let changedPosition = NO_POSITION;
 
-  /** Goes on to the version in its era, or in the known one if it names none. */
+  /** Moves the position forward; without an era, the current era is kept. */
   function advanceTo({ era = position.era, version }: TablePosition): void {
     position = { era, version };
   }
@@ -61,7 +67,7 @@
     replace(snapshot) {
       if (!isNewer(snapshot, position)) return false;
       const next = new Map(snapshot.rows.map((row) => [row.key, row]));
-      // Rows of two eras may bear the same version and be others.
+      // In another era the same version number may belong to a different row.
       const isUnchanged = changedPosition.version > 0 &&
         !isLaterEra(snapshot, position) && haveSameRows(rows, next);
       if (isUnchanged) {
--- a/src/discovery/table_replica_test.ts
+++ b/src/discovery/table_replica_test.ts
@@ -9,9 +9,9 @@
 });
 
 test("an older copy never replaces a newer one", () => {
-  // An operator takes a key away; host B is cut off from the platform and
-  // still has the configuration from before. It meets host A, which has the
-  // new one, and each passes its copy on. If A took B's, the key would work
+  // An operator revokes an API key while host B is partitioned from the
+  // platform and still has the previous configuration. Hosts A and B then
+  // exchange their copies. If A accepted B's copy, the revoked key would work
   // again at A.
   const table = createTableReplica<string>();
   table.replace({ version: 20, rows: [row("config", 19)] });
@@ -23,7 +23,7 @@
   strictEqual(table.getRows().get("config")?.value, "config@19");
 });
 
-test("changes add to the copy, and what is removed is gone", () => {
+test("changed rows are added, and removed rows are deleted", () => {
   const table = createTableReplica<string>();
   table.replace({ version: 5, rows: [row("a", 1), row("b", 2)] });
   strictEqual(
@@ -33,7 +33,7 @@
   deepStrictEqual([...table.getRows().keys()], ["b", "c"]);
 });
 
-test("a copy that brings nothing new only raises the version", () => {
+test("a snapshot with unchanged rows only raises the version", () => {
   const table = createTableReplica<string>();
   table.replace({ version: 5, rows: [row("a", 1)] });
   strictEqual(table.replace({ version: 9, rows: [row("a", 1)] }), false);
@@ -41,8 +41,9 @@
   strictEqual(table.getChangedPosition().version, 5);
 });
 
-test("a copy of the next era replaces one of higher versions, and no other way round", () => {
-  // Guards against a host that waits until a store back from a copy has come by.
+test("a snapshot of a later era replaces a higher version, not the other way round", () => {
+  // Guards against a host that ignores a restored platform until its version
+  // number exceeds the one from before the restore.
   const table = createTableReplica<string>();
   table.replace({ era: 1, version: 20, rows: [row("a", 7), row("b", 19)] });
   strictEqual(
@@ -65,8 +66,8 @@
   );
 });
 
-test("a row of the next era with the version of another one is not taken for it", () => {
-  // Guards against a copy that keeps what the store has lost.
+test("rows of different eras with the same version are different rows", () => {
+  // Guards against a replica that keeps a row which the restore has discarded.
   const table = createTableReplica<string>();
   table.replace({ era: 1, version: 20, rows: [row("a", 19)] });
   const again = { key: "a", version: 19, value: "written again" };
@@ -74,7 +75,7 @@
   strictEqual(table.getRows().get("a")?.value, "written again");
 });
 
-test("where no era is named, versions alone count, and a known era stays", () => {
+test("without eras only versions are compared, and a known era is kept", () => {
   const table = createTableReplica<string>();
   table.replace({ version: 20, rows: [row("a", 19)] });
   strictEqual(table.replace({ version: 12, rows: [] }), false);
--- a/src/discovery/types.ts
+++ b/src/discovery/types.ts
@@ -1,7 +1,7 @@
 /**
- * What a host knows from the platform: the configuration in force and the
- * upstreams that are there. Both are tables that a few hosts follow at the
- * platform and pass on to the others.
+ * Types of the platform's tables: the configuration in force and the registered
+ * upstreams. A few hosts read each table from the platform and distribute it to
+ * the others.
  *
  * @module
  */
@@ -11,67 +11,77 @@
 import type { RoutingConfig } from "../routing/mod.ts";
 import type { TablePosition } from "./positions.ts";
 
-/** An upstream as it has registered itself. */
+/** An upstream's own registration. */
 export interface UpstreamEntry {
   readonly id: string;
   readonly service: string;
   readonly dataCentre: string;
   /** IP address and port. */
   readonly address: string;
-  /** Requests that it works on at once. */
+  /** Maximum number of requests that the upstream processes concurrently. */
   readonly slots: number;
   readonly state: "ready" | "leaving";
-  /** Wall milliseconds of its start; the same id may start again. */
+  /** Wall-clock start time in ms; distinguishes restarts under the same id. */
   readonly incarnation: number;
 }
 
-/** A row as its table holds it. */
+/** A row of a platform table. */
 export interface TableRow<T> {
   readonly key: string;
-  /** The platform's version of the row. */
+  /** The platform's version number of the row. */
   readonly version: number;
   readonly value: T;
 }
 
-/** A whole table as of one version of the platform. */
+/** All rows of a table as of one position. */
 export interface TableSnapshot<T> extends TablePosition {
   readonly rows: readonly TableRow<T>[];
 }
 
-/** What has changed in a table since the version that was asked for. */
+/** The changes to a table since the requested version. */
 export interface TableChange<T> extends TablePosition {
   readonly changed: readonly TableRow<T>[];
   readonly removed: readonly string[];
 }
 
 /**
- * A call to the platform that failed. `kind` tells what to do next:
- * `history-lost` asks for a whole read, `unreachable` for another try later.
+ * A failed call to the platform. `kind` determines the next step:
+ * `history-lost` requires a full read, `unreachable` a later retry.
  */
 export class TableError extends Data.TaggedError("TableError")<{
   readonly kind: "unreachable" | "history-lost";
   readonly reason: string;
 }> {}
 
-/** A table of the platform. Rows that can't be read are left out and logged. */
+/**
+ * A table of the platform. Rows that can't be decoded are skipped and logged.
+ */
 export interface TableSource<T> {
   read(): Effect.Effect<TableSnapshot<T>, TableError>;
-  /** Answers as soon as something changes, or with nothing after the wait. */
+  /**
+   * Long-polls for changes after the version given: returns when something
+   * changes, or without changes after `waitMs`.
+   */
   pollChanges(
     after: number,
     waitMs: number,
   ): Effect.Effect<TableChange<T>, TableError>;
 }
 
-/** Addresses of the fleet's own hosts, for those that know no other. */
+/**
+ * The platform's list of the fleet's hosts, read by hosts that know no others.
+ */
 export interface HostDirectory {
-  /** Peer addresses of hosts that have started and not left. */
+  /** Peer addresses of the hosts that have registered and not left. */
   read(): Effect.Effect<readonly string[], TableError>;
   add(peerAddress: string): Effect.Effect<void, TableError>;
   remove(peerAddress: string): Effect.Effect<void, TableError>;
 }
 
-/** All that the entry hosts keep at the platform or learn from it. */
+/**
+ * The platform's tables that entry hosts read, and the host list that they
+ * write.
+ */
 export interface EntryPlatform {
   readonly config: TableSource<RoutingConfig>;
   readonly upstreams: TableSource<UpstreamEntry>;
--- a/src/discovery/upstream_directory.ts
+++ b/src/discovery/upstream_directory.ts
@@ -1,15 +1,18 @@
 /**
- * The upstreams that may get work, by service, from the platform's table and
- * from what upstreams say of themselves.
+ * The upstreams that may receive new requests, by service. The directory
+ * combines the platform's table with what upstreams announce themselves.
  *
- * An entry that is removed or says that it leaves gets no new work from then on,
- * also when the platform comes back from a copy that knows nothing of it. Its own
- * word counts before the platform's, which may be away just then.
- * One exception: after an outage of the platform, entries that lapsed meanwhile
- * come back within about two seconds if their upstream lives. Dropping them at
- * once would refuse every request of those seconds, so an entry that vanishes
- * right after an outage is kept for that time; a dead upstream shows by refused
- * connections.
+ * An upstream whose entry is removed, or that announces that it leaves,
+ * receives no new requests from then on, even if the platform is restored from
+ * a backup that does not contain the removal. The upstream's own announcement
+ * takes precedence over the platform, which may be unavailable at that moment.
+ *
+ * There is one exception. Entries that expire during an outage of the platform
+ * come back within about two seconds after it if their upstreams are running.
+ * Dropping them immediately would refuse every request in those seconds, so an
+ * entry that vanishes right after an outage is kept for that time. If such an
+ * upstream is in fact dead, its connections are refused and requests go
+ * elsewhere.
  *
  * @module
  */
@@ -23,29 +26,33 @@
 import { createRemovedRows } from "./removed_rows.ts";
 import type { TableRow, UpstreamEntry } from "./types.ts";
 
-/** Upstreams by service. */
+/** The upstreams by service. */
 export interface UpstreamDirectory {
-  /** Those of the service that may get work, in the order of their ids. */
+  /** The service's upstreams that may receive new requests, ordered by id. */
   getReady(service: string): readonly UpstreamEntry[];
-  /** Whether this very start of the upstream may still get work. */
+  /** Whether this instance of the upstream may still receive new requests. */
   isReady(entry: UpstreamEntry): boolean;
-  /** Requests that the upstream works on at once; 0 for an unknown one. */
+  /**
+   * Number of requests that the upstream processes concurrently; 0 if unknown.
+   */
   getSlots(upstream: string): number;
-  /** An upstream has said itself that it leaves; false when it was known. */
+  /** Records that the instance is leaving. Returns false if that was known. */
   markLeaving(instance: UpstreamInstance, from: LeavingSource): boolean;
-  /** Takes in the table's rows as of the position. */
+  /** Replaces the table's rows by those as of the position. */
   update(
     rows: ReadonlyMap<string, TableRow<UpstreamEntry>>,
     at: TablePosition,
   ): void;
 }
 
-/** What the directory needs of the process. */
+/** Dependencies of an upstream directory. */
 export interface UpstreamDirectoryHost {
   readonly clock: Clock;
-  /** Whether the platform was away within the time given, in ms. */
+  /** Whether the platform was unavailable within the last `ms` milliseconds. */
   hadOutageWithin(ms: number): boolean;
-  /** An upstream has come, left, or is kept for the grace after an outage. */
+  /**
+   * An upstream was added or removed, is leaving, or is kept after an outage.
+   */
   onChange(
     entry: UpstreamEntry,
     change: UpstreamChange,
@@ -53,31 +60,34 @@
   ): void;
 }
 
-/** Who said that an upstream leaves: it itself, or a host that it told. */
+/**
+ * How this host learned that an upstream is leaving: from an answer of the
+ * upstream, or from another host.
+ */
 export type LeavingSource = "answer" | "host";
 
-/** Where a change was learned. */
+/** The source of a change. */
 export type ChangeSource = LeavingSource | "table";
 
-/** What became of an upstream. */
+/** A change to an upstream's entry. */
 export type UpstreamChange = "added" | "leaving" | "removed" | "kept";
 
 /**
- * How long a vanished entry is kept after an outage, in ms: the two seconds in
- * which it may return, and the tenths that the platform's news take.
+ * How long an entry that vanished after an outage is kept, in ms: the 2 s
+ * within which it may return, plus 300 ms for the change to reach this host.
  */
 export const LAPSE_GRACE_MS = 2_300;
 
-/** An outage counts as recent for so long, in ms: three missed heartbeats. */
+/** An outage counts as recent for this time, in ms: three missed heartbeats. */
 const RECENT_OUTAGE_MS = 4_000;
 
-/** Makes a directory without upstreams. */
+/** Creates an empty directory. */
 export function createUpstreamDirectory(
   host: UpstreamDirectoryHost,
 ): UpstreamDirectory {
   let rows: ReadonlyMap<string, TableRow<UpstreamEntry>> = new Map();
   let position = NO_POSITION;
-  /** Where the present era was first read. */
+  /** The position at which this host first read the current era. */
   let eraStart = NO_POSITION;
   let ready: ReadonlyMap<string, readonly UpstreamEntry[]> = new Map();
   const leaving = createLeavingInstances();
--- a/src/discovery/upstream_directory_test.ts
+++ b/src/discovery/upstream_directory_test.ts
@@ -17,7 +17,9 @@
     hadOutageWithin: () => isOutage,
     onChange: (entry, change) => changes.push(`${entry.id} ${change}`),
   });
-  /** The table in that era, its rows written at the version. */
+  /**
+   * Updates the directory with rows of that era, all written at `rowVersion`.
+   */
   function updateIn(
     { era, rowVersion }: { readonly era: number; readonly rowVersion: number },
     entries: readonly UpstreamEntry[],
@@ -47,7 +49,7 @@
 const one = createUpstreamEntry({ id: "one" });
 const two = createUpstreamEntry({ id: "two" });
 
-test("an upstream that leaves, or whose entry is removed, gets no new work", () => {
+test("an upstream that is leaving, or whose entry is removed, gets no new requests", () => {
   const fixture = createFixture();
   fixture.update(one, two);
   fixture.update(one, { ...two, state: "leaving" });
@@ -56,11 +58,11 @@
   deepStrictEqual(fixture.getReadyIds(), []);
 });
 
-test("entries that lapsed in an outage are kept until they may be back", () => {
-  // The platform's store is down for five seconds and the entries of all
-  // upstreams lapse meanwhile. It returns; the upstreams write themselves down
-  // again within two seconds. A host that took them for gone would refuse
-  // every request of those seconds.
+test("entries that expired during an outage are kept until they may return", () => {
+  // The platform's store is down for five seconds, and the entries of all
+  // upstreams expire meanwhile. When it returns, the upstreams register again
+  // within two seconds. A host that treated them as removed would refuse every
+  // request in those seconds.
   const fixture = createFixture();
   fixture.update(one, two);
   fixture.setOutage(true);
@@ -73,7 +75,7 @@
   deepStrictEqual(fixture.changes.at(-1), "two removed");
 });
 
-test("one that was leaving before the outage is not kept", () => {
+test("an upstream that was leaving before the outage is not kept", () => {
   const fixture = createFixture();
   fixture.update(one, { ...two, state: "leaving" });
   fixture.setOutage(true);
@@ -82,7 +84,7 @@
   deepStrictEqual(fixture.getReadyIds(), ["one"]);
 });
 
-test("the same id started anew counts as another upstream", () => {
+test("a restart under the same id counts as another instance", () => {
   const fixture = createFixture();
   fixture.update(one);
   fixture.update({ ...one, incarnation: 2 });
@@ -90,8 +92,8 @@
   deepStrictEqual(fixture.directory.isReady(one), false);
 });
 
-test("what has said that it leaves stays so, whatever the table says of that start", () => {
-  // Guards against an old or late row that calls it ready.
+test("an instance that announced its leaving stays leaving, whatever the table says", () => {
+  // Guards against a stale or delayed row that lists the instance as ready.
   const fixture = createFixture();
   fixture.update(one, two);
   deepStrictEqual(fixture.leave(one), true);
@@ -112,16 +114,17 @@
   deepStrictEqual(fixture.getReadyIds(), ["one"]);
 });
 
-test("one whose leaving is heard of before its row gets no work", () => {
-  // Guards against a host that has just started, and asks others before the platform.
+test("an upstream whose leaving is known before its row gets no requests", () => {
+  // Guards against a host that has just started and receives facts from other
+  // hosts before it reads the platform.
   const fixture = createFixture();
   fixture.leave(one);
   fixture.update(one, two);
   deepStrictEqual(fixture.getReadyIds(), ["two"]);
 });
 
-test("one that leaves by its own word is not kept when its entry lapses", () => {
-  // Guards against work for it in the grace after an outage.
+test("an upstream that announced its leaving is not kept when its entry expires", () => {
+  // Guards against requests to it in the grace period after an outage.
   const fixture = createFixture();
   fixture.update(one, two);
   fixture.leave(one);
@@ -131,8 +134,8 @@
   deepStrictEqual(fixture.getReadyIds(), ["two"]);
 });
 
-test("a removed row that an old copy of the platform still has names no upstream to use", () => {
-  // Guards against requests to upstreams that are gone or about to be.
+test("a removed row that reappears from an older backup is ignored", () => {
+  // Guards against requests to upstreams that have left or are about to.
   const fixture = createFixture();
   fixture.updateIn({ era: 1, rowVersion: 4 }, [one, two]);
   fixture.updateIn({ era: 1, rowVersion: 4 }, [two]);
@@ -144,8 +147,9 @@
   deepStrictEqual(fixture.getReadyIds(), ["one", "two"]);
 });
 
-test("an entry that a copy lacked is used when it is written under its old version", () => {
-  // Guards against an upstream taken for gone since versions are given out again.
+test("an entry missing from the backup is used once it is written again", () => {
+  // Guards against ignoring a new row whose version number equals that of a row
+  // removed in the earlier era.
   const fixture = createFixture();
   fixture.updateIn({ era: 1, rowVersion: 4 }, [one, two]);
   fixture.setOutage(true);
