--- a/src/entry/servers.ts
+++ b/src/entry/servers.ts
@@ -121,11 +121,11 @@
   },
 ): RequestListener {
   return (req, res) => {
-    const query = protocol.tryReadResolve(req);
+    const query = protocol.tryParseResolveQuery(req);
     if (query === undefined) return sendEmpty(res, 404);
     const addresses = host.getAddresses(query);
     if (addresses.length === 0) return sendEmpty(res, 503);
-    const body = protocol.encodeResolved(addresses, host.ttlMs);
+    const body = protocol.encodeResolveAnswer(addresses, host.ttlMs);
     sendText(res, "application/json", body);
   };
 }
--- a/src/entry/types.ts
+++ b/src/entry/types.ts
@@ -49,8 +49,8 @@
 export interface EntryProtocol {
   readonly calls: CallCodec;
   /** `undefined` for any other request. */
-  tryReadResolve(req: IncomingMessage): ResolveQuery | undefined;
-  encodeResolved(addresses: readonly string[], ttlMs: number): string;
+  tryParseResolveQuery(req: IncomingMessage): ResolveQuery | undefined;
+  encodeResolveAnswer(addresses: readonly string[], ttlMs: number): string;
   isReadinessProbe(req: IncomingMessage): boolean;
 }
 
