--- a/src/entry/entry.ts
+++ b/src/entry/entry.ts
@@ -184,7 +184,7 @@
     incarnation,
     random: host.random,
     log,
-    onPlatformReturned: () => directory.refresh(),
+    onPlatformRestored: () => directory.refresh(),
     onFetched: (table, outcome) => metrics.observeFetch(table, outcome),
     getHosts: () => getAlive().map((each) => each.peerAddress),
     pushFact: (fact) => peers.membership.pushFact(fact),
--- a/src/entry/era_watch.ts
+++ b/src/entry/era_tracker.ts
@@ -14,47 +14,47 @@
 } from "../discovery/mod.ts";
 
 /** What the watch needs of the process. */
-export interface EraWatchHost {
+export interface EraTrackerHost {
   readonly clock: Clock;
   log(decision: Decision): void;
   /** Once for each return, whichever table shows it first. */
-  onReturned(): void;
+  onRestored(): void;
 }
 
 /** The eras seen. */
-export interface EraWatch {
+export interface EraTracker {
   /** This host has a copy of the table from there; `from` tells who gave it. */
-  note(table: TableName, position: TablePosition, from: string): void;
+  recordPosition(table: TableName, position: TablePosition, from: string): void;
   /** Whether a later era than before was seen within the time given, in ms. */
-  wasReturnWithin(ms: number): boolean;
+  hadRestoreWithin(ms: number): boolean;
 }
 
 /** Makes a watch that has seen none. */
-export function createEraWatch(host: EraWatchHost): EraWatch {
+export function createEraTracker(host: EraTrackerHost): EraTracker {
   const known = new Map<TableName, TablePosition>();
-  let returnedEra = -Infinity;
-  let returnedMs = -Infinity;
+  let restoredEra = -Infinity;
+  let restoredMs = -Infinity;
 
   return {
-    note(table, position, from) {
-      const before = known.get(table);
+    recordPosition(table, position, from) {
+      const previous = known.get(table);
       known.set(table, position);
-      if (before === undefined || !isLaterEra(position, before)) return;
+      if (previous === undefined || !isLaterEra(position, previous)) return;
       const era = position.era!;
-      returnedMs = host.clock.monotonicMs();
+      restoredMs = host.clock.monotonicMs();
       host.log({
         event: "platform-era-changed",
         table,
         from,
         era,
         platformVersion: position.version,
-        lastEra: before.era!,
-        lastVersion: before.version,
+        lastEra: previous.era!,
+        lastVersion: previous.version,
       });
-      if (era <= returnedEra) return;
-      returnedEra = era;
-      host.onReturned();
+      if (era <= restoredEra) return;
+      restoredEra = era;
+      host.onRestored();
     },
-    wasReturnWithin: (ms) => host.clock.monotonicMs() - returnedMs < ms,
+    hadRestoreWithin: (ms) => host.clock.monotonicMs() - restoredMs < ms,
   };
 }
--- a/src/entry/knowledge.ts
+++ b/src/entry/knowledge.ts
@@ -29,7 +29,7 @@
   type UpstreamInstance,
 } from "../discovery/mod.ts";
 import type { Fact } from "../membership/mod.ts";
-import { createEraWatch } from "./era_watch.ts";
+import { createEraTracker } from "./era_tracker.ts";
 import {
   createLeavingFact,
   LEAVING_KEY,
@@ -51,7 +51,7 @@
   log(decision: Decision): void;
   onFetched(table: string, outcome: FetchOutcome): void;
   /** The platform has come back from an older copy of itself. */
-  onPlatformReturned(): void;
+  onPlatformRestored(): void;
   /** Peer addresses of the hosts that are alive, this one included. */
   getHosts(): readonly string[];
   pushFact(fact: Fact): void;
@@ -89,10 +89,10 @@
   const fetching = new Set<TableName>();
   const lost = new Set<TableName>();
   const choices = new Map<TableName, ReadingDecision>();
-  const eras = createEraWatch({
+  const eras = createEraTracker({
     clock: host.clock,
     log: host.log,
-    onReturned: host.onPlatformReturned,
+    onRestored: host.onPlatformRestored,
   });
   let routes: RouteTable | undefined;
 
@@ -110,7 +110,7 @@
   const directory = createUpstreamDirectory({
     clock: host.clock,
     hadOutageWithin: (ms) =>
-      passingOn.hadOutageWithin(ms) || eras.wasReturnWithin(ms),
+      passingOn.hadOutageWithin(ms) || eras.hadRestoreWithin(ms),
     onChange(entry, change, from) {
       host.log({
         event: "upstream-changed",
@@ -141,7 +141,7 @@
   }
 
   function onChanged(table: TableName, from: string): void {
-    eras.note(table, tables[table].getPosition(), from);
+    eras.recordPosition(table, tables[table].getPosition(), from);
     if (table === "config") updateRoutes(from);
     else directory.update(upstreams.getRows(), upstreams.getPosition());
   }
--- a/src/testing/knowledge_fleet.ts
+++ b/src/testing/knowledge_fleet.ts
@@ -153,7 +153,7 @@
       random: createRandom(seed * 1_000 + incarnations),
       log: (decision) => logged.push({ host, decision }),
       onFetched: (_, outcome) => fetches.push(outcome),
-      onPlatformReturned: () => {},
+      onPlatformRestored: () => {},
       getHosts: () => getAlive(host),
       pushFact: send,
       spreadFact: send,
