--- a/src/entry/entry.ts
+++ b/src/entry/entry.ts
@@ -26,7 +26,7 @@
 import { createHealthWatch, createRestWatch } from "../upstreams/mod.ts";
 import { chooseAddresses } from "./caller_addresses.ts";
 import { openLoadExchange } from "./load_exchange.ts";
-import { createFullHosts, FULL_KEY } from "./full_hosts.ts";
+import { createFullHosts, FULL_KEY_PREFIX } from "./full_hosts.ts";
 import { createIntake } from "./intake.ts";
 import { createKnowledge } from "./knowledge.ts";
 import { createLeaving } from "./leaving.ts";
@@ -92,7 +92,7 @@
 
   function onFact(fact: Fact): void {
     if (fact.key.startsWith(CRASH_KEY)) crashes.receive(fact);
-    else if (fact.key.startsWith(FULL_KEY)) fullHosts.receive(fact);
+    else if (fact.key.startsWith(FULL_KEY_PREFIX)) fullHosts.receive(fact);
     else knowledge.receive(fact);
   }
 
@@ -107,8 +107,8 @@
   });
   const intake = createIntake({
     clock,
-    mayRest: () => fullHosts.mayRest(getAlive()),
-    onFull({ isFull, meanTurnMs }) {
+    mayBeFull: () => fullHosts.mayBeFull(getAlive()),
+    onDecision({ isFull, meanTurnMs }) {
       peers.membership.pushFact(fullHosts.createFact(isFull));
       log({
         event: "intake-changed",
--- a/src/entry/full_hosts.ts
+++ b/src/entry/full_hosts.ts
@@ -6,7 +6,7 @@
 
 import type { Clock } from "../core/mod.ts";
 import type { Fact, Member } from "../membership/mod.ts";
-import { WINDOW_MS } from "./intake.ts";
+import { INTAKE_WINDOW_MS } from "./intake.ts";
 
 /** The full hosts. */
 export interface FullHosts {
@@ -19,7 +19,7 @@
    * Whether this host may be full as well: half of its data centre's hosts at
    * most. Of too many the last by address go on; all hosts count alike.
    */
-  mayRest(members: readonly Member[]): boolean;
+  mayBeFull(members: readonly Member[]): boolean;
 }
 
 /** What the view needs of the process. */
@@ -32,47 +32,48 @@
 }
 
 /** Facts of full hosts begin so. */
-export const FULL_KEY = "full/";
+export const FULL_KEY_PREFIX = "full/";
 
 /** A full host tells so each second; without news it has room, in ms. */
-const KEEP_MS = 3 * WINDOW_MS;
+const REPORT_TTL_MS = 3 * INTAKE_WINDOW_MS;
 
 /** Share of a data centre's hosts that may rest at once. */
-const MAX_RESTING_SHARE = 1 / 2;
+const MAX_FULL_SHARE = 1 / 2;
 
 /** Makes the view of a host that has heard nothing. */
 export function createFullHosts(host: FullHostsHost): FullHosts {
   const { clock, peerAddress } = host;
-  const heardMs = new Map<string, number>();
+  const reportedMs = new Map<string, number>();
   let version = 0;
 
   const isFull = (address: string) =>
-    clock.monotonicMs() - (heardMs.get(address) ?? -Infinity) < KEEP_MS;
+    clock.monotonicMs() - (reportedMs.get(address) ?? -Infinity) <
+      REPORT_TTL_MS;
 
   return {
     isFull,
     receive(fact) {
       const [, from] = fact.key.split("/");
       if (from === undefined || from === peerAddress) return;
-      if (fact.value === "full") heardMs.set(from, clock.monotonicMs());
-      else heardMs.delete(from);
+      if (fact.value === "full") reportedMs.set(from, clock.monotonicMs());
+      else reportedMs.delete(from);
     },
     createFact(isOwnFull) {
       version++;
       return {
-        key: `${FULL_KEY}${peerAddress}/${host.incarnation}`,
+        key: `${FULL_KEY_PREFIX}${peerAddress}/${host.incarnation}`,
         version,
         value: isOwnFull ? "full" : "room",
       };
     },
-    mayRest(members) {
+    mayBeFull(members) {
       const addresses = members
         .filter((each) => each.dataCentre === host.dataCentre)
         .map((each) => each.peerAddress);
-      const before = addresses
+      const fullBefore = addresses
         .filter((each) => each < peerAddress && isFull(each));
-      const allowed = Math.floor(addresses.length * MAX_RESTING_SHARE);
-      return before.length < allowed;
+      const allowed = Math.floor(addresses.length * MAX_FULL_SHARE);
+      return fullBefore.length < allowed;
     },
   };
 }
--- a/src/entry/full_hosts_test.ts
+++ b/src/entry/full_hosts_test.ts
@@ -49,12 +49,12 @@
   const { views, members, tell } = createFixture(names);
   for (const view of views) tell(view.createFact(true));
   deepStrictEqual(
-    views.map((view) => view.mayRest(members)),
+    views.map((view) => view.mayBeFull(members)),
     [true, true, false, false, false],
   );
 });
 
 test("a data centre's only host goes on", () => {
   const { views: [only], members } = createFixture(["h1"]);
-  strictEqual(only!.mayRest(members), false);
+  strictEqual(only!.mayBeFull(members), false);
 });
--- a/src/entry/intake.ts
+++ b/src/entry/intake.ts
@@ -25,9 +25,9 @@
 export interface IntakeHost {
   readonly clock: Clock;
   /** Enough other hosts of the data centre take callers. */
-  mayRest(): boolean;
+  mayBeFull(): boolean;
   /** Told at each change, and in each window while the host is full. */
-  onFull(state: IntakeState): void;
+  onDecision(state: IntakeState): void;
 }
 
 /** What was decided, and from what. */
@@ -38,35 +38,35 @@
 }
 
 /** Turns are looked at over so long, in ms: one long turn means nothing. */
-export const WINDOW_MS = 1_000;
+export const INTAKE_WINDOW_MS = 1_000;
 
 /**
  * Longest mean turn, in ms, at which a host has room: forty connections a second.
  * A request that opens one takes three turns before it is looked at.
  */
-const FULL_TURN_MS = 25;
+const MAX_MEAN_TURN_MS = 25;
 
 /** A full host has room again when its turns are as short as this, in ms. */
-const ROOM_TURN_MS = 18;
+const RECOVERED_MEAN_TURN_MS = 18;
 
 /**
  * A full host rests for so long at least, in ms: callers hear of a change within
  * a second or two, and going back and forth costs them their connections.
  */
-const REST_MS = 3_000;
+const MIN_FULL_MS = 3_000;
 
 /** Makes the decision of a host that has room. */
 export function createIntake(host: IntakeHost): Intake {
   const { clock } = host;
-  let windowMs = clock.monotonicMs();
+  let windowStartMs = clock.monotonicMs();
   let turns = 0;
   let fullSinceMs: number | undefined;
 
   function decide(meanTurnMs: number): boolean {
-    if (!host.mayRest()) return false;
-    if (fullSinceMs === undefined) return meanTurnMs > FULL_TURN_MS;
-    const isResting = clock.monotonicMs() - fullSinceMs < REST_MS;
-    return isResting || meanTurnMs > ROOM_TURN_MS;
+    if (!host.mayBeFull()) return false;
+    if (fullSinceMs === undefined) return meanTurnMs > MAX_MEAN_TURN_MS;
+    const isHeldFull = clock.monotonicMs() - fullSinceMs < MIN_FULL_MS;
+    return isHeldFull || meanTurnMs > RECOVERED_MEAN_TURN_MS;
   }
 
   function endWindow(elapsedMs: number): void {
@@ -75,16 +75,16 @@
     const isFull = decide(meanTurnMs);
     if (!isFull) fullSinceMs = undefined;
     else fullSinceMs ??= clock.monotonicMs();
-    if (isFull || wasFull) host.onFull({ isFull, meanTurnMs });
+    if (isFull || wasFull) host.onDecision({ isFull, meanTurnMs });
   }
 
   return {
     tick() {
       turns++;
-      const elapsedMs = clock.monotonicMs() - windowMs;
-      if (elapsedMs < WINDOW_MS) return;
+      const elapsedMs = clock.monotonicMs() - windowStartMs;
+      if (elapsedMs < INTAKE_WINDOW_MS) return;
       endWindow(elapsedMs);
-      windowMs = clock.monotonicMs();
+      windowStartMs = clock.monotonicMs();
       turns = 0;
     },
     isFull: () => fullSinceMs !== undefined,
--- a/src/entry/intake_test.ts
+++ b/src/entry/intake_test.ts
@@ -8,16 +8,16 @@
 function createFixture() {
   const clock = createManualClock(1_000);
   const states: IntakeState[] = [];
-  let mayRest = true;
+  let mayBeFull = true;
   const intake = createIntake({
     clock,
-    mayRest: () => mayRest,
-    onFull: (state) => void states.push(state),
+    mayBeFull: () => mayBeFull,
+    onDecision: (state) => void states.push(state),
   });
   return {
     intake,
     states,
-    forbidRest: () => void (mayRest = false),
+    forbidFull: () => void (mayBeFull = false),
     /** Turns of the length given, for so long. */
     run(turnMs: number, forMs: number): void {
       for (let atMs = 0; atMs < forMs; atMs += turnMs) {
@@ -58,7 +58,7 @@
 test("a host that may not rest goes on, however long its turns are", () => {
   const fixture = createFixture();
   fixture.run(60, 2_000);
-  fixture.forbidRest();
+  fixture.forbidFull();
   fixture.run(60, 2_000);
   strictEqual(fixture.intake.isFull(), false);
 });
