--- a/src/entry/caller_addresses.ts
+++ b/src/entry/caller_addresses.ts
@@ -37,14 +37,14 @@
   const usable = alive.length > 0
     ? alive
     : members.filter((each) => each.state === "suspect");
-  const withRoom = usable.filter((each) => !input.isFull(each));
+  const notFull = usable.filter((each) => !input.isFull(each));
   // A full host is better than none, too.
-  const named = withRoom.length > 0 ? withRoom : usable;
-  const ranked = named
+  const candidates = notFull.length > 0 ? notFull : usable;
+  const ranked = candidates
     .map((member) => ({ member, distance: getDistance(member, input) }))
     .sort((a, b) => a.distance - b.distance);
-  const own = ranked.filter((each) => each.distance === 0).length;
-  const count = Math.min(MAX_ADDRESSES, Math.max(own, MIN_ADDRESSES));
+  const ownCount = ranked.filter((each) => each.distance === 0).length;
+  const count = Math.min(MAX_ADDRESSES, Math.max(ownCount, MIN_ADDRESSES));
   return ranked.slice(0, count).map((each) => each.member.publicAddress);
 }
 
