--- a/src/entry/entry.ts
+++ b/src/entry/entry.ts
@@ -30,7 +30,7 @@
 import { createIntake } from "./intake.ts";
 import { createKnowledge } from "./knowledge.ts";
 import { createLeaving } from "./leaving.ts";
-import { createLoopWatch } from "./loop_watch.ts";
+import { createEventLoopMonitor } from "./event_loop_monitor.ts";
 import { createEntryMetrics } from "./metrics.ts";
 import { openPeers } from "./peers.ts";
 import { followHostDirectory } from "./host_directory.ts";
@@ -98,7 +98,7 @@
 
   const workingClock = createWorkingClock(clock);
   const health = createHealthWatch(workingClock);
-  const loop = createLoopWatch(clock, QUEUE_TICK_MS);
+  const loop = createEventLoopMonitor(clock, QUEUE_TICK_MS);
   const fullHosts = createFullHosts({
     clock,
     peerAddress,
@@ -259,8 +259,8 @@
     ),
     tryGetRoutes: knowledge.tryGetRoutes,
     getDistance,
-    isBehind: loop.isBehind,
-    getTurnMs: loop.getTurnMs,
+    isBehind: loop.isOverloaded,
+    getTurnMs: loop.getTurnOverrunMs,
     getUnreadMs: loop.getUnreadMs,
     mayStart: leaving.mayStart,
     getInputs: knowledge.getInputs,
--- a/src/entry/loop_watch.ts
+++ b/src/entry/event_loop_monitor.ts
@@ -16,13 +16,13 @@
 import type { Clock } from "../core/mod.ts";
 
 /** Measures the turns of the event loop. */
-export interface LoopWatch {
+export interface EventLoopMonitor {
   /** Called by a timer, once in each period. */
   tick(): void;
   /** The present turn takes too long for anything new to be on time. */
-  isBehind(): boolean;
+  isOverloaded(): boolean;
   /** How long the present turn has taken beyond the period, in ms. */
-  getTurnMs(): number;
+  getTurnOverrunMs(): number;
   /** How long a request that is read now may have waited unread, in ms. */
   getUnreadMs(): number;
 }
@@ -34,21 +34,25 @@
 const MAX_TURN_MS = 200;
 
 /** Makes a watch for a timer of the period given, in ms. */
-export function createLoopWatch(clock: Clock, periodMs: number): LoopWatch {
-  let turnMs = clock.monotonicMs();
-  let turnBeforeMs = turnMs;
+export function createEventLoopMonitor(
+  clock: Clock,
+  periodMs: number,
+): EventLoopMonitor {
+  let turnStartMs = clock.monotonicMs();
+  let previousTurnStartMs = turnStartMs;
 
-  const getTurnMs = () => Math.max(0, clock.monotonicMs() - turnMs - periodMs);
+  const getTurnMs = () =>
+    Math.max(0, clock.monotonicMs() - turnStartMs - periodMs);
 
   return {
-    getTurnMs,
+    getTurnOverrunMs: getTurnMs,
     tick() {
-      turnBeforeMs = turnMs;
-      turnMs = clock.monotonicMs();
+      previousTurnStartMs = turnStartMs;
+      turnStartMs = clock.monotonicMs();
     },
-    isBehind: () => getTurnMs() > MAX_TURN_MS,
+    isOverloaded: () => getTurnMs() > MAX_TURN_MS,
     // What came during the turn before is read in this one.
     getUnreadMs: () =>
-      Math.max(0, clock.monotonicMs() - turnBeforeMs - 2 * periodMs),
+      Math.max(0, clock.monotonicMs() - previousTurnStartMs - 2 * periodMs),
   };
 }
