--- a/src/entry/entry.ts
+++ b/src/entry/entry.ts
@@ -348,7 +348,7 @@
     directory.run,
   ]
     .map((task) => Effect.runFork(task));
-  const ticker = startTicker(QUEUE_TICK_MS, { watch, decide });
+  const ticker = startTicker(QUEUE_TICK_MS, { measure: watch, decide });
   log({
     event: "started",
     name: settings.name,
--- a/src/entry/ticker.ts
+++ b/src/entry/ticker.ts
@@ -17,38 +17,38 @@
 /** What a ticker runs. */
 export interface TickerJobs {
   /** In each tick, however late; looks at time alone. */
-  watch?(): void;
+  measure?(): void;
   /** In each tick, after a late one only when sockets have been read. */
   decide(): void;
 }
 
 /** A tick that comes later than this, in ms, reads before it decides. */
-const LATE_MS = 50;
+const LATE_TICK_MS = 50;
 
 /** Runs until it is disposed of; the first time after one period, in ms. */
 export function startTicker(periodMs: number, jobs: TickerJobs): Disposable {
-  let reading: Disposable | undefined;
+  let pendingRead: Disposable | undefined;
   let lastMs = performance.now();
 
-  function decideAfterReading(): void {
-    reading = undefined;
+  function runDecide(): void {
+    pendingRead = undefined;
     lastMs = performance.now();
     jobs.decide();
   }
 
   function tick(): void {
-    jobs.watch?.();
-    if (reading !== undefined) return;
+    jobs.measure?.();
+    if (pendingRead !== undefined) return;
     const lateMs = performance.now() - lastMs - periodMs;
-    if (lateMs > LATE_MS) reading = afterReading(decideAfterReading);
-    else decideAfterReading();
+    if (lateMs > LATE_TICK_MS) pendingRead = afterReading(runDecide);
+    else runDecide();
   }
 
   const timer = setInterval(tick, periodMs);
   return {
     [Symbol.dispose]() {
       clearInterval(timer);
-      reading?.[Symbol.dispose]();
+      pendingRead?.[Symbol.dispose]();
     },
   };
 }
