--- a/src/entry/servers.ts
+++ b/src/entry/servers.ts
@@ -17,7 +17,7 @@
 import type { EntryProtocol, ResolveQuery } from "./types.ts";
 
 /** A server that listens. */
-export interface Listening extends AsyncDisposable {
+export interface ListeningServer extends AsyncDisposable {
   readonly server: Server;
 }
 
@@ -25,8 +25,8 @@
  * Before a configuration is known: what a caller may take for its headers, and
  * how long a connection may stay idle, in ms.
  */
-const FIRST_HEADER_TIMEOUT_MS = 5_000;
-const FIRST_IDLE_TIMEOUT_MS = 60_000;
+const INITIAL_HEADER_TIMEOUT_MS = 5_000;
+const INITIAL_IDLE_TIMEOUT_MS = 60_000;
 
 /**
  * A connection is kept this much longer than operators allow, in ms, so that a
@@ -38,7 +38,7 @@
 const MAX_HEADER_BYTES = 64 * 1024;
 
 /** Connections that wait to be accepted where hardly anything comes. */
-const USUAL_BACKLOG = 128;
+const DEFAULT_BACKLOG = 128;
 
 /** Requests on connections of their own that a whole core takes in a second. */
 const ACCEPTED_PER_CORE_SECOND = 100;
@@ -67,12 +67,12 @@
 export async function listen(
   address: string,
   onRequest: RequestListener,
-  backlog: number = USUAL_BACKLOG,
-): Promise<Listening> {
+  backlog: number = DEFAULT_BACKLOG,
+): Promise<ListeningServer> {
   const server = createServer({
     maxHeaderSize: MAX_HEADER_BYTES,
-    keepAliveTimeout: FIRST_IDLE_TIMEOUT_MS,
-    headersTimeout: FIRST_HEADER_TIMEOUT_MS,
+    keepAliveTimeout: INITIAL_IDLE_TIMEOUT_MS,
+    headersTimeout: INITIAL_HEADER_TIMEOUT_MS,
     // A body may come slowly; reading it has its own limit.
     requestTimeout: 0,
   }, onRequest);
--- a/src/upstreams/http_upstreams_test.ts
+++ b/src/upstreams/http_upstreams_test.ts
@@ -2,14 +2,14 @@
 import type { AddressInfo } from "node:net";
 import { test } from "node:test";
 import * as Effect from "effect/Effect";
-import { listen, type Listening } from "../entry/servers.ts";
+import { listen, type ListeningServer } from "../entry/servers.ts";
 import { block } from "../testing/block.ts";
 import { createHttpUpstreams, STREAM_SILENCE_MS } from "./http_upstreams.ts";
 
 const LOOPBACK = "127.0.0.1:0";
 
 /** Where the server listens, IP and port. */
-function getAddress({ server }: Listening): string {
+function getAddress({ server }: ListeningServer): string {
   return `127.0.0.1:${(server.address() as AddressInfo).port}`;
 }
 
