--- a/src/entry/metrics.ts
+++ b/src/entry/metrics.ts
@@ -52,13 +52,13 @@
 ];
 
 /** A close that is read so soon after a start, in ms, was there before it. */
-const CLOSED_BEFORE_MS = 100;
+const EARLY_CLOSE_MS = 100;
 
-function isSentForNobody(decision: Decision): boolean {
+function isSentAfterDisconnect(decision: Decision): boolean {
   return decision.event === "request-ended" &&
     decision.outcome === "caller-left" &&
     decision.sinceAttemptMs !== undefined &&
-    decision.sinceAttemptMs < CLOSED_BEFORE_MS;
+    decision.sinceAttemptMs < EARLY_CLOSE_MS;
 }
 
 /** Makes the metrics, all zero. */
@@ -103,7 +103,7 @@
     labelNames: ["table", "outcome"],
     registers,
   });
-  const sentForNobody = new Counter({
+  const sentAfterDisconnect = new Counter({
     name: "azurestile_requests_sent_for_nobody_total",
     help:
       "Requests whose caller's close was read right after they were sent on",
@@ -180,8 +180,8 @@
       decisions.inc({ event: decision.event });
       if (decision.event === "attempt-failed") {
         attemptsFailed.inc({ kind: decision.kind, next: decision.next });
-      } else if (isSentForNobody(decision)) {
-        sentForNobody.inc();
+      } else if (isSentAfterDisconnect(decision)) {
+        sentAfterDisconnect.inc();
       } else if (decision.event === "log-lines-dropped") {
         logLinesDropped.inc(decision.lines);
       }
