--- a/src/entry/entry.ts
+++ b/src/entry/entry.ts
@@ -33,7 +33,7 @@
 import { createEventLoopMonitor } from "./event_loop_monitor.ts";
 import { createEntryMetrics } from "./metrics.ts";
 import { openPeers } from "./peers.ts";
-import { followHostDirectory } from "./host_directory.ts";
+import { createHostRegistration } from "./host_registration.ts";
 import {
   createMetricsListener,
   createReadinessListener,
@@ -325,7 +325,7 @@
     if (limits !== undefined) setCallerLimits(callers.server, limits);
   }
 
-  const directory = followHostDirectory({
+  const directory = createHostRegistration({
     directory: host.platform.hosts,
     peerAddress,
     seeds: settings.seeds,
--- a/src/entry/host_directory.ts
+++ b/src/entry/host_registration.ts
@@ -14,7 +14,7 @@
 import type { HostDirectory, TableError } from "../discovery/mod.ts";
 
 /** What following needs of the process. */
-export interface HostDirectoryHost {
+export interface HostRegistrationHost {
   readonly directory: HostDirectory;
   readonly peerAddress: string;
   readonly seeds: readonly string[];
@@ -27,7 +27,7 @@
 }
 
 /** Tasks of one host at the directory. */
-export interface HostDirectoryTasks {
+export interface HostRegistration {
   /** Registers and reads; never ends. */
   readonly run: Effect.Effect<never>;
   /** Looks soon: the platform has come back from an older copy. */
@@ -37,21 +37,21 @@
 }
 
 /** While alone the directory is read this often, in ms. */
-const ALONE_MS = 1_000;
+const ALONE_INTERVAL_MS = 1_000;
 
 /** Otherwise; a host missed by all others shows up by then. */
-const REFRESH_MS = 20_000;
+const REFRESH_INTERVAL_MS = 20_000;
 
 /** After a failed call, in ms. */
-const RETRY_MS = 1_500;
+const RETRY_DELAY_MS = 1_500;
 
 /** All hosts look after a return of the platform, over so long, in ms. */
 const REFRESH_SPREAD_MS = 3_000;
 
 /** Makes the tasks. */
-export function followHostDirectory(
-  host: HostDirectoryHost,
-): HostDirectoryTasks {
+export function createHostRegistration(
+  host: HostRegistrationHost,
+): HostRegistration {
   const { directory, peerAddress } = host;
 
   const onFailure = (err: TableError) =>
@@ -59,35 +59,35 @@
 
   const register = directory.add(peerAddress);
   let isRemoved = false;
-  let mustRefresh = false;
+  let isRefreshDue = false;
   let wake = () => {};
 
   function registerIfMissing(
     addresses: readonly string[],
   ): Effect.Effect<void, TableError> {
-    const isThere = addresses.includes(peerAddress);
-    return isThere || isRemoved ? Effect.void : register;
+    const isRegistered = addresses.includes(peerAddress);
+    return isRegistered || isRemoved ? Effect.void : register;
   }
 
   const read = directory.read().pipe(
     Effect.tap(registerIfMissing),
     Effect.map((addresses) => {
       host.setSeeds([...new Set([...host.seeds, ...addresses])]);
-      return host.isAlone() ? ALONE_MS : REFRESH_MS;
+      return host.isAlone() ? ALONE_INTERVAL_MS : REFRESH_INTERVAL_MS;
     }),
   );
 
-  const woken = Effect.callback<void>((resume) => {
+  const untilRefresh = Effect.callback<void>((resume) => {
     wake = () => resume(Effect.void);
-    if (mustRefresh) wake();
+    if (isRefreshDue) wake();
   });
 
   /** Waits so long, in ms, or until a refresh is due. */
   function wait(ms: number): Effect.Effect<void> {
-    return Effect.raceFirst(Effect.sleep(ms), woken).pipe(
+    return Effect.raceFirst(Effect.sleep(ms), untilRefresh).pipe(
       Effect.andThen(Effect.suspend(() => {
-        if (!mustRefresh) return Effect.void;
-        mustRefresh = false;
+        if (!isRefreshDue) return Effect.void;
+        isRefreshDue = false;
         return Effect.sleep(host.random() * REFRESH_SPREAD_MS);
       })),
     );
@@ -96,7 +96,7 @@
   const readOnce = read.pipe(
     Effect.catchTag(
       "TableError",
-      (err) => onFailure(err).pipe(Effect.as(RETRY_MS)),
+      (err) => onFailure(err).pipe(Effect.as(RETRY_DELAY_MS)),
     ),
     Effect.flatMap(wait),
   );
@@ -104,7 +104,7 @@
   const registerOnce: Effect.Effect<void> = register.pipe(
     Effect.catchTag("TableError", (err) =>
       onFailure(err).pipe(
-        Effect.andThen(Effect.sleep(RETRY_MS)),
+        Effect.andThen(Effect.sleep(RETRY_DELAY_MS)),
         Effect.andThen(Effect.suspend(() => registerOnce)),
       )),
   );
@@ -112,7 +112,7 @@
   return {
     run: registerOnce.pipe(Effect.andThen(Effect.forever(readOnce))),
     refresh() {
-      mustRefresh = true;
+      isRefreshDue = true;
       wake();
     },
     remove: Effect.suspend(() => {
