--- a/src/entry/knowledge.ts
+++ b/src/entry/knowledge.ts
@@ -32,9 +32,9 @@
 import { createEraTracker } from "./era_tracker.ts";
 import {
   createLeavingFact,
-  LEAVING_KEY,
-  readLeavingFact,
-} from "./leaving_facts.ts";
+  LEAVING_KEY_PREFIX,
+  parseLeavingFact,
+} from "./upstream_leaving_facts.ts";
 import {
   createRouteTable,
   type RouteTable,
@@ -244,8 +244,8 @@
     }),
     receive(fact) {
       if (fact.key.startsWith(REPORT_KEY_PREFIX)) passingOn.receive(fact);
-      else if (fact.key.startsWith(LEAVING_KEY)) {
-        directory.markLeaving(readLeavingFact(fact), "host");
+      else if (fact.key.startsWith(LEAVING_KEY_PREFIX)) {
+        directory.markLeaving(parseLeavingFact(fact), "host");
       }
     },
     noteLeaving(life) {
