--- a/src/entry/leaving.ts
+++ b/src/entry/drain.ts
@@ -15,10 +15,10 @@
 import type { Clock } from "../core/mod.ts";
 
 /** Requests in flight and the way out. */
-export interface Leaving {
-  isLeaving(): boolean;
+export interface Drain {
+  isDraining(): boolean;
   /** Whether a request of so long, in ms, may begin now. */
-  mayStart(expectedMs: number): boolean;
+  mayStartRequest(expectedMs: number): boolean;
   /** Counts the answer as in flight until its last byte went out. */
   track(res: ServerResponse): void;
   countInFlight(): number;
@@ -27,12 +27,12 @@
 }
 
 /** What leaving needs of the process. */
-export interface LeavingHost {
+export interface DrainHost {
   readonly clock: Clock;
   /** From the signal to the kill, in ms. */
   readonly graceMs: number;
   /** Tells the other hosts. */
-  leave(): void;
+  announceLeaving(): void;
   onPhase(phase: "leaving" | "ending", inFlight: number): void;
 }
 
@@ -45,28 +45,28 @@
  * after three eighths and is cut at the end counts as lost, and this host may
  * hear of the signal a tenth of a second after it was given.
  */
-const OPEN_SHARE = 1 / 4;
+const ADMIT_ALL_SHARE = 1 / 4;
 
 /** A host without work stays for this part of it: late callers still come. */
-const STAY_SHARE = 5 / 8;
+const MIN_STAY_SHARE = 5 / 8;
 
 /** And until no request has come for so long, in ms. */
-const QUIET_MS = 1_000;
+const MIN_QUIET_MS = 1_000;
 
-const CHECK_MS = 50;
+const CHECK_INTERVAL_MS = 50;
 
 /** Makes the state of a host that serves. */
-export function createLeaving(host: LeavingHost): Leaving {
+export function createDrain(host: DrainHost): Drain {
   const { clock, graceMs } = host;
-  const open = new Set<ServerResponse>();
-  let sinceMs: number | undefined;
+  const openResponses = new Set<ServerResponse>();
+  let startedMs: number | undefined;
   let lastArrivalMs = clock.monotonicMs();
 
   function getElapsedMs(): number {
-    return sinceMs === undefined ? 0 : clock.monotonicMs() - sinceMs;
+    return startedMs === undefined ? 0 : clock.monotonicMs() - startedMs;
   }
 
-  function closeAfter(res: ServerResponse): void {
+  function setConnectionClose(res: ServerResponse): void {
     if (!res.headersSent) res.setHeader("connection", "close");
   }
 
@@ -74,35 +74,35 @@
     const elapsedMs = getElapsedMs();
     if (elapsedMs >= graceMs - EXIT_MARGIN_MS) return true;
     const quietMs = clock.monotonicMs() - lastArrivalMs;
-    return elapsedMs >= graceMs * STAY_SHARE && quietMs >= QUIET_MS &&
-      open.size === 0;
+    return elapsedMs >= graceMs * MIN_STAY_SHARE && quietMs >= MIN_QUIET_MS &&
+      openResponses.size === 0;
   }
 
   const run = Effect.gen(function* () {
-    sinceMs = clock.monotonicMs();
-    host.leave();
-    for (const res of open) closeAfter(res);
-    host.onPhase("leaving", open.size);
-    while (!isDone()) yield* Effect.sleep(CHECK_MS);
-    host.onPhase("ending", open.size);
-    return { cut: open.size, tookMs: Math.round(getElapsedMs()) };
+    startedMs = clock.monotonicMs();
+    host.announceLeaving();
+    for (const res of openResponses) setConnectionClose(res);
+    host.onPhase("leaving", openResponses.size);
+    while (!isDone()) yield* Effect.sleep(CHECK_INTERVAL_MS);
+    host.onPhase("ending", openResponses.size);
+    return { cut: openResponses.size, tookMs: Math.round(getElapsedMs()) };
   });
 
   return {
-    isLeaving: () => sinceMs !== undefined,
-    mayStart(expectedMs) {
-      if (sinceMs === undefined) return true;
+    isDraining: () => startedMs !== undefined,
+    mayStartRequest(expectedMs) {
+      if (startedMs === undefined) return true;
       const elapsedMs = getElapsedMs();
-      if (elapsedMs <= graceMs * OPEN_SHARE) return true;
+      if (elapsedMs <= graceMs * ADMIT_ALL_SHARE) return true;
       return expectedMs <= graceMs - EXIT_MARGIN_MS - elapsedMs;
     },
     track(res) {
       lastArrivalMs = clock.monotonicMs();
-      open.add(res);
-      res.once("close", () => open.delete(res));
-      if (sinceMs !== undefined) closeAfter(res);
+      openResponses.add(res);
+      res.once("close", () => openResponses.delete(res));
+      if (startedMs !== undefined) setConnectionClose(res);
     },
-    countInFlight: () => open.size,
+    countInFlight: () => openResponses.size,
     run,
   };
 }
--- a/src/entry/entry.ts
+++ b/src/entry/entry.ts
@@ -29,7 +29,7 @@
 import { createFullHosts, FULL_KEY_PREFIX } from "./full_hosts.ts";
 import { createIntake } from "./intake.ts";
 import { createKnowledge } from "./knowledge.ts";
-import { createLeaving } from "./leaving.ts";
+import { createDrain } from "./drain.ts";
 import { createEventLoopMonitor } from "./event_loop_monitor.ts";
 import { createEntryMetrics } from "./metrics.ts";
 import { openPeers } from "./peers.ts";
@@ -48,7 +48,7 @@
 /** A running entry host. */
 export interface Entry extends AsyncDisposable {
   /** Takes no new work and ends what it has, within the grace. */
-  leave(): Promise<{ readonly cut: number; readonly tookMs: number }>;
+  drain(): Promise<{ readonly cut: number; readonly tookMs: number }>;
 }
 
 /** Callers ask again after so long, in ms: hosts come and go within seconds. */
@@ -191,15 +191,15 @@
     spreadFact: (fact) => peers.membership.spreadFact(fact),
     fetchTable: (name, peer) => peers.fetchTable(name, peer),
   });
-  const leaving = createLeaving({
+  const leaving = createDrain({
     clock,
     graceMs: settings.stopGraceMs,
-    leave: () => peers.membership.leave(),
+    announceLeaving: () => peers.membership.leave(),
     onPhase: (phase, inFlight) =>
       log({ event: "drain-phase", phase, inFlight }),
   });
   const isReady = () =>
-    !leaving.isLeaving() && !intake.isFull() &&
+    !leaving.isDraining() && !intake.isFull() &&
     knowledge.tryGetRoutes() !== undefined;
   const metrics = createEntryMetrics({
     getConfigVersion: () => knowledge.getInputs().configVersion,
@@ -262,7 +262,7 @@
     isBehind: loop.isOverloaded,
     getTurnMs: loop.getTurnOverrunMs,
     getUnreadMs: loop.getUnreadMs,
-    mayStart: leaving.mayStart,
+    mayStart: leaving.mayStartRequest,
     getInputs: knowledge.getInputs,
     log,
     onEnded: metrics.observeEnd,
@@ -358,7 +358,7 @@
   });
 
   return {
-    async leave() {
+    async drain() {
       Effect.runFork(directory.remove);
       const result = await Effect.runPromise(leaving.run);
       log({ event: "stopped", ...result });
