--- a/src/entry/entry.ts
+++ b/src/entry/entry.ts
@@ -28,7 +28,7 @@
 import { openLoadExchange } from "./load_exchange.ts";
 import { createFullHosts, FULL_KEY_PREFIX } from "./full_hosts.ts";
 import { createIntake } from "./intake.ts";
-import { createKnowledge } from "./knowledge.ts";
+import { createPlatformView } from "./platform_view.ts";
 import { createDrain } from "./drain.ts";
 import { createEventLoopMonitor } from "./event_loop_monitor.ts";
 import { createEntryMetrics } from "./metrics.ts";
@@ -177,7 +177,7 @@
         request: undefined,
       }),
   });
-  const knowledge = createKnowledge({
+  const knowledge = createPlatformView({
     clock,
     platform: host.platform,
     peerAddress,
@@ -246,7 +246,7 @@
     codec: protocol.calls,
     agent,
     directory: knowledge.directory,
-    noteLeaving: knowledge.noteLeaving,
+    noteLeaving: knowledge.markLeaving,
     queue,
     load,
     getPacing,
--- a/src/entry/metrics.ts
+++ b/src/entry/metrics.ts
@@ -7,7 +7,7 @@
 import { Counter, Gauge, Histogram, Registry } from "prom-client";
 import type { Decision } from "../diagnostics/mod.ts";
 import type { CallEnd } from "../forwarding/mod.ts";
-import type { FetchOutcome } from "./knowledge.ts";
+import type { FetchOutcome } from "./platform_view.ts";
 
 /** What metrics read when they are asked for. */
 export interface MetricsHost {
--- a/src/entry/knowledge.ts
+++ b/src/entry/platform_view.ts
@@ -42,7 +42,7 @@
 } from "../routing/mod.ts";
 
 /** What knowledge needs of the process. */
-export interface KnowledgeHost {
+export interface PlatformViewHost {
   readonly clock: Clock;
   readonly platform: EntryPlatform;
   readonly peerAddress: string;
@@ -63,7 +63,7 @@
 export type FetchOutcome = "newer" | "not-newer" | "no-answer";
 
 /** What this host knows. */
-export interface Knowledge {
+export interface PlatformView {
   readonly directory: UpstreamDirectory;
   /** `undefined` until a configuration is known. */
   tryGetRoutes(): RouteTable | undefined;
@@ -71,7 +71,7 @@
   /** Takes in what another host tells: a reader's report, or who leaves. */
   receive(fact: Fact): void;
   /** An upstream has told this host that it leaves; the others are told. */
-  noteLeaving(life: UpstreamInstance): void;
+  markLeaving(life: UpstreamInstance): void;
   /** A table as it is passed on; `undefined` for one never seen. */
   tryGetTable(name: string): Uint8Array | undefined;
   /** Follows the platform; never ends. */
@@ -79,7 +79,7 @@
 }
 
 /** Makes the knowledge of a host that knows nothing. */
-export function createKnowledge(host: KnowledgeHost): Knowledge {
+export function createPlatformView(host: PlatformViewHost): PlatformView {
   const config = createTableReplica<RoutingConfig>();
   const upstreams = createTableReplica<UpstreamEntry>();
   const tables: Record<TableName, TableReplica<unknown>> = {
@@ -87,8 +87,8 @@
     upstreams: upstreams as TableReplica<unknown>,
   };
   const fetching = new Set<TableName>();
-  const lost = new Set<TableName>();
-  const choices = new Map<TableName, ReadingDecision>();
+  const unreachable = new Set<TableName>();
+  const decisions = new Map<TableName, ReadingDecision>();
   const eras = createEraTracker({
     clock: host.clock,
     log: host.log,
@@ -96,7 +96,7 @@
   });
   let routes: RouteTable | undefined;
 
-  const passingOn: TableDistribution = createTableDistribution({
+  const distribution: TableDistribution = createTableDistribution({
     clock: host.clock,
     peerAddress: host.peerAddress,
     incarnation: host.incarnation,
@@ -105,12 +105,12 @@
     countHosts: () => host.getHosts().length,
     getPosition: (table) => tables[table].getPosition(),
     getChangedPosition: (table) => tables[table].getChangedPosition(),
-    fetch: (table, peer) => void fetchFrom(table, peer),
+    fetch: (table, peer) => void fetchTableFrom(table, peer),
   });
   const directory = createUpstreamDirectory({
     clock: host.clock,
     hadOutageWithin: (ms) =>
-      passingOn.hadOutageWithin(ms) || eras.hadRestoreWithin(ms),
+      distribution.hadOutageWithin(ms) || eras.hadRestoreWithin(ms),
     onChange(entry, change, from) {
       host.log({
         event: "upstream-changed",
@@ -146,7 +146,7 @@
     else directory.update(upstreams.getRows(), upstreams.getPosition());
   }
 
-  async function fetchFrom(table: TableName, peer: string): Promise<void> {
+  async function fetchTableFrom(table: TableName, peer: string): Promise<void> {
     if (fetching.has(table)) return;
     fetching.add(table);
     const sinceMs = host.clock.monotonicMs();
@@ -172,36 +172,36 @@
   }
 
   function isReader(table: TableName): boolean {
-    const unconfirmedMs = passingOn.getUnconfirmedMs(table);
-    const choice = decideToRead({
+    const unconfirmedMs = distribution.getUnconfirmedMs(table);
+    const decision = decideToRead({
       self: host.peerAddress,
       hosts: host.getHosts(),
-      hasRecentFailure: (peer) => passingOn.hasRecentFailure(table, peer),
+      hasRecentFailure: (peer) => distribution.hasRecentFailure(table, peer),
       unconfirmedMs,
     });
-    logChoice(table, choice, unconfirmedMs);
-    return choice.reads;
+    logDecision(table, decision, unconfirmedMs);
+    return decision.reads;
   }
 
-  function logChoice(
+  function logDecision(
     table: TableName,
-    choice: ReadingDecision,
+    decision: ReadingDecision,
     unconfirmedMs: number,
   ): void {
-    const known = choices.get(table);
-    choices.set(table, choice);
-    const isSame = known?.reads === choice.reads &&
-      known.because === choice.because;
+    const known = decisions.get(table);
+    decisions.set(table, decision);
+    const isSame = known?.reads === decision.reads &&
+      known.because === decision.because;
     if (isSame) return;
     host.log({
       event: "table-reader-changed",
       table,
-      ...choice,
+      ...decision,
       unconfirmedMs: roundMs(unconfirmedMs),
     });
   }
 
-  function follow(name: TableName): Effect.Effect<never> {
+  function followPlatformTable(name: TableName): Effect.Effect<never> {
     return followTable<unknown>({
       clock: host.clock,
       source: host.platform[name],
@@ -209,20 +209,20 @@
       isReader: () => isReader(name),
       random: host.random,
       onAnswer(changed) {
-        if (lost.delete(name)) {
+        if (unreachable.delete(name)) {
           const reason = "It answers again";
           host.log({ event: "platform-regained", table: name, reason });
         }
         if (changed) onChanged(name, "platform");
-        passingOn.recordRead(name, changed);
+        distribution.recordRead(name, changed);
       },
       onFailure(err) {
-        if (!lost.has(name)) {
+        if (!unreachable.has(name)) {
           const { reason } = err;
           host.log({ event: "platform-lost", table: name, reason });
         }
-        lost.add(name);
-        passingOn.recordFailure(name);
+        unreachable.add(name);
+        distribution.recordFailure(name);
       },
       onDefect(defect) {
         const reason = String(defect);
@@ -239,16 +239,16 @@
       platformEra: upstreams.getPosition().era,
       upstreamsVersion: upstreams.getPosition().version,
       confirmedMsAgo: roundMs(
-        Math.max(...TABLE_NAMES.map(passingOn.getUnconfirmedMs)),
+        Math.max(...TABLE_NAMES.map(distribution.getUnconfirmedMs)),
       ),
     }),
     receive(fact) {
-      if (fact.key.startsWith(REPORT_KEY_PREFIX)) passingOn.receive(fact);
+      if (fact.key.startsWith(REPORT_KEY_PREFIX)) distribution.receive(fact);
       else if (fact.key.startsWith(LEAVING_KEY_PREFIX)) {
         directory.markLeaving(parseLeavingFact(fact), "host");
       }
     },
-    noteLeaving(life) {
+    markLeaving(life) {
       if (!directory.markLeaving(life, "answer")) return;
       host.pushFact(createLeavingFact(life));
     },
@@ -258,7 +258,10 @@
       if (table.getPosition().version === 0) return undefined;
       return Buffer.from(JSON.stringify(table.getSnapshot()));
     },
-    run: Effect.all([follow("config"), follow("upstreams")], {
+    run: Effect.all([
+      followPlatformTable("config"),
+      followPlatformTable("upstreams"),
+    ], {
       concurrency: "unbounded",
     }).pipe(Effect.andThen(Effect.never)),
   };
--- a/src/testing/knowledge_checks.ts
+++ b/src/testing/knowledge_checks.ts
@@ -6,7 +6,7 @@
  */
 
 import { getOrCreate } from "../core/mod.ts";
-import type { Knowledge } from "../entry/knowledge.ts";
+import type { PlatformView } from "../entry/platform_view.ts";
 import type { KnowledgeFleet } from "./knowledge_fleet.ts";
 
 /** A change that the platform has accepted. */
@@ -58,8 +58,8 @@
   const broken: string[] = [];
   const configs: Accepted[] = [];
   const upstreams: Accepted[] = [];
-  const highest = new Map<Knowledge, number>();
-  const seen = new Map<Knowledge, SeenUpstreams>();
+  const highest = new Map<PlatformView, number>();
+  const seen = new Map<PlatformView, SeenUpstreams>();
   const leaving = new Set<string>();
   let worstMs = 0;
 
@@ -99,7 +99,7 @@
   }
 
   /** An upstream that is not registered any more, and was gone, stays gone. */
-  function checkUpstreams(host: string, knowledge: Knowledge): void {
+  function checkUpstreams(host: string, knowledge: PlatformView): void {
     const { ready, gone } = getOrCreate(seen, knowledge, createSeen);
     const now = getReadyIds(knowledge);
     const registered = getRegistered();
@@ -131,7 +131,7 @@
       const entry = ready.find((each) => !leaving.has(each.id));
       if (entry === undefined) return;
       leaving.add(entry.id);
-      knowledge!.noteLeaving(entry);
+      knowledge!.markLeaving(entry);
       const isGone = !getReadyIds(knowledge!).has(entry.id);
       if (!isGone) fail(`${host} sends on to ${entry.id}, which leaves`);
     },
@@ -168,7 +168,7 @@
   return { ready: new Set(), gone: new Set() };
 }
 
-function getReadyIds(knowledge: Knowledge): ReadonlySet<string> {
+function getReadyIds(knowledge: PlatformView): ReadonlySet<string> {
   const ready = knowledge.directory.getReady("model");
   return new Set(ready.map((each) => each.id));
 }
--- a/src/testing/knowledge_fleet.ts
+++ b/src/testing/knowledge_fleet.ts
@@ -12,10 +12,10 @@
 import * as TestClock from "effect/testing/TestClock";
 import type { Decision } from "../diagnostics/mod.ts";
 import {
-  createKnowledge,
+  createPlatformView,
   type FetchOutcome,
-  type Knowledge,
-} from "../entry/knowledge.ts";
+  type PlatformView,
+} from "../entry/platform_view.ts";
 import { createAgenda } from "../measure/agenda.ts";
 import { createRandom } from "../measure/random.ts";
 import type { Fact } from "../membership/mod.ts";
@@ -50,7 +50,7 @@
   /** What the hosts have logged, in order. */
   readonly logged: readonly FleetLine[];
   /** What the host knows; `undefined` while it is down. */
-  tryGetKnowledge(host: string): Knowledge | undefined;
+  tryGetKnowledge(host: string): PlatformView | undefined;
   /** Configuration in force at each host that is up; 0 for none. */
   getVersions(): readonly number[];
   run(ms: number): Effect.Effect<void>;
@@ -78,7 +78,7 @@
 const STEP_MS = 10;
 
 interface Life {
-  readonly knowledge: Knowledge;
+  readonly knowledge: PlatformView;
   readonly fiber: Fiber.Fiber<never>;
 }
 
@@ -142,10 +142,10 @@
     });
   }
 
-  function createHost(host: string): Knowledge {
+  function createHost(host: string): PlatformView {
     const send = (fact: Fact) => push(host, fact);
     incarnations++;
-    return createKnowledge({
+    return createPlatformView({
       clock,
       platform: tables.createPlatform(host),
       peerAddress: host,
