--- a/src/entry/entry.ts
+++ b/src/entry/entry.ts
@@ -218,7 +218,7 @@
     clock,
     incarnation,
     random: host.random,
-    onMember: (member) =>
+    onMemberChanged: (member) =>
       log({
         event: "member-changed",
         member: member.host,
@@ -227,7 +227,7 @@
       }),
     onFact,
     tryGetTable: (name) => knowledge.tryGetTable(name),
-    onFailed: (reason) =>
+    onTickFailed: (reason) =>
       log({ event: "task-failed", task: "membership", reason }),
   });
   peers.setSeeds(settings.seeds);
--- a/src/entry/peers.ts
+++ b/src/entry/peers.ts
@@ -30,11 +30,11 @@
   /** Wall milliseconds of this process's start. */
   readonly incarnation: number;
   random(): number;
-  onMember(member: Member): void;
+  onMemberChanged(member: Member): void;
   onFact(fact: Fact): void;
   /** A table by its name, as it is passed on. */
   tryGetTable(name: string): Uint8Array | undefined;
-  onFailed(reason: string): void;
+  onTickFailed(reason: string): void;
 }
 
 /** The other hosts. */
@@ -88,7 +88,7 @@
     clock: host.clock,
     random: host.random,
     send: (address, message) => void datagrams.send(address, message),
-    onChange: host.onMember,
+    onChange: host.onMemberChanged,
     onFact: host.onFact,
     // Versions travel in the readers' reports, each with its table.
     onConfigVersion: () => {},
@@ -111,7 +111,7 @@
       membership.tick();
     } catch (err) {
       // Thrown on, it would end the process with all its requests.
-      host.onFailed(String(err));
+      host.onTickFailed(String(err));
     }
   }
 
--- a/src/entry/peers_test.ts
+++ b/src/entry/peers_test.ts
@@ -38,10 +38,10 @@
       onProbe();
       return 0;
     },
-    onMember: ({ state }) => void (state === "suspect" && onSuspect()),
+    onMemberChanged: ({ state }) => void (state === "suspect" && onSuspect()),
     onFact: () => {},
     tryGetTable: () => undefined,
-    onFailed: (reason) => {
+    onTickFailed: (reason) => {
       throw new Error(reason);
     },
   });
