--- a/src/entry/entry.ts
+++ b/src/entry/entry.ts
@@ -58,7 +58,7 @@
 const QUEUE_TICK_MS = 10;
 
 /** Of a service whose prompts' route has just been removed, in ms. */
-const NO_TARGET_MS = 1_000;
+const DEFAULT_TARGET_MS = 1_000;
 
 /** Starts an entry host; rejects when an address is taken. */
 export async function startEntry(
@@ -93,12 +93,12 @@
   function onFact(fact: Fact): void {
     if (fact.key.startsWith(CRASH_KEY)) crashes.receive(fact);
     else if (fact.key.startsWith(FULL_KEY_PREFIX)) fullHosts.receive(fact);
-    else knowledge.receive(fact);
+    else platformView.receive(fact);
   }
 
   const workingClock = createWorkingClock(clock);
   const health = createHealthWatch(workingClock);
-  const loop = createEventLoopMonitor(clock, QUEUE_TICK_MS);
+  const loopMonitor = createEventLoopMonitor(clock, QUEUE_TICK_MS);
   const fullHosts = createFullHosts({
     clock,
     peerAddress,
@@ -122,7 +122,7 @@
     getDigest: getNameDigest,
     isAlive: (address) => peers.membership.isUsable(address),
     getStatedCapacity: () =>
-      knowledge.tryGetRoutes()?.config.tokensPerSecond ?? 0,
+      platformView.tryGetRoutes()?.config.tokensPerSecond ?? 0,
     getLearned: () =>
       [...pacings].map(([service, pacing]) => ({
         ...pacing.getEvidence(),
@@ -142,14 +142,14 @@
         }),
     );
   function getLimitTokens(service: string): number {
-    const targetMs = knowledge.tryGetRoutes()?.tryGetPromptTargetMs(service);
-    return getPacing(service).getLimitTokens(targetMs ?? NO_TARGET_MS);
+    const targetMs = platformView.tryGetRoutes()?.tryGetPromptTargetMs(service);
+    return getPacing(service).getLimitTokens(targetMs ?? DEFAULT_TARGET_MS);
   }
 
   const queue = createPromptQueue({
     nowMs: clock.monotonicMs,
     getLoad: (upstream) => ({
-      slots: knowledge.directory.getSlots(upstream),
+      slots: platformView.directory.getSlots(upstream),
       inFlight: load.getInFlight(upstream),
       readingTokens: load.getReadingTokens(upstream),
       underservedElsewhere: load.getUnderservedElsewhere(upstream),
@@ -177,21 +177,21 @@
         request: undefined,
       }),
   });
-  const knowledge = createPlatformView({
+  const platformView = createPlatformView({
     clock,
     platform: host.platform,
     peerAddress,
     incarnation,
     random: host.random,
     log,
-    onPlatformRestored: () => directory.refresh(),
+    onPlatformRestored: () => registration.refresh(),
     onFetched: (table, outcome) => metrics.observeFetch(table, outcome),
     getHosts: () => getAlive().map((each) => each.peerAddress),
     pushFact: (fact) => peers.membership.pushFact(fact),
     spreadFact: (fact) => peers.membership.spreadFact(fact),
     fetchTable: (name, peer) => peers.fetchTable(name, peer),
   });
-  const leaving = createDrain({
+  const drain = createDrain({
     clock,
     graceMs: settings.stopGraceMs,
     announceLeaving: () => peers.membership.leave(),
@@ -199,14 +199,14 @@
       log({ event: "drain-phase", phase, inFlight }),
   });
   const isReady = () =>
-    !leaving.isDraining() && !intake.isFull() &&
-    knowledge.tryGetRoutes() !== undefined;
+    !drain.isDraining() && !intake.isFull() &&
+    platformView.tryGetRoutes() !== undefined;
   const metrics = createEntryMetrics({
-    getConfigVersion: () => knowledge.getInputs().configVersion,
+    getConfigVersion: () => platformView.getInputs().configVersion,
     getQueued: queue.getCount,
-    countInFlight: leaving.countInFlight,
+    countInFlight: drain.countInFlight,
     countAliveHosts: () => getAlive().length,
-    getUnreadMs: loop.getUnreadMs,
+    getUnreadMs: loopMonitor.getUnreadMs,
     getReadingLimits: () =>
       [...pacings.keys()].map((service) => ({
         service,
@@ -226,7 +226,7 @@
         incarnation: member.incarnation,
       }),
     onFact,
-    tryGetTable: (name) => knowledge.tryGetTable(name),
+    tryGetTable: (name) => platformView.tryGetTable(name),
     onTickFailed: (reason) =>
       log({ event: "task-failed", task: "membership", reason }),
   });
@@ -245,8 +245,8 @@
     startedMs,
     codec: protocol.calls,
     agent,
-    directory: knowledge.directory,
-    noteLeaving: knowledge.markLeaving,
+    directory: platformView.directory,
+    noteLeaving: platformView.markLeaving,
     queue,
     load,
     getPacing,
@@ -257,13 +257,13 @@
       clock,
       getFleetOptions(retries, () => getAlive().length),
     ),
-    tryGetRoutes: knowledge.tryGetRoutes,
+    tryGetRoutes: platformView.tryGetRoutes,
     getDistance,
-    isBehind: loop.isOverloaded,
-    getTurnMs: loop.getTurnOverrunMs,
-    getUnreadMs: loop.getUnreadMs,
-    mayStart: leaving.mayStartRequest,
-    getInputs: knowledge.getInputs,
+    isBehind: loopMonitor.isOverloaded,
+    getTurnMs: loopMonitor.getTurnOverrunMs,
+    getUnreadMs: loopMonitor.getUnreadMs,
+    mayStart: drain.mayStartRequest,
+    getInputs: platformView.getInputs,
     log,
     onEnded: metrics.observeEnd,
     random: host.random,
@@ -272,7 +272,7 @@
   const callers = await listen(
     settings.callerAddress,
     (req, res) => {
-      leaving.track(res);
+      drain.track(res);
       serve(forwardHost, req, res);
     },
     getBacklog(settings.processorShare),
@@ -314,18 +314,18 @@
 
   function watch(): void {
     workingClock.tick();
-    loop.tick();
+    loopMonitor.tick();
     intake.tick();
   }
 
   /** Prompts wait for time to pass as well as for events. */
   function decide(): void {
     queue.tick();
-    const limits = knowledge.tryGetRoutes()?.config.callerLimits;
+    const limits = platformView.tryGetRoutes()?.config.callerLimits;
     if (limits !== undefined) setCallerLimits(callers.server, limits);
   }
 
-  const directory = createHostRegistration({
+  const registration = createHostRegistration({
     directory: host.platform.hosts,
     peerAddress,
     seeds: settings.seeds,
@@ -335,17 +335,17 @@
     onFailure: (reason) =>
       log({ event: "platform-lost", table: "hosts", reason }),
   });
-  const exchange = await openLoadExchange({
+  const loadExchange = await openLoadExchange({
     clock: workingClock,
     self: { peerAddress, dataCentre: settings.dataCentre },
     view: load,
     getHosts: getAlive,
   });
   const tasks = [
-    exchange.run,
+    loadExchange.run,
     peers.run,
-    knowledge.run,
-    directory.run,
+    platformView.run,
+    registration.run,
   ]
     .map((task) => Effect.runFork(task));
   const ticker = startTicker(QUEUE_TICK_MS, { measure: watch, decide });
@@ -359,8 +359,8 @@
 
   return {
     async drain() {
-      Effect.runFork(directory.remove);
-      const result = await Effect.runPromise(leaving.run);
+      Effect.runFork(registration.remove);
+      const result = await Effect.runPromise(drain.run);
       log({ event: "stopped", ...result });
       return result;
     },
@@ -369,7 +369,7 @@
       for (const task of tasks) await Effect.runPromise(Fiber.interrupt(task));
       for (const server of servers) await server[Symbol.asyncDispose]();
       agent.destroy();
-      await exchange[Symbol.asyncDispose]();
+      await loadExchange[Symbol.asyncDispose]();
       await peers[Symbol.asyncDispose]();
     },
   };
