--- a/src/entry/entry.ts
+++ b/src/entry/entry.ts
@@ -312,7 +312,7 @@
     );
   }
 
-  function watch(): void {
+  function measureIterations(): void {
     workingClock.tick();
     loopMonitor.tick();
     intake.tick();
@@ -348,7 +348,10 @@
     registration.run,
   ]
     .map((task) => Effect.runFork(task));
-  const ticker = startTicker(QUEUE_TICK_MS, { measure: watch, decide });
+  const ticker = startTicker(QUEUE_TICK_MS, {
+    measure: measureIterations,
+    decide,
+  });
   log({
     event: "started",
     name: settings.name,
--- a/src/entry/event_loop_monitor.ts
+++ b/src/entry/event_loop_monitor.ts
@@ -41,16 +41,16 @@
   let turnStartMs = clock.monotonicMs();
   let previousTurnStartMs = turnStartMs;
 
-  const getTurnMs = () =>
+  const getTurnOverrunMs = () =>
     Math.max(0, clock.monotonicMs() - turnStartMs - periodMs);
 
   return {
-    getTurnOverrunMs: getTurnMs,
+    getTurnOverrunMs,
     tick() {
       previousTurnStartMs = turnStartMs;
       turnStartMs = clock.monotonicMs();
     },
-    isOverloaded: () => getTurnMs() > MAX_TURN_MS,
+    isOverloaded: () => getTurnOverrunMs() > MAX_TURN_MS,
     // What came during the turn before is read in this one.
     getUnreadMs: () =>
       Math.max(0, clock.monotonicMs() - previousTurnStartMs - 2 * periodMs),
--- a/src/entry/platform_view.ts
+++ b/src/entry/platform_view.ts
@@ -71,7 +71,7 @@
   /** Takes in what another host tells: a reader's report, or who leaves. */
   receive(fact: Fact): void;
   /** An upstream has told this host that it leaves; the others are told. */
-  markLeaving(life: UpstreamInstance): void;
+  markLeaving(instance: UpstreamInstance): void;
   /** A table as it is passed on; `undefined` for one never seen. */
   tryGetTable(name: string): Uint8Array | undefined;
   /** Follows the platform; never ends. */
@@ -159,8 +159,8 @@
         return;
       }
       const text = Buffer.from(bytes).toString("utf8");
-      const state = JSON.parse(text) as TableSnapshot<unknown>;
-      const isNewer = tables[table].replace(state);
+      const snapshot = JSON.parse(text) as TableSnapshot<unknown>;
+      const isNewer = tables[table].replace(snapshot);
       host.onFetched(table, isNewer ? "newer" : "not-newer");
       if (isNewer) onChanged(table, peer);
     } catch (err) {
@@ -248,9 +248,9 @@
         directory.markLeaving(parseLeavingFact(fact), "host");
       }
     },
-    markLeaving(life) {
-      if (!directory.markLeaving(life, "answer")) return;
-      host.pushFact(createLeavingFact(life));
+    markLeaving(instance) {
+      if (!directory.markLeaving(instance, "answer")) return;
+      host.pushFact(createLeavingFact(instance));
     },
     tryGetTable(name) {
       const table = tables[name as TableName];
