--- a/src/entry/caller_addresses.ts
+++ b/src/entry/caller_addresses.ts
@@ -1,9 +1,10 @@
 /**
- * Decides which hosts a caller is told to use.
+ * Selects the host addresses that a caller receives.
  *
- * Load: hosts are killed or stopped while their callers keep an answer for
- * seconds. Harm prevented: a caller with one address that died has none left
- * until it asks again; a caller sent far away pays the way for each request.
+ * Load: hosts are killed or stopped while their callers cache the list of hosts
+ * for seconds. Failure prevented: a caller whose only address belongs to a dead
+ * host can't send requests until it queries again, and a caller that is sent to
+ * a distant host pays the additional latency on each request.
  *
  * @module
  */
@@ -11,34 +12,37 @@
 import type { Member } from "../membership/mod.ts";
 import type { ResolveQuery } from "./types.ts";
 
-/** What the choice is made from. */
+/** The inputs of the selection. */
 export interface AddressInput {
   readonly query: ResolveQuery;
   readonly members: readonly Member[];
   getRegion(dataCentre: string): string | undefined;
-  /** The host takes no new callers for now. */
+  /** Whether the host takes no new callers at present. */
   isFull(member: Member): boolean;
 }
 
 /**
- * A caller gets at least so many hosts where there are as many: two may die at
- * once, and the caller still has one.
+ * Minimum number of hosts that a caller receives, if that many exist. Two of
+ * them may die at once and the caller still has others.
  */
 const MIN_ADDRESSES = 6;
 
-/** Callers read no more than so many. */
+/** Maximum number of addresses that callers accept. */
 const MAX_ADDRESSES = 64;
 
-/** The addresses, those of the caller's own data centre first. */
+/**
+ * Selects the addresses, nearest hosts first. All hosts in the caller's own
+ * data centre are included, up to the maximum.
+ */
 export function chooseAddresses(input: AddressInput): readonly string[] {
   const { members } = input;
   const alive = members.filter((each) => each.state === "alive");
-  // A suspect is better than no host at all.
+  // If no host is alive, suspect hosts are returned rather than none.
   const usable = alive.length > 0
     ? alive
     : members.filter((each) => each.state === "suspect");
   const notFull = usable.filter((each) => !input.isFull(each));
-  // A full host is better than none, too.
+  // If all hosts are full, they are returned rather than none.
   const candidates = notFull.length > 0 ? notFull : usable;
   const ranked = candidates
     .map((member) => ({ member, distance: getDistance(member, input) }))
--- a/src/entry/caller_addresses_test.ts
+++ b/src/entry/caller_addresses_test.ts
@@ -33,7 +33,7 @@
   });
 }
 
-test("callers are sent near, and get more than one host to fall back on", () => {
+test("callers receive the nearest hosts first, and more than one as a fallback", () => {
   const members = [
     createMember("c1", "c"),
     createMember("b1", "b"),
@@ -43,9 +43,10 @@
   deepStrictEqual(choose(members), ["a1", "a2", "b1", "c1"]);
 });
 
-test("a host that is suspect, leaving or dead is not named", () => {
-  // A host loses power. Its callers ask again within two seconds; whoever is
-  // told its address waits a second for a connection that never comes.
+test("a host that is suspect, leaving or dead is not returned", () => {
+  // A host loses power and its callers query again within two seconds. A caller
+  // that receives its address waits a second for a connection that is never
+  // established.
   const members = [
     createMember("a1", "a", "suspect"),
     createMember("a2", "a", "leaving"),
@@ -55,7 +56,7 @@
   deepStrictEqual(choose(members), ["b1"]);
 });
 
-test("no more are named than callers read", () => {
+test("no more addresses are returned than callers accept", () => {
   const members = Array.from(
     { length: 100 },
     (_, at) => createMember(`a${at}`, "a"),
@@ -63,9 +64,9 @@
   strictEqual(choose(members).length, 64);
 });
 
-test("a full host is not named while another takes callers", () => {
-  // Guards against callers of calm teams that wait for a connection at a host
-  // which a flood keeps busy.
+test("a full host is not returned while another host takes callers", () => {
+  // Guards against callers of teams within their share that wait for a
+  // connection at a host overloaded by another team.
   const members = [createMember("a1", "a"), createMember("b1", "b")];
   deepStrictEqual(choose(members, ["a1"]), ["b1"]);
   deepStrictEqual(choose(members, ["a1", "b1"]), ["a1", "b1"]);
--- a/src/entry/drain.ts
+++ b/src/entry/drain.ts
@@ -1,11 +1,12 @@
 /**
- * The end of an entry host, from SIGTERM to its exit.
+ * Drains an entry host between SIGTERM and its exit.
  *
- * Callers keep an answer about hosts for seconds and their connections for
- * longer, so requests go on coming. From the signal on no answer to a caller
- * names this host, it is not ready, and each answer closes its connection. A
- * request that can't end in the time left is refused with a true "not run";
- * what has begun is brought to its end.
+ * Callers cache the list of hosts for seconds and keep their connections for
+ * longer, so requests continue to arrive. From the signal on, this host is
+ * absent from the answers to host queries, reports that it is not ready, and
+ * closes each connection after its response. A request that can't complete in
+ * the remaining time is refused as "not run", which is true because it was not
+ * sent to an upstream. Requests that have started are completed.
  *
  * @module
  */
@@ -14,48 +15,58 @@
 import * as Effect from "effect/Effect";
 import type { Clock } from "../core/mod.ts";
 
-/** Requests in flight and the way out. */
+/** The requests in flight and the state of the drain. */
 export interface Drain {
   isDraining(): boolean;
-  /** Whether a request of so long, in ms, may begin now. */
+  /** Whether a request with this expected duration, in ms, may start now. */
   mayStartRequest(expectedMs: number): boolean;
-  /** Counts the answer as in flight until its last byte went out. */
+  /**
+   * Counts the response as in flight until its connection has closed or its
+   * last byte was sent.
+   */
   track(res: ServerResponse): void;
   countInFlight(): number;
-  /** Succeeds when nothing is left to wait for; gives what was cut. */
+  /** Drains the host; returns the number of responses that were cut off. */
   readonly run: Effect.Effect<{ cut: number; tookMs: number }>;
 }
 
-/** What leaving needs of the process. */
+/** Dependencies of the drain. */
 export interface DrainHost {
   readonly clock: Clock;
-  /** From the signal to the kill, in ms. */
+  /** Time from SIGTERM to SIGKILL, in ms. */
   readonly graceMs: number;
-  /** Tells the other hosts. */
+  /** Announces to the other hosts that this host is leaving. */
   announceLeaving(): void;
   onPhase(phase: "leaving" | "ending", inFlight: number): void;
 }
 
-/** Kept for the exit itself, in ms. */
+/** Time reserved for the exit of the process, in ms. */
 const EXIT_MARGIN_MS = 400;
 
 /**
- * Any request may begin in this part of the grace: streams have the rest. Most
- * callers have asked anew by then, since they keep an answer for 2 s. What begins
- * after three eighths and is cut at the end counts as lost, and this host may
- * hear of the signal a tenth of a second after it was given.
+ * Share of the grace period in which every request may start; the rest is left
+ * for streams to complete. Most callers have queried the hosts again by then,
+ * since they cache the answer for 2 s. A request that starts after three
+ * eighths of the grace period and is cut off at its end counts as lost, and
+ * this host may receive the signal 100 ms after it was sent.
  */
 const ADMIT_ALL_SHARE = 1 / 4;
 
-/** A host without work stays for this part of it: late callers still come. */
+/**
+ * Minimum share of the grace period for which a host without requests keeps
+ * running, because late callers still arrive.
+ */
 const MIN_STAY_SHARE = 5 / 8;
 
-/** And until no request has come for so long, in ms. */
+/**
+ * The host also keeps running until no request has arrived for this time, in
+ * ms.
+ */
 const MIN_QUIET_MS = 1_000;
 
 const CHECK_INTERVAL_MS = 50;
 
-/** Makes the state of a host that serves. */
+/** Creates the drain of a host that is serving. */
 export function createDrain(host: DrainHost): Drain {
   const { clock, graceMs } = host;
   const openResponses = new Set<ServerResponse>();
--- a/src/entry/drain_test.ts
+++ b/src/entry/drain_test.ts
@@ -29,15 +29,16 @@
   return { res: res as unknown as ServerResponse, headers };
 }
 
-test("a serving host starts everything", () => {
+test("a host that is not draining starts every request", () => {
   const { drain } = createFixture();
   strictEqual(drain.mayStartRequest(60_000), true);
   strictEqual(drain.isDraining(), false);
 });
 
-test("a leaving host refuses what can't end in its time, and starts the rest", async () => {
-  // Callers go on sending on kept connections 6.7 s after SIGTERM. A stream of
-  // 5 s that began then would be cut by SIGKILL; a call of 0.9 s ends in time.
+test("a draining host refuses requests that can't complete in time, and starts others", async () => {
+  // Callers still send requests on kept-alive connections 6.7 s after SIGTERM.
+  // A stream of 5 s that started then would be cut off by SIGKILL; a call of
+  // 0.9 s completes in time.
   const { clock, drain, phases } = createFixture();
   const running = Effect.runPromise(drain.run);
   await Promise.resolve();
@@ -51,11 +52,11 @@
   deepStrictEqual(phases, ["told", "leaving", "ending"]);
 });
 
-test("a long stream that comes three seconds after the signal isn't begun", async () => {
-  // Seen on a day on which all hosts are stopped in turn: a draft of ten seconds
-  // was sent 3.03 s after SIGTERM, which this host had heard a little later; it
-  // began, and was cut by the end of the grace. A refused caller is served by
-  // another host at once.
+test("a long stream that arrives three seconds after the signal is not started", async () => {
+  // Guards against a stream that is cut off by the end of the grace period.
+  // During a rolling restart, a stream of 10 s arrived 3.03 s after SIGTERM,
+  // which this host had received a little later. The stream was started and cut
+  // off. A refused caller is served by another host at once.
   const { clock, drain } = createFixture();
   const running = Effect.runPromise(drain.run);
   await Promise.resolve();
@@ -65,7 +66,7 @@
   await running;
 });
 
-test("each answer of a leaving host closes its connection", async () => {
+test("each response of a draining host closes its connection", async () => {
   const { clock, drain } = createFixture();
   const before = createResponse();
   drain.track(before.res);
--- a/src/entry/entry.ts
+++ b/src/entry/entry.ts
@@ -1,6 +1,7 @@
 /**
- * One entry host's process: makes the parts, joins them and runs their tasks.
- * Disposing of it ends its tasks and closes its sockets.
+ * Assembles one entry host: creates its components, connects them and runs
+ * their background tasks. Disposing of the entry host stops the tasks and
+ * closes the sockets.
  *
  * @module
  */
@@ -47,20 +48,31 @@
 
 /** A running entry host. */
 export interface Entry extends AsyncDisposable {
-  /** Takes no new work and ends what it has, within the grace. */
+  /**
+   * Stops taking new requests and completes the running ones within the grace
+   * period. Returns the number of responses that were cut off.
+   */
   drain(): Promise<{ readonly cut: number; readonly tookMs: number }>;
 }
 
-/** Callers ask again after so long, in ms: hosts come and go within seconds. */
+/**
+ * How long callers may cache a list of hosts, in ms. It is short because hosts
+ * come and go within seconds.
+ */
 const RESOLVE_TTL_MS = 2_000;
 
-/** Waiting prompts are looked at so often, in ms: a sixtieth of a target. */
+/**
+ * Interval of the scheduling passes over the queue, in ms: a sixtieth of a
+ * prompt target.
+ */
 const QUEUE_TICK_MS = 10;
 
-/** Of a service whose prompts' route has just been removed, in ms. */
+/**
+ * Prompt target for a service whose prompt route has just been removed, in ms.
+ */
 const DEFAULT_TARGET_MS = 1_000;
 
-/** Starts an entry host; rejects when an address is taken. */
+/** Starts an entry host; rejects if an address is already in use. */
 export async function startEntry(
   settings: EntrySettings,
   host: EntryHost,
@@ -318,7 +330,7 @@
     intake.tick();
   }
 
-  /** Prompts wait for time to pass as well as for events. */
+  /** Waiting prompts depend on elapsed time as well as on events. */
   function decide(): void {
     queue.tick();
     const limits = platformView.tryGetRoutes()?.config.callerLimits;
--- a/src/entry/era_tracker.ts
+++ b/src/entry/era_tracker.ts
@@ -1,6 +1,6 @@
 /**
- * The eras of the platform that this host has seen: whether the platform came back
- * from an older copy of itself a moment ago.
+ * Tracks the platform's eras, to detect that the platform was recently restored
+ * from an older backup.
  *
  * @module
  */
@@ -13,23 +13,25 @@
   type TablePosition,
 } from "../discovery/mod.ts";
 
-/** What the watch needs of the process. */
+/** Dependencies of an era tracker. */
 export interface EraTrackerHost {
   readonly clock: Clock;
   log(decision: Decision): void;
-  /** Once for each return, whichever table shows it first. */
+  /** Called once for each restore, whichever table shows it first. */
   onRestored(): void;
 }
 
-/** The eras seen. */
+/** The eras that this host has seen. */
 export interface EraTracker {
-  /** This host has a copy of the table from there; `from` tells who gave it. */
+  /**
+   * Records the position of this host's replica of a table; `from` names the
+   * source of the copy.
+   */
   recordPosition(table: TableName, position: TablePosition, from: string): void;
-  /** Whether a later era than before was seen within the time given, in ms. */
+  /** Whether a restore was detected within the last `ms` milliseconds. */
   hadRestoreWithin(ms: number): boolean;
 }
 
-/** Makes a watch that has seen none. */
 export function createEraTracker(host: EraTrackerHost): EraTracker {
   const known = new Map<TableName, TablePosition>();
   let restoredEra = -Infinity;
--- a/src/entry/era_tracker_test.ts
+++ b/src/entry/era_tracker_test.ts
@@ -14,7 +14,7 @@
   return { clock, seen, eras };
 }
 
-test("a return is told once, whichever table shows it first", () => {
+test("a restore is reported once, whichever table shows it first", () => {
   const { clock, seen, eras } = createFixture();
   eras.recordPosition("config", { era: 1, version: 9 }, "platform");
   eras.recordPosition("upstreams", { era: 1, version: 9 }, "platform");
@@ -32,8 +32,9 @@
   strictEqual(eras.hadRestoreWithin(4_000), false);
 });
 
-test("a return is told though a table that was never read shows its era first", () => {
-  // Guards against a host that the platform has lost and that doesn't look.
+test("a restore is reported even if a table never read before shows its era first", () => {
+  // Guards against a host that does not check whether the restore has lost its
+  // registration.
   const { seen, eras } = createFixture();
   eras.recordPosition("upstreams", { era: 1, version: 9 }, "platform");
   eras.recordPosition("config", { era: 2, version: 5 }, "platform");
--- a/src/entry/event_loop_monitor.ts
+++ b/src/entry/event_loop_monitor.ts
@@ -1,39 +1,48 @@
 /**
- * How far this process is behind its callers.
+ * Measures event-loop iterations ("turns"), to detect that this process can't
+ * keep up with its callers.
  *
- * Load: a team that floods sends all its requests through one connection pool,
- * and so to one host; a host with an eighth of a core takes some fifteen requests
- * a second and got two hundred. Harm prevented: each turn of the event loop reads
- * all that has come meanwhile and so takes longer than the one before; requests
- * were read five seconds after they came, and sent on after their callers had
- * left, while callers of other teams found no place to connect to. So what is
- * read late in a long turn is refused, not run, and its connection closed: the
- * caller comes back on a new one, to another host if it uses several.
+ * Load: a team that sends far more than its share uses one connection pool and
+ * therefore one host. A host with an eighth of a core processes some 15
+ * requests per second and received 200. Failure prevented: each iteration reads
+ * everything that has arrived meanwhile and so takes longer than the one
+ * before. Requests were read 5 s after their arrival and sent on after their
+ * callers had disconnected, while callers of other teams could not connect.
+ * Therefore requests that are read late in a long iteration are refused without
+ * being run and their connections are closed. The caller reconnects, to another
+ * host if it uses several.
  *
  * @module
  */
 
 import type { Clock } from "../core/mod.ts";
 
-/** Measures the turns of the event loop. */
+/** Measures the iterations of the event loop. */
 export interface EventLoopMonitor {
-  /** Called by a timer, once in each period. */
+  /** Called by a timer once per period. */
   tick(): void;
-  /** The present turn takes too long for anything new to be on time. */
+  /**
+   * Whether the current iteration is so long that new requests can't be served
+   * in time.
+   */
   isOverloaded(): boolean;
-  /** How long the present turn has taken beyond the period, in ms. */
+  /** How long the current iteration has taken beyond the period, in ms. */
   getTurnOverrunMs(): number;
-  /** How long a request that is read now may have waited unread, in ms. */
+  /**
+   * How long a request that is read now may have waited unread in the socket,
+   * in ms.
+   */
   getUnreadMs(): number;
 }
 
 /**
- * A turn may take so long, in ms: a quarter of the targets of prompts, and twice
- * the pause of a process whose share of a core is used up in a tenth of a second.
+ * Maximum length of an iteration beyond the timer's period, in ms. It is a
+ * quarter of the targets for prompts, and twice the pause of a process that has
+ * used up its share of a core in a 100 ms period.
  */
 const MAX_TURN_MS = 200;
 
-/** Makes a watch for a timer of the period given, in ms. */
+/** Creates a monitor for a timer with the given period, in ms. */
 export function createEventLoopMonitor(
   clock: Clock,
   periodMs: number,
@@ -51,7 +60,8 @@
       turnStartMs = clock.monotonicMs();
     },
     isOverloaded: () => getTurnOverrunMs() > MAX_TURN_MS,
-    // What came during the turn before is read in this one.
+    // Input that arrived during the previous iteration is read in the current
+    // one.
     getUnreadMs: () =>
       Math.max(0, clock.monotonicMs() - previousTurnStartMs - 2 * periodMs),
   };
--- a/src/entry/event_loop_monitor_test.ts
+++ b/src/entry/event_loop_monitor_test.ts
@@ -5,9 +5,10 @@
 
 const PERIOD_MS = 10;
 
-test("a host that reads a flood says that it is behind until the turn ends", () => {
-  // Two hundred requests a second come to a host that takes fifteen. Its turns
-  // grow to seconds; what it reads at a turn's end has long been given up.
+test("a host in a long event-loop iteration is overloaded until the iteration ends", () => {
+  // A host that processes 15 requests per second receives 200. Its iterations
+  // grow to seconds, so callers have given up on what it reads at an
+  // iteration's end.
   const clock = createManualClock(1_000);
   const monitor = createEventLoopMonitor(clock, PERIOD_MS);
   monitor.tick();
@@ -19,7 +20,7 @@
   strictEqual(monitor.isOverloaded(), false);
 });
 
-test("what is read now may have waited since the turn before began", () => {
+test("input read now may have waited since the previous iteration began", () => {
   const clock = createManualClock(1_000);
   const monitor = createEventLoopMonitor(clock, PERIOD_MS);
   monitor.tick();
--- a/src/entry/full_hosts.ts
+++ b/src/entry/full_hosts.ts
@@ -1,5 +1,6 @@
 /**
- * Which hosts take no new callers for now, as they have told each other.
+ * Tracks which hosts are full, meaning that they take no new callers at
+ * present. Hosts gossip this to each other.
  *
  * @module
  */
@@ -8,39 +9,46 @@
 import type { Fact, Member } from "../membership/mod.ts";
 import { INTAKE_WINDOW_MS } from "./intake.ts";
 
-/** The full hosts. */
+/** The full hosts as this host knows them. */
 export interface FullHosts {
-  /** Takes a fact of another host in. */
+  /** Processes another host's fact. */
   receive(fact: Fact): void;
-  /** Makes the fact by which this host tells of itself. */
+  /** Creates the fact that announces this host's own state. */
   createFact(isFull: boolean): Fact;
   isFull(peerAddress: string): boolean;
   /**
-   * Whether this host may be full as well: half of its data centre's hosts at
-   * most. Of too many the last by address go on; all hosts count alike.
+   * Whether this host may be full as well. At most half of the hosts in a data
+   * centre may be. If more are overloaded, those with the highest addresses
+   * continue to take callers; all hosts apply this rule alike.
    */
   mayBeFull(members: readonly Member[]): boolean;
 }
 
-/** What the view needs of the process. */
+/** Dependencies of the view of full hosts. */
 export interface FullHostsHost {
   readonly clock: Clock;
   readonly peerAddress: string;
   readonly dataCentre: string;
-  /** Of this start; a restarted host's facts are others. */
+  /**
+   * Identifies this run of the host, since a restarted host's facts need new
+   * keys.
+   */
   readonly incarnation: number;
 }
 
-/** Facts of full hosts begin so. */
+/** Key prefix of the facts about full hosts. */
 export const FULL_KEY_PREFIX = "full/";
 
-/** A full host tells so each second; without news it has room, in ms. */
+/**
+ * Validity of a report that a host is full, in ms. A full host repeats its
+ * report each second; without a new report it counts as not full.
+ */
 const REPORT_TTL_MS = 3 * INTAKE_WINDOW_MS;
 
-/** Share of a data centre's hosts that may rest at once. */
+/** Maximum share of a data centre's hosts that may be full at the same time. */
 const MAX_FULL_SHARE = 1 / 2;
 
-/** Makes the view of a host that has heard nothing. */
+/** Creates the view of a host that has received no reports. */
 export function createFullHosts(host: FullHostsHost): FullHosts {
   const { clock, peerAddress } = host;
   const reportedMs = new Map<string, number>();
--- a/src/entry/full_hosts_test.ts
+++ b/src/entry/full_hosts_test.ts
@@ -16,7 +16,7 @@
   };
 }
 
-/** Hosts of one data centre that hear each other's facts at once. */
+/** Hosts in one data centre that receive each other's facts at once. */
 function createFixture(names: readonly string[]) {
   const clock = createManualClock(1_000);
   const members = [...names.map((name) => createMember(name))];
@@ -28,7 +28,7 @@
   return { clock, members, views, tell };
 }
 
-test("hosts leave out of their answers what has told that it is full", () => {
+test("a host that reports that it is full counts as full at the others", () => {
   const { views: [first, second], tell } = createFixture(["h1", "h2"]);
   tell(first!.createFact(true));
   strictEqual(second!.isFull("h1"), true);
@@ -36,15 +36,15 @@
   strictEqual(second!.isFull("h1"), false);
 });
 
-test("a full host that is gone counts as full no longer", () => {
+test("a full host that stops reporting no longer counts as full", () => {
   const { clock, views: [first, second], tell } = createFixture(["h1", "h2"]);
   tell(first!.createFact(true));
   clock.advance(3_000);
   strictEqual(second!.isFull("h1"), false);
 });
 
-test("however many hosts are full, half of a data centre takes callers", () => {
-  // Guards against a load on all hosts that leaves callers no host at all.
+test("however many hosts are overloaded, half of a data centre takes callers", () => {
+  // Guards against an overload of all hosts that leaves callers no host at all.
   const names = ["h1", "h2", "h3", "h4", "h5"];
   const { views, members, tell } = createFixture(names);
   for (const view of views) tell(view.createFact(true));
@@ -54,7 +54,7 @@
   );
 });
 
-test("a data centre's only host goes on", () => {
+test("a data centre's only host continues to take callers", () => {
   const { views: [only], members } = createFixture(["h1"]);
   strictEqual(only!.mayBeFull(members), false);
 });
--- a/src/entry/host_registration.ts
+++ b/src/entry/host_registration.ts
@@ -1,11 +1,13 @@
 /**
- * Keeps this host's address at the platform, and finds others there when the
- * seeds of the settings are gone. Hosts that have met tell each other the rest,
- * so that the platform is asked seldom.
+ * Keeps this host's address registered with the platform and reads the
+ * addresses of other hosts there, in case the seeds of the settings no longer
+ * exist. Hosts that have met exchange all other addresses by gossip, so the
+ * platform is rarely queried.
  *
- * Failure guarded against: the platform comes back from a copy that is older than
- * this host's registration, and hosts that start find nobody. So a host that does
- * not find itself there registers again, and looks soon after such a return.
+ * Failure prevented: the platform is restored from a backup that is older than
+ * this host's registration, and newly started hosts find no others. Therefore a
+ * host that does not find its own address registers again, and each host checks
+ * soon after such a restore.
  *
  * @module
  */
@@ -13,42 +15,46 @@
 import * as Effect from "effect/Effect";
 import type { HostDirectory, TableError } from "../discovery/mod.ts";
 
-/** What following needs of the process. */
+/** Dependencies of the host registration. */
 export interface HostRegistrationHost {
   readonly directory: HostDirectory;
   readonly peerAddress: string;
   readonly seeds: readonly string[];
   setSeeds(addresses: readonly string[]): void;
-  /** This host has met no other. */
+  /** Whether this host knows no other host that is alive. */
   isAlone(): boolean;
   onFailure(reason: string): void;
-  /** From 0 up to 1. */
+  /** A random number in [0, 1). */
   random(): number;
 }
 
-/** Tasks of one host at the directory. */
+/** The registration of one host. */
 export interface HostRegistration {
-  /** Registers and reads; never ends. */
+  /** Registers this host and reads the list until the effect is interrupted. */
   readonly run: Effect.Effect<never>;
-  /** Looks soon: the platform has come back from an older copy. */
+  /**
+   * Schedules an early read, because the platform was restored from a backup.
+   */
   refresh(): void;
-  /** Takes this host's address out for good. */
+  /** Removes this host's address permanently. */
   readonly remove: Effect.Effect<void>;
 }
 
-/** While alone the directory is read this often, in ms. */
+/** Interval between reads while this host knows no other host, in ms. */
 const ALONE_INTERVAL_MS = 1_000;
 
-/** Otherwise; a host missed by all others shows up by then. */
+/**
+ * Interval between reads otherwise, in ms. A host that no other host knows is
+ * found after this time at the latest.
+ */
 const REFRESH_INTERVAL_MS = 20_000;
 
-/** After a failed call, in ms. */
+/** Delay before the next attempt after a failed call, in ms. */
 const RETRY_DELAY_MS = 1_500;
 
-/** All hosts look after a return of the platform, over so long, in ms. */
+/** After a restore the reads of all hosts are spread over this time, in ms. */
 const REFRESH_SPREAD_MS = 3_000;
 
-/** Makes the tasks. */
 export function createHostRegistration(
   host: HostRegistrationHost,
 ): HostRegistration {
@@ -82,7 +88,7 @@
     if (isRefreshDue) wake();
   });
 
-  /** Waits so long, in ms, or until a refresh is due. */
+  /** Waits for the given time in ms, or until an early read is scheduled. */
   function wait(ms: number): Effect.Effect<void> {
     return Effect.raceFirst(Effect.sleep(ms), untilRefresh).pipe(
       Effect.andThen(Effect.suspend(() => {
--- a/src/entry/intake.ts
+++ b/src/entry/intake.ts
@@ -1,61 +1,70 @@
 /**
- * Decides whether this host takes new connections in time; one that doesn't is
- * not ready, and is not named to callers, until it does again.
+ * Decides whether this host accepts new connections in time. A host that does
+ * not is full: it reports that it is not ready and is left out of the answers
+ * to host queries until it accepts connections in time again.
  *
- * Load: callers of some teams keep to one ready host of their data centre,
- * whichever hosts they are told, and a team that floods opens all its
- * connections there. Harm prevented: Node accepts one connection in each turn of
- * the event loop. A busy host's turns grow, the few places of its accept queue
- * fill, and further callers wait a second for a connection that never comes,
- * while the neighbours have time to spare. Those callers go by readiness alone.
+ * Load: callers of some teams use a single ready host in their data centre,
+ * whichever hosts they are told to use, and a team that sends far more than its
+ * share opens all its connections there. Failure prevented: Node accepts one
+ * connection per event-loop iteration. As the iterations of a busy host grow
+ * longer, its short accept queue fills up, and further callers wait a second
+ * for a connection that is never accepted, while neighbouring hosts are idle.
+ * These callers choose their host by readiness alone.
  *
  * @module
  */
 
 import type { Clock } from "../core/mod.ts";
 
-/** Whether new connections are taken in time. */
+/** Monitors whether new connections are accepted in time. */
 export interface Intake {
-  /** Called by a timer in each turn of the event loop, as far as turns allow. */
+  /** Called by a timer, at most once per event-loop iteration. */
   tick(): void;
   isFull(): boolean;
 }
 
-/** What the decision needs of the process. */
+/** Dependencies of the intake. */
 export interface IntakeHost {
   readonly clock: Clock;
-  /** Enough other hosts of the data centre take callers. */
+  /** Whether enough other hosts in the data centre take callers. */
   mayBeFull(): boolean;
-  /** Told at each change, and in each window while the host is full. */
+  /** Called on each change, and in each window while the host is full. */
   onDecision(state: IntakeState): void;
 }
 
-/** What was decided, and from what. */
+/** The decision and the measurement that it is based on. */
 export interface IntakeState {
   readonly isFull: boolean;
-  /** Over the last window, in ms. */
+  /** Mean duration of an event-loop iteration over the last window, in ms. */
   readonly meanTurnMs: number;
 }
 
-/** Turns are looked at over so long, in ms: one long turn means nothing. */
+/**
+ * Length of the window over which iterations are averaged, in ms, so that a
+ * single long iteration has little effect.
+ */
 export const INTAKE_WINDOW_MS = 1_000;
 
 /**
- * Longest mean turn, in ms, at which a host has room: forty connections a second.
- * A request that opens one takes three turns before it is looked at.
+ * A host becomes full if its mean event-loop iteration is longer than this, in
+ * ms. 25 ms means 40 accepted connections per second. A request that opens a
+ * connection takes three iterations before it is processed.
  */
 const MAX_MEAN_TURN_MS = 25;
 
-/** A full host has room again when its turns are as short as this, in ms. */
+/**
+ * A full host becomes available again if its mean iteration is no longer than
+ * this, in ms.
+ */
 const RECOVERED_MEAN_TURN_MS = 18;
 
 /**
- * A full host rests for so long at least, in ms: callers hear of a change within
- * a second or two, and going back and forth costs them their connections.
+ * Minimum time for which a host stays full, in ms. Callers learn of a change
+ * within one or two seconds, and frequent changes cost them their connections.
  */
 const MIN_FULL_MS = 3_000;
 
-/** Makes the decision of a host that has room. */
+/** Creates the intake of a host that is not full. */
 export function createIntake(host: IntakeHost): Intake {
   const { clock } = host;
   let windowStartMs = clock.monotonicMs();
--- a/src/entry/intake_test.ts
+++ b/src/entry/intake_test.ts
@@ -18,7 +18,7 @@
     intake,
     states,
     forbidFull: () => void (mayBeFull = false),
-    /** Turns of the length given, for so long. */
+    /** Runs event-loop iterations of `turnMs` each for `forMs`. */
     run(turnMs: number, forMs: number): void {
       for (let atMs = 0; atMs < forMs; atMs += turnMs) {
         clock.advance(turnMs);
@@ -28,8 +28,9 @@
   };
 }
 
-test("a host whose turns stay long says that it takes no new callers", () => {
-  // Guards against a flood that keeps to one host because that host is ready.
+test("a host whose event-loop iterations stay long becomes full", () => {
+  // Guards against a team that overloads a single host because it reports
+  // ready.
   const fixture = createFixture();
   fixture.run(11, 2_000);
   strictEqual(fixture.intake.isFull(), false);
@@ -37,15 +38,15 @@
   strictEqual(fixture.intake.isFull(), true);
 });
 
-test("one long turn is no reason to turn callers away", () => {
+test("a single long event-loop iteration does not make a host full", () => {
   const fixture = createFixture();
   fixture.run(400, 400);
   fixture.run(11, 1_000);
   deepStrictEqual(fixture.states, []);
 });
 
-test("a host that has rested takes callers again, not before", () => {
-  // Guards against callers that go back and forth each second.
+test("a full host takes callers again only after the minimum time", () => {
+  // Guards against callers that switch between hosts each second.
   const fixture = createFixture();
   fixture.run(60, 1_100);
   fixture.run(11, 2_000);
@@ -55,7 +56,7 @@
   strictEqual(fixture.states.at(-1)!.isFull, false);
 });
 
-test("a host that may not rest goes on, however long its turns are", () => {
+test("a host that may not be full takes callers, however long its iterations are", () => {
   const fixture = createFixture();
   fixture.run(60, 2_000);
   fixture.forbidFull();
@@ -63,8 +64,9 @@
   strictEqual(fixture.intake.isFull(), false);
 });
 
-test("one connection is accepted in each turn, so turns tell of the intake", async () => {
-  // Guards against a runtime that accepts otherwise: the bound would be wrong.
+test("Node accepts one connection per event-loop iteration", async () => {
+  // Guards against a runtime with another accept behaviour, for which the limit
+  // on the mean iteration would be wrong.
   let turn = 0;
   let isCounting = true;
   const count = () => {
@@ -85,7 +87,7 @@
   for (let at = 0; at < 12; at++) {
     callers.push(connect(address.port, "127.0.0.1").on("error", () => {}));
   }
-  // All wait to be accepted before the first turn is counted.
+  // All connections wait to be accepted before the first iteration is counted.
   count();
   while (turns.length < callers.length) await sleep(5);
   isCounting = false;
--- a/src/entry/load_exchange.ts
+++ b/src/entry/load_exchange.ts
@@ -1,7 +1,7 @@
 /**
- * Tells the other hosts what this one uses of the upstreams, many times a
- * second, and hears the same from them. Who tells whom is decided by
- * `load/load_sums.ts`.
+ * Sends this host's use of the upstreams to the other hosts many times per
+ * second, and receives theirs. The load reporter of `load/` decides which host
+ * reports to which.
  *
  * @module
  */
@@ -17,27 +17,27 @@
 import { createLoadCodec, getNameDigest, openDatagrams } from "../peers/mod.ts";
 import { FLEET_NAME } from "./peers.ts";
 
-/** What the exchange needs of the process. */
+/** Dependencies of the load exchange. */
 export interface LoadExchangeHost {
   readonly clock: Clock;
   readonly self: LoadPeer;
   readonly view: LoadView;
-  /** The hosts that are alive, this one included. */
+  /** The hosts that are alive, including this one. */
   getHosts(): readonly LoadPeer[];
 }
 
-/** The exchange; runs until it is disposed of. */
+/** The load exchange; sends reports while `run` runs. */
 export interface LoadExchange extends AsyncDisposable {
   readonly run: Effect.Effect<never>;
 }
 
-/** The port of reports is the one behind that of the membership. */
+/** Load reports use the port after that of the membership protocol. */
 function getLoadAddress(peerAddress: string): string {
   const [ip, port] = peerAddress.split(":");
   return `${ip}:${Number(port) + 1}`;
 }
 
-/** Opens the socket. */
+/** Opens the socket; reports received from other hosts go to the load view. */
 export async function openLoadExchange(
   host: LoadExchangeHost,
 ): Promise<LoadExchange> {
@@ -48,8 +48,9 @@
     getHosts: host.getHosts,
     getDigest: getNameDigest,
     createOwn: view.createUse,
-    // What waits is looked at again by the clock: a look at a long queue costs
-    // milliseconds, and reports come a hundred times a second.
+    // Received reports do not trigger a scheduling pass; the timer does. A pass
+    // over a long queue takes milliseconds, and reports arrive a hundred times
+    // per second.
     onOthers: view.receive,
   });
   const socket = await openDatagrams<LoadReport>(
--- a/src/entry/metrics.ts
+++ b/src/entry/metrics.ts
@@ -1,5 +1,5 @@
 /**
- * Counters and histograms of one entry host.
+ * Metrics of one entry host.
  *
  * @module
  */
@@ -9,7 +9,7 @@
 import type { CallEnd } from "../forwarding/mod.ts";
 import type { FetchOutcome } from "./platform_view.ts";
 
-/** What metrics read when they are asked for. */
+/** Values that are read when the metrics are collected. */
 export interface MetricsHost {
   getConfigVersion(): number;
   getQueued(): number;
@@ -20,7 +20,10 @@
   isReady(): boolean;
 }
 
-/** What an upstream of a service may have to read at once. */
+/**
+ * The limit on the prompt tokens that an upstream of a service may be
+ * processing at once (prefill).
+ */
 export interface ReadingLimit {
   readonly service: string;
   readonly tokens: number;
@@ -30,12 +33,12 @@
 export interface EntryMetrics {
   observeEnd(end: CallEnd): void;
   observeDecision(decision: Decision): void;
-  /** A fetch of a table from another host has ended. */
+  /** Counts a finished fetch of a table from another host. */
   observeFetch(table: string, outcome: FetchOutcome): void;
   render(): Promise<string>;
 }
 
-/** From a plain call to a long stream, in seconds. */
+/** Bucket bounds in seconds, from a short call to a long stream. */
 const TIME_BUCKETS_S = [
   0.025,
   0.05,
@@ -51,7 +54,10 @@
   16,
 ];
 
-/** A close that is read so soon after a start, in ms, was there before it. */
+/**
+ * If a caller's close is read within this time after its request was sent to an
+ * upstream, in ms, the caller had disconnected before that.
+ */
 const EARLY_CLOSE_MS = 100;
 
 function isSentAfterDisconnect(decision: Decision): boolean {
@@ -61,7 +67,6 @@
     decision.sinceAttemptMs < EARLY_CLOSE_MS;
 }
 
-/** Makes the metrics, all zero. */
 export function createEntryMetrics(host: MetricsHost): EntryMetrics {
   const registry = new Registry();
   const registers = [registry];
--- a/src/entry/peers.ts
+++ b/src/entry/peers.ts
@@ -1,6 +1,6 @@
 /**
- * The other entry hosts: who is there, what they tell, and tables fetched from
- * them.
+ * Communication with the other entry hosts: membership, gossiped facts, and
+ * tables fetched from them.
  *
  * @module
  */
@@ -24,37 +24,39 @@
 import { startTicker } from "./ticker.ts";
 import type { EntrySettings } from "./types.ts";
 
-/** What the peers' part needs of the process. */
+/** Dependencies of the peer communication. */
 export interface PeersHost {
   readonly clock: Clock;
-  /** Wall milliseconds of this process's start. */
+  /** Wall-clock start time of this process, in ms. */
   readonly incarnation: number;
   random(): number;
   onMemberChanged(member: Member): void;
   onFact(fact: Fact): void;
-  /** A table by its name, as it is passed on. */
+  /** The encoded snapshot of the table with this name. */
   tryGetTable(name: string): Uint8Array | undefined;
   onTickFailed(reason: string): void;
 }
 
-/** The other hosts. */
+/** The connection to the other hosts. */
 export interface Peers extends AsyncDisposable {
   readonly membership: Membership;
-  /** Gets a table from another host; `undefined` when it can't be had. */
+  /** Fetches a table from another host; `undefined` if that fails. */
   fetchTable(
     name: string,
     peerAddress: string,
   ): Promise<Uint8Array | undefined>;
-  /** Replaces the peer addresses that the platform and the settings name. */
+  /** Replaces the seed addresses from the platform and the settings. */
   setSeeds(addresses: readonly string[]): void;
-  /** Probes and spreads changes; never ends. */
+  /** Probes other hosts and gossips changes until the effect is interrupted. */
   readonly run: Effect.Effect<never>;
 }
 
 /**
- * A killed host must be out of the answers to callers within a second: it is
- * probed within a quarter of it, and suspect, which is enough for that, two
- * periods later. Dead after a second more, so that a short freeze costs nothing.
+ * A killed host must be absent from the answers to host queries within one
+ * second. It is probed within a quarter of a second and becomes suspect two
+ * periods later, which removes it from the answers. It is declared dead only
+ * more than a second after that, so that a short freeze of a host has no
+ * lasting effect.
  */
 const membershipOptions: MembershipOptions = {
   periodMs: 250,
@@ -65,12 +67,13 @@
 };
 
 /**
- * The hosts' network is their own, and their settings hold no secret: the code
- * on datagrams guards against stray ones only.
+ * Key of the MAC on datagrams, and source of the fleet token. It is not secret:
+ * the hosts communicate over a private network and their settings contain no
+ * secret. The MAC and the token only reject stray messages.
  */
 export const FLEET_NAME = "azurestile-entry";
 
-/** Opens the sockets and begins as a host that knows only its seeds. */
+/** Opens the sockets and starts with the seeds as the only known hosts. */
 export async function openPeers(
   settings: EntrySettings,
   host: PeersHost,
@@ -90,7 +93,7 @@
     send: (address, message) => void datagrams.send(address, message),
     onChange: host.onMemberChanged,
     onFact: host.onFact,
-    // Versions travel in the readers' reports, each with its table.
+    // Versions are part of the readers' reports, one for each table.
     onConfigVersion: () => {},
     getConfigVersion: () => ({ version: 0, digest: "" }),
   }, membershipOptions);
@@ -110,12 +113,16 @@
     try {
       membership.tick();
     } catch (err) {
-      // Thrown on, it would end the process with all its requests.
+      // An uncaught exception would end the process and all its requests.
       host.onTickFailed(String(err));
     }
   }
 
-  /** Replies that lie unread after a long turn are no silence of the others. */
+  /**
+   * `decide` runs only after pending input has been read. After a long
+   * event-loop iteration, replies that are still unread would otherwise be
+   * taken for silence of the other hosts.
+   */
   const run = Effect.callback<never>(() => {
     tick();
     const ticker = startTicker(membershipOptions.periodMs, { decide: tick });
--- a/src/entry/peers_test.ts
+++ b/src/entry/peers_test.ts
@@ -10,7 +10,7 @@
 import { openPeers, type Peers } from "./peers.ts";
 import type { EntrySettings } from "./types.ts";
 
-/** A port that is free for datagrams. */
+/** Returns a free UDP port. */
 async function findPort(): Promise<number> {
   const socket = createSocket("udp4");
   await new Promise<void>((resolve) => socket.bind(0, "127.0.0.1", resolve));
@@ -52,8 +52,8 @@
     .length;
 }
 
-test("a host whose turns are long suspects nobody whose replies lie unread", async () => {
-  // Guards against hosts that are left out of answers for another host's pause.
+test("a host with long event-loop iterations suspects no host whose reply is unread", async () => {
+  // Guards against a paused host that removes healthy hosts from its answers.
   const addresses = [
     `127.0.0.1:${await findPort()}`,
     `127.0.0.1:${await findPort()}`,
@@ -63,7 +63,7 @@
   const onProbe = () => {
     if (pauses === 0) return;
     pauses--;
-    // Behind the sending of the probe, before its reply is read.
+    // Blocks after the probe is sent and before its reply is read.
     process.nextTick(() => block(700));
   };
   const open = (at: number) =>
--- a/src/entry/platform_view.ts
+++ b/src/entry/platform_view.ts
@@ -1,7 +1,7 @@
 /**
- * What this host knows of the configuration and the upstreams: its copies of
- * the platform's tables, kept up by following the platform or by fetching from
- * the hosts that do.
+ * This host's view of the platform: replicas of its tables, from which the
+ * routes and the upstream directory derive. The replicas are kept current by
+ * reading the platform or by fetching from the hosts that do.
  *
  * @module
  */
@@ -41,7 +41,7 @@
   type RoutingConfig,
 } from "../routing/mod.ts";
 
-/** What knowledge needs of the process. */
+/** Dependencies of a platform view. */
 export interface PlatformViewHost {
   readonly clock: Clock;
   readonly platform: EntryPlatform;
@@ -50,35 +50,44 @@
   random(): number;
   log(decision: Decision): void;
   onFetched(table: string, outcome: FetchOutcome): void;
-  /** The platform has come back from an older copy of itself. */
+  /** The platform was restored from an older backup. */
   onPlatformRestored(): void;
-  /** Peer addresses of the hosts that are alive, this one included. */
+  /** Peer addresses of the hosts that are alive, including this one. */
   getHosts(): readonly string[];
   pushFact(fact: Fact): void;
   spreadFact(fact: Fact): void;
   fetchTable(name: string, peer: string): Promise<Uint8Array | undefined>;
 }
 
-/** How a fetch of a table from another host ended. */
+/** The outcome of fetching a table from another host. */
 export type FetchOutcome = "newer" | "not-newer" | "no-answer";
 
-/** What this host knows. */
+/** A host's view of the platform. */
 export interface PlatformView {
   readonly directory: UpstreamDirectory;
-  /** `undefined` until a configuration is known. */
+  /** Returns `undefined` until a configuration is known. */
   tryGetRoutes(): RouteTable | undefined;
   getInputs(): Inputs;
-  /** Takes in what another host tells: a reader's report, or who leaves. */
+  /**
+   * Processes a fact from another host: a reader's report or a leaving
+   * upstream.
+   */
   receive(fact: Fact): void;
-  /** An upstream has told this host that it leaves; the others are told. */
+  /**
+   * Records that an upstream announced to this host that it is leaving, and
+   * tells the other hosts.
+   */
   markLeaving(instance: UpstreamInstance): void;
-  /** A table as it is passed on; `undefined` for one never seen. */
+  /**
+   * A table's encoded snapshot for other hosts; `undefined` if the table is
+   * unknown or has never been read.
+   */
   tryGetTable(name: string): Uint8Array | undefined;
-  /** Follows the platform; never ends. */
+  /** Follows the platform's tables until the effect is interrupted. */
   readonly run: Effect.Effect<never>;
 }
 
-/** Makes the knowledge of a host that knows nothing. */
+/** Creates the view of a host that has not read any table. */
 export function createPlatformView(host: PlatformViewHost): PlatformView {
   const config = createTableReplica<RoutingConfig>();
   const upstreams = createTableReplica<UpstreamEntry>();
@@ -125,7 +134,10 @@
     },
   });
 
-  /** The newest version goes into force; an older one never does. */
+  /**
+   * Puts the newest version of the configuration into force, never an older
+   * one.
+   */
   function updateRoutes(from: string): void {
     for (const { value } of config.getRows().values()) {
       if (value.version <= (routes?.config.version ?? -1)) continue;
@@ -210,7 +222,7 @@
       random: host.random,
       onAnswer(changed) {
         if (unreachable.delete(name)) {
-          const reason = "It answers again";
+          const reason = "The platform answers again";
           host.log({ event: "platform-regained", table: name, reason });
         }
         if (changed) onChanged(name, "platform");
@@ -267,7 +279,7 @@
   };
 }
 
-/** JSON has no infinite number. */
+/** Rounds to whole ms. `Infinity` is capped, since JSON can't represent it. */
 function roundMs(ms: number): number {
   return Math.round(Math.min(ms, Number.MAX_SAFE_INTEGER));
 }
--- a/src/entry/platform_view_soak_test.ts
+++ b/src/entry/platform_view_soak_test.ts
@@ -4,7 +4,7 @@
 
 const SEEDS = 25;
 
-/** One after the other: each plays in its own virtual time. */
+/** Runs the seeds one after the other, since each has its own virtual time. */
 async function runSeeds(
   seeds: number,
   isPassingOn = true,
@@ -16,12 +16,13 @@
   return results;
 }
 
-test("whatever comes in series, changes are in force in time and never go back", async () => {
-  // Callers are refused on new routes, or sent to upstreams that have left, when
-  // troubles of the platform and of hosts come one upon the other: outages of all
-  // or one table, hosts turned away, history lost, kills, cuts, lost datagrams. No
-  // list of single cases holds them all: the platform answered again for one table
-  // while readers had left the role to one another, and nobody read the other.
+test("under random failures, changes are in force within the bound and never revert", async () => {
+  // Guards against callers that are refused on new routes or sent to upstreams
+  // that have left when failures of the platform and of hosts coincide: outages
+  // of one or all tables, rejected hosts, lost history, killed hosts,
+  // partitions and lost datagrams. Tests of single cases do not cover the
+  // combinations. In one of them the platform answered again for one table
+  // while each reader left the other table to the others, and no host read it.
   const results = await runSeeds(SEEDS);
   const broken = results.flatMap(({ seed, broken }) =>
     broken.slice(0, 2).map((each) => `seed ${seed}, ${each}`)
@@ -34,7 +35,7 @@
   ok(calls <= needed, `${calls} calls, three readers need ${needed}`);
 });
 
-test("the checks fail for hosts that tell each other nothing", async () => {
+test("the checks fail if hosts do not communicate", async () => {
   const results = await runSeeds(5, false);
   ok(results.some(({ broken }) => broken.length > 0));
 });
--- a/src/entry/platform_view_test.ts
+++ b/src/entry/platform_view_test.ts
@@ -7,13 +7,16 @@
   runFleet,
 } from "../testing/knowledge_fleet.ts";
 
-/** A configuration must be in force everywhere so soon, in ms. */
+/** A configuration must be in force at all hosts within this time, in ms. */
 const BOUND_MS = 2_500;
 
-/** While nothing is wrong it is in force everywhere so soon, in ms. */
+/** Without failures it is in force at all hosts within this time, in ms. */
 const FAULT_FREE_MS = 200;
 
-/** Plays a change under trouble; gives how long the last host took, in ms. */
+/**
+ * Changes the configuration during the failures that `causeFailures` sets up;
+ * returns the time until the last host has it in force, in ms.
+ */
 async function measureChange(
   causeFailures: (fleet: KnowledgeFleet) => void | Effect.Effect<void>,
   { hosts = 9, isPassingOn = true } = {},
@@ -24,7 +27,8 @@
     fleet.tables.put(1);
     fleet.tables.putUpstreams(["one", "two"]);
     yield* fleet.start;
-    // Without passing on a host reads itself only after two seconds.
+    // Without the distribution a host reads the tables itself after two
+    // seconds.
     yield* fleet.run(5_000);
     deepStrictEqual(new Set(fleet.getVersions()), new Set([1]));
     yield* causeFailures(fleet) ?? Effect.void;
@@ -39,7 +43,9 @@
   return tookMs;
 }
 
-/** The platform answers nobody for so long, in ms, while all upstreams lapse. */
+/**
+ * The platform answers no host for `outageMs`, and all upstream entries expire.
+ */
 function simulateOutage(
   fleet: KnowledgeFleet,
   outageMs: number,
@@ -52,16 +58,16 @@
   });
 }
 
-test("a change is in force at nine hosts, and at ninety, in a fifth of a second", async () => {
+test("a change is in force at 9 and at 90 hosts within 200 ms", async () => {
   ok(await measureChange(() => {}) <= FAULT_FREE_MS);
   ok(await measureChange(() => {}, { hosts: 90 }) <= FAULT_FREE_MS);
 });
 
 for (const treatment of ["refused", "silent"] as const) {
-  test(`a change reaches hosts that the platform keeps ${treatment} in time`, async () => {
-    // The platform turns a third of the hosts away while a key is taken from a
-    // caller, and all three readers are among them at worst. A caller would be
-    // served by the old key for as long as its host heard nothing.
+  test(`a change reaches hosts that the platform keeps ${treatment} within the bound`, async () => {
+    // The platform rejects a third of the hosts, in the worst case including
+    // all three readers, while an operator revokes an API key. Each of those
+    // hosts would accept the revoked key until it learns of the change.
     for (let first = 0; first < 9; first++) {
       const tookMs = await measureChange(({ tables, hosts }) => {
         for (let at = 0; at < 3; at++) {
@@ -73,16 +79,16 @@
   });
 }
 
-test("without passing on, hosts that are turned away miss the bound", async () => {
+test("without the distribution, hosts whose reads fail miss the bound", async () => {
   const tookMs = await measureChange(({ tables, hosts }) => {
     for (const host of hosts.slice(0, 3)) tables.treat(host, "refused");
   }, { isPassingOn: false });
   ok(tookMs > BOUND_MS, `${tookMs} ms`);
 });
 
-test("a change is in force in time though watches are silent and history goes", async () => {
-  // Watches hear nothing for a second while an operator changes a route; then the
-  // history is dropped, so that what happened meanwhile is told by no watch.
+test("a change is in force within the bound if polls return nothing and history is lost", async () => {
+  // Polls return no changes for a second while an operator changes a route.
+  // Then the change history is dropped, so no later poll returns that change.
   const tookMs = await measureChange((fleet) => {
     fleet.tables.silenceUntil(fleet.nowMs() + 1_000);
     fleet.tables.dropHistory();
@@ -90,8 +96,9 @@
   ok(tookMs <= BOUND_MS, `${tookMs} ms`);
 });
 
-test("no host goes back when the platform does", async () => {
-  // A host that missed the change answers a fetch; an older copy must not win.
+test("no host goes back to an older configuration when the platform does", async () => {
+  // A host that missed the change may answer a fetch; its older copy must not
+  // replace a newer one.
   const fleet = createKnowledgeFleet({ hosts: 9 });
   await runFleet(Effect.gen(function* () {
     fleet.tables.put(1);
@@ -105,11 +112,12 @@
   deepStrictEqual(new Set(fleet.getVersions()), new Set([5]));
 });
 
-test("after an outage a change is in force as soon as ever", async () => {
-  // The platform is back for longer than a call takes to be given up, operators
-  // change a route, and callers are refused for a second more. Each reader from
-  // before passed itself over for five seconds after its last failure, while the
-  // others had heard of its first and took it for the reader: nobody read.
+test("after an outage a change is in force as fast as without one", async () => {
+  // Guards against routes that callers are refused on for another second,
+  // although the platform has been back for longer than a call's time-out. Each
+  // previous reader excluded itself for five seconds after its last failure,
+  // while the other hosts had received only the report of its first failure and
+  // relied on it again. So no host read the table.
   for (let outageMs = 6_000; outageMs <= 10_000; outageMs += 170) {
     const tookMs = await measureChange((fleet) =>
       simulateOutage(fleet, outageMs).pipe(Effect.andThen(fleet.run(2_500)))
@@ -121,10 +129,11 @@
   }
 });
 
-test("the one host that may read the configuration passes it on", async () => {
-  // The platform serves the list of upstreams to all hosts and the configuration
-  // to one, each host in turn. Callers are refused on new routes until hosts that
-  // may not read the one table are passed over for it.
+test("the only host that can read the configuration distributes it", async () => {
+  // The platform serves the list of upstreams to all hosts and the
+  // configuration to only one of them, each host in turn. Callers are refused
+  // on new routes until hosts that can't read the configuration are excluded
+  // for that table.
   for (let served = 0; served < 9; served++) {
     const tookMs = await measureChange((fleet) => {
       const refused = fleet.hosts.filter((_, at) => at !== served);
@@ -137,11 +146,12 @@
   }
 });
 
-test("a change of one table makes no host fetch the other", async () => {
-  // An upstream registers. The platform counts all tables by one version, so that
-  // readers know the configuration up to a newer version, with nothing new in it.
-  // Hosts took that for a newer configuration and fetched it at each report, for
-  // as long as no configuration came: processor time and bytes for nothing.
+test("a change to one table does not make hosts fetch the other", async () => {
+  // The platform has one version counter for all tables. When an upstream
+  // registers, readers know the configuration up to a newer version, without
+  // any change in it. Hosts used to mistake that for a newer configuration and
+  // fetched it after each report until a configuration was published, which
+  // wasted processor time and bandwidth.
   const fleet = createKnowledgeFleet({ hosts: 9 });
   await runFleet(Effect.gen(function* () {
     fleet.tables.put(1);
@@ -155,9 +165,9 @@
   }));
 });
 
-test("a host logs that it reads a table or leaves it to others, and why", async () => {
-  // Operators ask why a host had an old configuration: whether it was to read it,
-  // and if not, for whom it left it.
+test("a host logs whether it reads a table, and why", async () => {
+  // Operators need to find out why a host had an old configuration: whether it
+  // was a reader, and if not, why not.
   const fleet = createKnowledgeFleet({ hosts: 9 });
   await runFleet(Effect.gen(function* () {
     fleet.tables.put(1);
@@ -175,15 +185,17 @@
   );
 });
 
-test("a change is in force in time after the platform was away for long", async () => {
-  // Callers get 404 from healthy hosts on a route that operators have added. The
-  // platform answers nobody for six to ten seconds; it returns, upstreams whose
-  // entries lapsed are gone from its list, and operators add the route. One host
-  // reads the list of upstreams and tells it; that counted for both tables, so
-  // that for two seconds more nobody read the configuration, again and again. And
-  // each reader from before left the role to the others, and these to it.
-  // Evidence: at all hosts the age of the last confirmation fell from two seconds
-  // to nothing whenever the list came, while no host logged the configuration.
+test("a change is in force within the bound after a long outage of the platform", async () => {
+  // Guards against 404 answers of healthy hosts on a route that operators have
+  // added. The platform answers no host for six to ten seconds. When it
+  // returns, the upstream entries that expired are missing from its list, and
+  // operators add the route. One host read the list of upstreams and reported
+  // it. That counted as a read of both tables, so for two seconds at a time no
+  // host read the configuration, and this repeated. In addition, each previous
+  // reader left the configuration to the other hosts, and these left it to the
+  // reader. In the logs, the age of the last confirmed read fell from two
+  // seconds to zero at all hosts whenever the list arrived, while no host
+  // logged a new configuration.
   for (let outageMs = 6_000; outageMs <= 10_000; outageMs += 170) {
     const tookMs = await measureChange((fleet) =>
       simulateOutage(fleet, outageMs)
@@ -195,8 +207,8 @@
   }
 });
 
-test("a platform back from a copy shows at once, also where its version is the old one", async () => {
-  // Guards against a watch that waits for news of an era that is over.
+test("a restored platform is detected at once, even if its version is unchanged", async () => {
+  // Guards against a poll that waits for changes in an era that has ended.
   for (let outageMs = 0; outageMs <= 3_000; outageMs += 150) {
     const fleet = createKnowledgeFleet({ hosts: 9 });
     let tookMs = 0;
--- a/src/entry/servers.ts
+++ b/src/entry/servers.ts
@@ -1,6 +1,6 @@
 /**
- * The HTTP servers of an entry host: callers, readiness, which hosts to use,
- * metrics.
+ * The HTTP servers of an entry host: callers' requests, readiness, host queries
+ * and metrics.
  *
  * @module
  */
@@ -16,54 +16,69 @@
 import type { CallerLimits } from "../routing/mod.ts";
 import type { EntryProtocol, ResolveQuery } from "./types.ts";
 
-/** A server that listens. */
+/** A server that is listening. */
 export interface ListeningServer extends AsyncDisposable {
   readonly server: Server;
 }
 
 /**
- * Before a configuration is known: what a caller may take for its headers, and
- * how long a connection may stay idle, in ms.
+ * Time-outs in ms that apply until a configuration is known: for receiving a
+ * caller's headers, and for an idle connection.
  */
 const INITIAL_HEADER_TIMEOUT_MS = 5_000;
 const INITIAL_IDLE_TIMEOUT_MS = 60_000;
 
 /**
- * A connection is kept this much longer than operators allow, in ms, so that a
- * caller that keeps to the limit never finds it closed.
+ * Idle connections are kept open this much longer than the configured limit, in
+ * ms, so that a caller that respects the limit never finds its connection
+ * closed.
  */
 const IDLE_MARGIN_MS = 2_000;
 
-/** More than operators allow for headers in any configuration, in bytes. */
+/**
+ * Maximum size of the headers in bytes; above the limit of any configuration.
+ */
 const MAX_HEADER_BYTES = 64 * 1024;
 
-/** Connections that wait to be accepted where hardly anything comes. */
+/** Default length of the accept queue, for servers with little traffic. */
 const DEFAULT_BACKLOG = 128;
 
-/** Requests on connections of their own that a whole core takes in a second. */
+/**
+ * Number of requests on new connections that a full core processes per second.
+ */
 const ACCEPTED_PER_CORE_SECOND = 100;
 
-/** A connection waits no longer to be accepted, in s: half of callers' patience. */
+/**
+ * Maximum time for which a connection should wait to be accepted, in s: half of
+ * the callers' time-out.
+ */
 const MAX_ACCEPT_WAIT_S = 0.5;
 
-/** A few callers must find place at the smallest host, too. */
+/**
+ * Minimum length of the accept queue, so that the smallest host can take a few
+ * callers as well.
+ */
 const MIN_BACKLOG = 8;
 
 /**
- * How many callers' connections may wait to be accepted: what the host takes in
- * half a second, since callers give up what nobody reads for a second.
+ * The length of the accept queue for callers: the connections that the host
+ * accepts in half a second, since callers give up if nothing is read for a
+ * second.
  *
- * Load: a flood of new connections at a host with an eighth of a core. Harm
- * prevented: with a thousand waiting each was accepted 20 s late, all requests on
- * them had been given up, and nobody else got through for as long as the flood
- * went on (2 of 100 requests of a calm team served).
+ * Load: a burst of new connections at a host with an eighth of a core. Failure
+ * prevented: with a queue of 1,000, each connection was accepted 20 s late, the
+ * callers had given up all requests on them, and no other caller was served
+ * while the burst lasted (2 of 100 requests of a team within its share were
+ * served).
  */
 export function getBacklog(processorShare: number): number {
   const perSecond = processorShare * ACCEPTED_PER_CORE_SECOND;
   return Math.max(MIN_BACKLOG, Math.ceil(perSecond * MAX_ACCEPT_WAIT_S));
 }
 
-/** Listens on the address, an IP and a port; rejects when it is taken. */
+/**
+ * Listens on the address, an IP and a port; rejects if it is already in use.
+ */
 export async function listen(
   address: string,
   onRequest: RequestListener,
@@ -73,7 +88,7 @@
     maxHeaderSize: MAX_HEADER_BYTES,
     keepAliveTimeout: INITIAL_IDLE_TIMEOUT_MS,
     headersTimeout: INITIAL_HEADER_TIMEOUT_MS,
-    // A body may come slowly; reading it has its own limit.
+    // Slow request bodies are limited where they are read.
     requestTimeout: 0,
   }, onRequest);
   const [host, port] = address.split(":");
@@ -95,13 +110,13 @@
   };
 }
 
-/** Puts the operators' limits on callers in force. */
+/** Applies the configured time-outs for callers. */
 export function setCallerLimits(server: Server, limits: CallerLimits): void {
   server.keepAliveTimeout = limits.idleTimeoutMs + IDLE_MARGIN_MS;
   server.headersTimeout = limits.headerTimeoutMs;
 }
 
-/** Answers whether the host is ready. */
+/** Creates the handler of readiness probes. */
 export function createReadinessListener(
   protocol: EntryProtocol,
   isReady: () => boolean,
@@ -112,7 +127,7 @@
   };
 }
 
-/** Answers which hosts a caller should use. */
+/** Creates the handler of host queries. */
 export function createResolveListener(
   protocol: EntryProtocol,
   host: {
@@ -130,7 +145,7 @@
   };
 }
 
-/** Answers with the metrics on the path given. */
+/** Creates the handler that serves the metrics at the path. */
 export function createMetricsListener(
   path: string,
   render: () => Promise<string>,
--- a/src/entry/servers_test.ts
+++ b/src/entry/servers_test.ts
@@ -2,10 +2,10 @@
 import { test } from "node:test";
 import { getBacklog } from "./servers.ts";
 
-test("no more connections wait than a host takes before callers give up", () => {
-  // A flood opens two hundred connections a second at a host that takes fifteen.
-  // Whatever waits there longer than its caller is read for nobody, and stands
-  // before those who are still there.
+test("the accept queue holds no more connections than are accepted before callers give up", () => {
+  // A burst opens 200 connections per second at a host that processes 15.
+  // Connections that wait longer than their callers' time-out are accepted in
+  // vain and delay those of callers that are still waiting.
   for (const share of [0.324, 0.675, 1.35]) {
     const waitS = getBacklog(share) / (100 * share);
     ok(waitS <= 0.55, `${waitS} s at ${share} cores`);
--- a/src/entry/ticker.ts
+++ b/src/entry/ticker.ts
@@ -1,12 +1,14 @@
 /**
- * Runs short functions again and again, once in a turn of the event loop: first
- * what watches the turns themselves, then what decides by what has been read.
+ * Runs short functions periodically, each tick within one event-loop iteration:
+ * first the measurement of the iterations themselves, then the decisions that
+ * depend on what has been read.
  *
- * Load: 90 hosts that look at their queues a hundred times a second, day and
- * night. Harm prevented: as a fiber that sleeps, each look takes two turns and
- * twice the processor time, which idle hosts pay for nothing and a busy host
- * lacks for its callers. After a long turn, or a pause of the process, a look at
- * once would decide by what was true before it; see `core/read_first.ts`.
+ * Load: 90 hosts that run a scheduling pass a hundred times per second, day and
+ * night. Failure prevented: as an Effect fiber that sleeps, each pass takes two
+ * event-loop iterations and twice the processor time, which is wasted on idle
+ * hosts and which busy hosts need for their callers. After a long iteration or
+ * a pause of the process, an immediate decision would be based on outdated
+ * input; see `afterReading`.
  *
  * @module
  */
@@ -14,18 +16,23 @@
 import { performance } from "node:perf_hooks";
 import { afterReading } from "../core/mod.ts";
 
-/** What a ticker runs. */
+/** The functions that a ticker runs. */
 export interface TickerJobs {
-  /** In each tick, however late; looks at time alone. */
+  /** Runs in each tick, however late it is; depends on the time only. */
   measure?(): void;
-  /** In each tick, after a late one only when sockets have been read. */
+  /** Runs in each tick; after a late tick, only once sockets have been read. */
   decide(): void;
 }
 
-/** A tick that comes later than this, in ms, reads before it decides. */
+/**
+ * A tick that is late by more than this, in ms, reads sockets before deciding.
+ */
 const LATE_TICK_MS = 50;
 
-/** Runs until it is disposed of; the first time after one period, in ms. */
+/**
+ * Starts a ticker that runs until it is disposed of. The first tick comes after
+ * one period, in ms.
+ */
 export function startTicker(periodMs: number, jobs: TickerJobs): Disposable {
   let pendingRead: Disposable | undefined;
   let lastMs = performance.now();
--- a/src/entry/ticker_test.ts
+++ b/src/entry/ticker_test.ts
@@ -6,7 +6,7 @@
 const PERIOD_MS = 5;
 const TICKS = 60;
 
-/** Turns of this process's event loop so far. */
+/** Number of event-loop iterations of this process so far. */
 function getTurns(): number {
   const timing = performance.nodeTiming as unknown as {
     readonly uvMetricsInfo: { readonly loopCount: number };
@@ -14,8 +14,9 @@
   return timing.uvMetricsInfo.loopCount;
 }
 
-test("each look at the queue takes one turn of the event loop", async () => {
-  // Guards against idle hosts that pay for two. Turns a tick before and now: 2, 1.
+test("each tick takes one event-loop iteration", async () => {
+  // Guards against two iterations per tick, which cost idle hosts processor
+  // time. Measured iterations per tick: 2 as a fiber, 1 with the ticker.
   const startTurns = getTurns();
   let ticks = 0;
   await new Promise<void>((resolve) => {
--- a/src/entry/types.ts
+++ b/src/entry/types.ts
@@ -1,6 +1,6 @@
 /**
- * What an entry host is started with: its settings, the protocol of the callers
- * and the platform.
+ * Types of the inputs of an entry host: its settings, the callers' protocol and
+ * the platform.
  *
  * @module
  */
@@ -14,53 +14,58 @@
 
 /** The settings of one entry host. */
 export interface EntrySettings {
-  /** Name of the host, for people. */
+  /** Human-readable name of the host. */
   readonly name: string;
   readonly dataCentre: string;
   /** The region of each data centre. */
   readonly regions: ReadonlyMap<string, string>;
-  /** Where callers connect; IP and port, like all addresses here. */
+  /**
+   * Address on which callers connect; an IP and a port, like all addresses
+   * here.
+   */
   readonly callerAddress: string;
-  /** Where readiness is asked. */
+  /** Address of the readiness probe. */
   readonly readinessAddress: string;
-  /** Where callers ask which hosts to use. */
+  /** Address on which callers query which hosts to use. */
   readonly resolveAddress: string;
-  /** Where other hosts connect, TCP and UDP. */
+  /** Address on which other hosts connect, over TCP and UDP. */
   readonly peerAddress: string;
-  /** Peer addresses of a few hosts, which may be gone. */
+  /** Peer addresses of a few hosts, some of which may no longer exist. */
   readonly seeds: readonly string[];
-  /** Cores that this process gets, of the usual speed; may be under one. */
+  /**
+   * Number of standard-speed cores available to this process; may be below 1.
+   */
   readonly processorShare: number;
-  /** Between SIGTERM and SIGKILL, in ms. */
+  /** Time between SIGTERM and SIGKILL, in ms. */
   readonly stopGraceMs: number;
-  /** Longest time that callers keep an answer about hosts, in ms. */
+  /** Maximum time for which callers may cache a list of hosts, in ms. */
   readonly maxResolveTtlMs: number;
-  /** Arrivals beyond the first of each request, over all hosts. */
+  /** Limit on attempts after the first of each request, over all hosts. */
   readonly retries: FleetRetryLimit;
 }
 
-/** A caller's question which hosts to use. */
+/** A caller's query for the hosts to use. */
 export interface ResolveQuery {
   readonly dataCentre: string;
   readonly region: string;
 }
 
-/** The callers' protocol besides the headers of requests. */
+/** The callers' protocol: the call codec, host queries and readiness probes. */
 export interface EntryProtocol {
   readonly calls: CallCodec;
-  /** `undefined` for any other request. */
+  /** Returns `undefined` if the request is not a host query. */
   tryParseResolveQuery(req: IncomingMessage): ResolveQuery | undefined;
   encodeResolveAnswer(addresses: readonly string[], ttlMs: number): string;
   isReadinessProbe(req: IncomingMessage): boolean;
 }
 
-/** What an entry host needs of the world. */
+/** Dependencies of an entry host. */
 export interface EntryHost {
   readonly clock: Clock;
   readonly platform: EntryPlatform;
   readonly protocol: EntryProtocol;
   readonly log: DecisionLog;
-  /** Where metrics are served; absent for nowhere. */
+  /** Port and path of the metrics endpoint; absent to disable it. */
   readonly metrics?: { readonly port: number; readonly path: string };
   random(): number;
 }
--- a/src/entry/upstream_leaving_facts.ts
+++ b/src/entry/upstream_leaving_facts.ts
@@ -1,6 +1,7 @@
 /**
- * How hosts tell each other that an upstream leaves. A host that the platform
- * turns away may be the only one that the upstream has told.
+ * The gossiped facts by which hosts tell each other that an upstream is
+ * leaving. They are needed because a host whose platform reads fail may be the
+ * only one to which the upstream has announced it.
  *
  * @module
  */
@@ -8,10 +9,10 @@
 import type { UpstreamInstance } from "../discovery/mod.ts";
 import type { Fact } from "../membership/mod.ts";
 
-/** Key prefix of these facts; behind it stand incarnation and id. */
+/** Key prefix of these facts; the instance's incarnation and id follow. */
 export const LEAVING_KEY_PREFIX = "upstream-leaving/";
 
-/** The fact that this start of the upstream leaves. */
+/** Creates the fact that this instance of the upstream is leaving. */
 export function createLeavingFact({ id, incarnation }: UpstreamInstance): Fact {
   return {
     key: `${LEAVING_KEY_PREFIX}${incarnation}/${id}`,
@@ -20,7 +21,7 @@
   };
 }
 
-/** Reads what `createLeavingFact` has made. */
+/** Parses a fact created by `createLeavingFact`. */
 export function parseLeavingFact(fact: Fact): UpstreamInstance {
   const text = fact.key.slice(LEAVING_KEY_PREFIX.length);
   const slash = text.indexOf("/");
