--- a/src/peers/datagrams.ts
+++ b/src/peers/datagrams.ts
@@ -57,39 +57,39 @@
  * secret, and 20 more would be a fifth of a plain probe. A recorded datagram
  * that is sent again does nothing: its claims are not newer than what is known.
  */
-const CODE_BYTES = 12;
+const MAC_BYTES = 12;
 
 /** Makes the codec of the membership protocol, for the fleet of the secret. */
 export function createDatagramCodec(secret: string): DatagramCodec {
-  return createSealedCodec(secret, {
+  return createAuthenticatedCodec(secret, {
     encode: (message) => toBinary(DatagramSchema, toDatagram(message)),
     decode: (bytes) => toMessage(fromBinary(DatagramSchema, bytes)),
   });
 }
 
 /** Makes the codec of messages of the format, for the fleet of the secret. */
-export function createSealedCodec<T>(
+export function createAuthenticatedCodec<T>(
   secret: string,
   format: MessageFormat<T>,
 ): DatagramCodec<T> {
-  function getCode(content: Uint8Array): Uint8Array {
-    const code = createHmac("sha256", secret).update(content).digest();
-    return code.subarray(0, CODE_BYTES);
+  function computeMac(content: Uint8Array): Uint8Array {
+    const mac = createHmac("sha256", secret).update(content).digest();
+    return mac.subarray(0, MAC_BYTES);
   }
 
   return {
     encode(message) {
       const content = format.encode(message);
-      const bytes = new Uint8Array(content.length + CODE_BYTES);
+      const bytes = new Uint8Array(content.length + MAC_BYTES);
       bytes.set(content);
-      bytes.set(getCode(content), content.length);
+      bytes.set(computeMac(content), content.length);
       return bytes;
     },
     tryDecode(bytes) {
-      if (bytes.length < CODE_BYTES) return undefined;
-      const content = bytes.subarray(0, bytes.length - CODE_BYTES);
-      const code = bytes.subarray(content.length);
-      if (!timingSafeEqual(code, getCode(content))) return undefined;
+      if (bytes.length < MAC_BYTES) return undefined;
+      const content = bytes.subarray(0, bytes.length - MAC_BYTES);
+      const mac = bytes.subarray(content.length);
+      if (!timingSafeEqual(mac, computeMac(content))) return undefined;
       try {
         return format.decode(content);
       } catch {
--- a/src/peers/load_codec.ts
+++ b/src/peers/load_codec.ts
@@ -16,7 +16,7 @@
 } from "../generated/peer_pb.ts";
 import type { LearnedOfService, LoadReport, LoadScope } from "../load/types.ts";
 import { NO_FIRST_EVENTS } from "../pacing/mod.ts";
-import { createSealedCodec, type DatagramCodec } from "./datagrams.ts";
+import { createAuthenticatedCodec, type DatagramCodec } from "./datagrams.ts";
 
 const toWireScope: Readonly<Record<LoadScope, WireScope>> = {
   "host": WireScope.HOST,
@@ -32,7 +32,7 @@
 
 /** Makes the codec of the fleet of the secret. */
 export function createLoadCodec(secret: string): DatagramCodec<LoadReport> {
-  return createSealedCodec(secret, {
+  return createAuthenticatedCodec(secret, {
     encode: (report) =>
       toBinary(LoadReportSchema, create(LoadReportSchema, toWire(report))),
     decode(bytes) {
