--- a/src/peers/fetch.ts
+++ b/src/peers/fetch.ts
@@ -8,7 +8,7 @@
 import { create } from "@bufbuild/protobuf";
 import { Client, credentials, Metadata } from "@grpc/grpc-js";
 import { type FetchReply, FetchRequestSchema } from "../generated/peer_pb.ts";
-import { peerService } from "./frames.ts";
+import { peerService } from "./peer_service.ts";
 import { FLEET_TOKEN_KEY } from "./peer_link.ts";
 
 /** A peer that takes longer is as good as dead; the next one is asked. */
--- a/src/peers/peer_link.ts
+++ b/src/peers/peer_link.ts
@@ -20,7 +20,7 @@
 import * as Effect from "effect/Effect";
 import { assertNever, type Clock } from "../core/mod.ts";
 import { type Frame, FrameSchema } from "../generated/peer_pb.ts";
-import { peerService } from "./frames.ts";
+import { peerService } from "./peer_service.ts";
 import { createLinkWatch, type LinkWatchOptions } from "./link_watch.ts";
 
 /** Times of a link in milliseconds. */
--- a/src/peers/peer_server.ts
+++ b/src/peers/peer_server.ts
@@ -22,7 +22,7 @@
   type Frame,
   FrameSchema,
 } from "../generated/peer_pb.ts";
-import { peerService } from "./frames.ts";
+import { peerService } from "./peer_service.ts";
 import { FLEET_TOKEN_KEY } from "./peer_link.ts";
 
 /** What the server needs of the process. */
