--- a/src/measure/control_traffic.ts
+++ b/src/measure/control_traffic.ts
@@ -69,7 +69,8 @@
     sizes,
     createPolicy: baselines.broadcast!,
   });
-  const { pingMs, idlePingMs } = defaultPeerLinkOptions;
+  const { pingIntervalMs: pingMs, idlePingIntervalMs: idlePingMs } =
+    defaultPeerLinkOptions;
   const getPings = (periodMs: number) =>
     2 * ours.links * PING_BYTES * 1_000 / periodMs;
   const figure = (name: string, value: number, baseline?: number): Figure => ({
--- a/src/peers/link_watch.ts
+++ b/src/peers/link_keepalive.ts
@@ -14,13 +14,13 @@
  */
 
 /** Times in milliseconds. */
-export interface LinkWatchOptions {
+export interface LinkKeepaliveOptions {
   /** A link in need that was quiet for so long is asked. */
-  readonly pingMs: number;
+  readonly pingIntervalMs: number;
   /** Any other link that was quiet for so long is asked. */
-  readonly idlePingMs: number;
+  readonly idlePingIntervalMs: number;
   /** An answer that takes longer never comes. */
-  readonly silenceMs: number;
+  readonly pongTimeoutMs: number;
 }
 
 /** What to do with the link now. */
@@ -30,37 +30,39 @@
   | { readonly kind: "give-up"; readonly silentMs: number };
 
 /** Watches one connection from its dialing on. */
-export interface LinkWatch {
+export interface LinkKeepalive {
   /** Something came from the other end. */
-  heard(nowMs: number): void;
+  recordReceived(nowMs: number): void;
   /** Called about each `pingMs`; an `ask` counts as done. */
-  decide(nowMs: number, isNeeded: boolean): LinkDecision;
+  decide(nowMs: number, isInUse: boolean): LinkDecision;
 }
 
 /** Makes the watch of a connection whose greeting is just being sent. */
-export function createLinkWatch(
-  options: LinkWatchOptions,
+export function createLinkKeepalive(
+  options: LinkKeepaliveOptions,
   nowMs: number,
-): LinkWatch {
-  let heardMs = nowMs;
+): LinkKeepalive {
+  let lastReceivedMs = nowMs;
   // The greeting must be answered like any ping.
-  let askedMs: number | undefined = nowMs;
+  let pingSentMs: number | undefined = nowMs;
 
   return {
-    heard(atMs) {
-      heardMs = atMs;
-      askedMs = undefined;
+    recordReceived(atMs) {
+      lastReceivedMs = atMs;
+      pingSentMs = undefined;
     },
-    decide(atMs, isNeeded) {
-      if (askedMs !== undefined) {
-        return atMs - askedMs < options.silenceMs
+    decide(atMs, isInUse) {
+      if (pingSentMs !== undefined) {
+        return atMs - pingSentMs < options.pongTimeoutMs
           ? { kind: "wait" }
-          : { kind: "give-up", silentMs: atMs - heardMs };
+          : { kind: "give-up", silentMs: atMs - lastReceivedMs };
       }
-      const periodMs = isNeeded ? options.pingMs : options.idlePingMs;
+      const periodMs = isInUse
+        ? options.pingIntervalMs
+        : options.idlePingIntervalMs;
       // Half a period, since a turn that comes a little early must not skip it.
-      if (atMs - heardMs < periodMs / 2) return { kind: "wait" };
-      askedMs = atMs;
+      if (atMs - lastReceivedMs < periodMs / 2) return { kind: "wait" };
+      pingSentMs = atMs;
       return { kind: "ask" };
     },
   };
--- a/src/peers/peer_link.ts
+++ b/src/peers/peer_link.ts
@@ -21,18 +21,21 @@
 import { assertNever, type Clock } from "../core/mod.ts";
 import { type Frame, FrameSchema } from "../generated/peer_pb.ts";
 import { peerService } from "./peer_service.ts";
-import { createLinkWatch, type LinkWatchOptions } from "./link_watch.ts";
+import {
+  createLinkKeepalive,
+  type LinkKeepaliveOptions,
+} from "./link_keepalive.ts";
 
 /** Times of a link in milliseconds. */
-export interface PeerLinkOptions extends LinkWatchOptions {
+export interface PeerLinkOptions extends LinkKeepaliveOptions {
   readonly redialMs: number;
 }
 
 /** Times for links within and between regions. */
 export const defaultPeerLinkOptions: PeerLinkOptions = {
-  pingMs: 1_000,
-  idlePingMs: 20_000,
-  silenceMs: 3_000,
+  pingIntervalMs: 1_000,
+  idlePingIntervalMs: 20_000,
+  pongTimeoutMs: 3_000,
   redialMs: 200,
 };
 
@@ -92,9 +95,9 @@
   const serveOnce = Effect.callback<string>((resume) => {
     const opened = dial();
     stream = opened;
-    const watch = createLinkWatch(options, host.clock.monotonicMs());
+    const watch = createLinkKeepalive(options, host.clock.monotonicMs());
     opened.on("data", (frame: Frame) => {
-      watch.heard(host.clock.monotonicMs());
+      watch.recordReceived(host.clock.monotonicMs());
       if (!isGreeted) {
         isGreeted = true;
         host.onOpen();
@@ -121,7 +124,7 @@
         default:
           assertNever(decision);
       }
-    }, options.pingMs);
+    }, options.pingIntervalMs);
     return Effect.sync(() => {
       clearInterval(pings);
       close(opened);
