--- a/src/fleet/links.ts
+++ b/src/fleet/links.ts
@@ -73,7 +73,7 @@
         create(FrameSchema, {
           hello: { host: host.id, incarnation: host.incarnation },
         }),
-      isNeeded: () => events.isNeeded(peer) || isBusy(peer),
+      isInUse: () => events.isNeeded(peer) || isBusy(peer),
       onOpen: () => events.onOpen(peer),
       onFrame: (frame) => events.onFrame(peer, frame),
       onLost: (reason) => host.onPeerLost(peer, reason),
--- a/src/peers/peer_link.ts
+++ b/src/peers/peer_link.ts
@@ -28,7 +28,7 @@
 
 /** Times of a link in milliseconds. */
 export interface PeerLinkOptions extends LinkKeepaliveOptions {
-  readonly redialMs: number;
+  readonly redialDelayMs: number;
 }
 
 /** Times for links within and between regions. */
@@ -36,7 +36,7 @@
   pingIntervalMs: 1_000,
   idlePingIntervalMs: 20_000,
   pongTimeoutMs: 3_000,
-  redialMs: 200,
+  redialDelayMs: 200,
 };
 
 /** What a link needs of the process. */
@@ -45,7 +45,7 @@
   readonly fleetToken: string;
   createHello(): Frame;
   /** Whether a slot at the peer is held or asked for, or an answer is due. */
-  isNeeded(): boolean;
+  isInUse(): boolean;
   onOpen(): void;
   onFrame(frame: Frame): void;
   onLost(reason: string): void;
@@ -72,11 +72,11 @@
   options: PeerLinkOptions = defaultPeerLinkOptions,
 ): PeerLink {
   let stream: Stream | undefined;
-  let isGreeted = false;
+  let isEstablished = false;
 
   function dial(): Stream {
     const client = new Client(address, credentials.createInsecure(), {
-      "grpc.initial_reconnect_backoff_ms": options.redialMs,
+      "grpc.initial_reconnect_backoff_ms": options.redialDelayMs,
     });
     const metadata = new Metadata();
     metadata.set(FLEET_TOKEN_KEY, host.fleetToken);
@@ -92,14 +92,14 @@
   }
 
   /** Serves one connection; ends with the reason of its loss. */
-  const serveOnce = Effect.callback<string>((resume) => {
+  const runConnection = Effect.callback<string>((resume) => {
     const opened = dial();
     stream = opened;
-    const watch = createLinkKeepalive(options, host.clock.monotonicMs());
+    const keepalive = createLinkKeepalive(options, host.clock.monotonicMs());
     opened.on("data", (frame: Frame) => {
-      watch.recordReceived(host.clock.monotonicMs());
-      if (!isGreeted) {
-        isGreeted = true;
+      keepalive.recordReceived(host.clock.monotonicMs());
+      if (!isEstablished) {
+        isEstablished = true;
         host.onOpen();
       }
       host.onFrame(frame);
@@ -107,9 +107,9 @@
     opened.on("error", (err) => resume(Effect.succeed(err.message)));
     opened.on("end", () => resume(Effect.succeed("The peer closed the link")));
     opened.write(host.createHello());
-    const pings = setInterval(() => {
+    const pingTimer = setInterval(() => {
       const nowMs = host.clock.monotonicMs();
-      const decision = watch.decide(nowMs, host.isNeeded());
+      const decision = keepalive.decide(nowMs, host.isInUse());
       switch (decision.kind) {
         case "wait":
           return;
@@ -126,35 +126,35 @@
       }
     }, options.pingIntervalMs);
     return Effect.sync(() => {
-      clearInterval(pings);
+      clearInterval(pingTimer);
       close(opened);
     });
   });
 
   function close(opened: Stream): void {
     stream = undefined;
-    isGreeted = false;
+    isEstablished = false;
     opened.on("error", () => {});
     opened.cancel();
   }
 
   const run = Effect.gen(function* () {
     while (true) {
-      const reason = yield* serveOnce.pipe(
+      const reason = yield* runConnection.pipe(
         Effect.ensuring(Effect.sync(() => {
           if (stream !== undefined) close(stream);
         })),
       );
       host.onLost(reason);
-      yield* Effect.sleep(options.redialMs);
+      yield* Effect.sleep(options.redialDelayMs);
     }
   });
 
   return {
     send(frame) {
-      if (isGreeted) stream?.write(frame);
+      if (isEstablished) stream?.write(frame);
     },
-    isOpen: () => isGreeted,
+    isOpen: () => isEstablished,
     run,
   };
 }
