--- a/src/peers/load_codec.ts
+++ b/src/peers/load_codec.ts
@@ -59,13 +59,13 @@
   };
 }
 /** Names kept with their digests; more are forgotten all at once. */
-const MAX_NAMES = 8_192;
+const MAX_CACHED_DIGESTS = 8_192;
 
 const digests = new Map<string, number>();
 
 /** The digest by which a name travels. */
 export function getNameDigest(name: string): number {
-  if (digests.size >= MAX_NAMES) digests.clear();
+  if (digests.size >= MAX_CACHED_DIGESTS) digests.clear();
   return getOrCreate(
     digests,
     name,
