--- a/src/peers/fetch_test.ts
+++ b/src/peers/fetch_test.ts
@@ -37,7 +37,7 @@
 }
 
 /** A network before a peer that can forget the connections open in it. */
-async function openNetwork(peerAddress: string) {
+async function openProxy(peerAddress: string) {
   const [host, port] = peerAddress.split(":");
   const sockets: Socket[] = [];
   const server = createServer((caller) => {
@@ -50,7 +50,7 @@
   return {
     address: getAddress(server),
     /** What is sent on connections that are open now gets no answer. */
-    forget() {
+    dropConnections() {
       for (const socket of sockets) socket.unpipe();
     },
     async [Symbol.asyncDispose]() {
@@ -67,17 +67,17 @@
   return fetched && Buffer.from(fetched.content).toString();
 }
 
-test("a fetch works though the network has forgotten open connections", async () => {
+test("a fetch works though the proxy has forgotten open connections", async () => {
   // A host fetches a configuration. The network between the hosts forgets the
   // connection: no reset, no answer, new connections work. Seconds later operators
   // change a route, and the host is to fetch again. Were it to use the connection
   // from before, its callers would be refused until that is given up.
   const address = await findFreeAddress();
   await using _peer = await servePeer(address);
-  await using network = await openNetwork(address);
-  const before = await fetchText(network.address);
-  network.forget();
-  const after = await fetchText(network.address);
+  await using proxy = await openProxy(address);
+  const before = await fetchText(proxy.address);
+  proxy.dropConnections();
+  const after = await fetchText(proxy.address);
   deepStrictEqual([before, after], ["copy of config", "copy of config"]);
 });
 
--- a/src/peers/link_keepalive_test.ts
+++ b/src/peers/link_keepalive_test.ts
@@ -11,9 +11,9 @@
 import { defaultPeerLinkOptions } from "./peer_link.ts";
 
 const {
-  pingIntervalMs: pingMs,
-  idlePingIntervalMs: idlePingMs,
-  pongTimeoutMs: silenceMs,
+  pingIntervalMs,
+  idlePingIntervalMs,
+  pongTimeoutMs,
 } = defaultPeerLinkOptions;
 
 /** Runs turns; `answers` says whether the other end answers an ask. */
@@ -27,7 +27,7 @@
   const keepalive = createLinkKeepalive(defaultPeerLinkOptions, 0);
   keepalive.recordReceived(1);
   let pings = 0;
-  for (let nowMs = pingMs; nowMs <= untilMs; nowMs += pingMs) {
+  for (let nowMs = pingIntervalMs; nowMs <= untilMs; nowMs += pingIntervalMs) {
     const decision = keepalive.decide(nowMs, options.isInUse(nowMs));
     if (decision.kind === "give-up") return { pings, closedMs: nowMs };
     if (decision.kind !== "ask") continue;
@@ -47,7 +47,7 @@
       answers: (nowMs) => nowMs < silentMs,
     });
     assert.ok(closedMs !== undefined && closedMs >= silentMs);
-    assert.ok(closedMs <= silentMs + 2 * pingMs + silenceMs);
+    assert.ok(closedMs <= silentMs + 2 * pingIntervalMs + pongTimeoutMs);
   }));
 });
 
@@ -57,7 +57,7 @@
     isInUse: (nowMs) => nowMs >= inUseMs,
     answers: (nowMs) => nowMs < inUseMs - 500,
   });
-  assert.ok(closedMs! <= inUseMs + 2 * pingMs + silenceMs);
+  assert.ok(closedMs! <= inUseMs + 2 * pingIntervalMs + pongTimeoutMs);
 });
 
 test("a link that nothing needs is asked seldom, and not given up", () => {
@@ -66,11 +66,11 @@
     answers: () => true,
   });
   assert.equal(closedMs, undefined);
-  assert.ok(pings <= 2 * 600_000 / idlePingMs);
+  assert.ok(pings <= 2 * 600_000 / idlePingIntervalMs);
 });
 
 test("a link whose greeting is not answered is given up", () => {
   const keepalive = createLinkKeepalive(defaultPeerLinkOptions, 0);
-  assert.equal(keepalive.decide(silenceMs - 1, true).kind, "wait");
-  assert.equal(keepalive.decide(silenceMs, true).kind, "give-up");
+  assert.equal(keepalive.decide(pongTimeoutMs - 1, true).kind, "wait");
+  assert.equal(keepalive.decide(pongTimeoutMs, true).kind, "give-up");
 });
