--- a/src/peers/datagrams.ts
+++ b/src/peers/datagrams.ts
@@ -1,5 +1,7 @@
 /**
- * The UDP socket of the membership protocol, with the generated codec.
+ * The UDP sockets of the hosts, and the datagram codec of the membership
+ * protocol. Datagrams are encoded with Protocol Buffers and authenticated by a
+ * MAC.
  *
  * @module
  */
@@ -19,11 +21,11 @@
   MemberState,
 } from "../membership/mod.ts";
 
-/** The socket; loss of datagrams is expected and not told. */
+/** A UDP socket. Lost datagrams are expected and not reported. */
 export interface DatagramSocket<T = MembershipMessage> extends AsyncDisposable {
-  /** Gives the size of the datagram in bytes, for the metrics. */
+  /** Returns the size of the datagram in bytes, for the metrics. */
   send(address: string, message: T): number;
-  /** Encodes once for all addresses. */
+  /** Sends the message to all addresses and encodes it only once. */
   sendToAll(addresses: readonly string[], message: T): void;
 }
 
@@ -38,28 +40,34 @@
   Object.entries(toWire).map(([state, wire]) => [wire, state as MemberState]),
 );
 
-/** Turns messages between hosts into datagrams and back. */
+/** Encodes and decodes authenticated datagrams. */
 export interface DatagramCodec<T = MembershipMessage> {
   encode(message: T): Uint8Array;
-  /** Gives `undefined` for what no host of the fleet has sent. */
+  /** Returns `undefined` for a datagram that no host of the fleet has sent. */
   tryDecode(bytes: Uint8Array): T | undefined;
 }
 
-/** Turns a message into bytes and back; `decode` throws for other bytes. */
+/**
+ * Encodes and decodes the message inside a datagram; `decode` throws on invalid
+ * bytes.
+ */
 export interface MessageFormat<T> {
   encode(message: T): Uint8Array;
   decode(bytes: Uint8Array): T;
 }
 
 /**
- * Bytes of the code that ends each datagram. A stranger who can reach the port
- * could else declare hosts dead. 12 bytes can't be guessed in the life of a
- * secret, and 20 more would be a fifth of a plain probe. A recorded datagram
- * that is sent again does nothing: its claims are not newer than what is known.
+ * Length of the MAC (a truncated HMAC-SHA-256) at the end of each datagram, in
+ * bytes. Without it, anyone who can reach the port could declare hosts dead. 12
+ * bytes can't be guessed during the lifetime of a secret, and the other 20
+ * bytes would add a fifth to a plain probe. Replaying a recorded datagram has
+ * no effect, because its contents are not newer than what is known.
  */
 const MAC_BYTES = 12;
 
-/** Makes the codec of the membership protocol, for the fleet of the secret. */
+/**
+ * Creates the codec of the membership protocol for the fleet with this secret.
+ */
 export function createDatagramCodec(secret: string): DatagramCodec {
   return createAuthenticatedCodec(secret, {
     encode: (message) => toBinary(DatagramSchema, toDatagram(message)),
@@ -67,7 +75,7 @@
   });
 }
 
-/** Makes the codec of messages of the format, for the fleet of the secret. */
+/** Creates a codec that adds and verifies a MAC with the fleet's secret. */
 export function createAuthenticatedCodec<T>(
   secret: string,
   format: MessageFormat<T>,
@@ -99,7 +107,7 @@
   };
 }
 
-/** Opens the socket on the address, an IP and a port. */
+/** Opens a UDP socket on the address, an IP and a port. */
 export async function openDatagrams<T>(
   address: string,
   { codec, onMessage }: {
@@ -118,7 +126,8 @@
     socket.once("error", reject);
     socket.bind(Number(port), host, () => resolve());
   });
-  // A send to a dead host may raise an error here; probes tell that anyway.
+  // Sending to a dead host may cause an error event; the probes detect that
+  // host anyway.
   socket.on("error", () => {});
 
   function sendBytes(target: string, bytes: Uint8Array): void {
--- a/src/peers/datagrams_test.ts
+++ b/src/peers/datagrams_test.ts
@@ -1,5 +1,5 @@
 /**
- * Tests of the code that ends each datagram.
+ * Tests of the MAC on datagrams.
  *
  * @module
  */
@@ -31,8 +31,9 @@
   facts: [],
 };
 
-test("a stranger's datagram, or a changed one, is ignored", () => {
-  // Someone who reaches the port sends "entry-3 is dead", and its work stops.
+test("a datagram with another fleet's MAC, or a modified one, is ignored", () => {
+  // Guards against anyone who can reach the port declaring "entry-3" dead,
+  // which would abort its requests.
   const codec = createDatagramCodec("secret-of-the-fleet");
   const bytes = codec.encode(message);
   const stranger = createDatagramCodec("another-secret-here").encode(message);
@@ -48,7 +49,7 @@
   }));
 });
 
-test("a datagram comes out as it went in", () => {
+test("a decoded datagram equals the encoded message", () => {
   const codec = createDatagramCodec("secret-of-the-fleet");
   const decoded = codec.tryDecode(codec.encode(message))!;
   assert.equal(decoded.configDigest, message.configDigest);
--- a/src/peers/fetch.ts
+++ b/src/peers/fetch.ts
@@ -1,6 +1,7 @@
 /**
- * Fetches a configuration's bytes from one peer. Each fetch dials anew: it is
- * rare, and a fresh connection can't have gone silent unnoticed.
+ * Fetches the bytes of a configuration or table from one peer. Each fetch opens
+ * a new connection: fetches are rare, and a new connection can't have been
+ * dropped silently by the network.
  *
  * @module
  */
@@ -11,17 +12,24 @@
 import { peerService } from "./peer_service.ts";
 import { FLEET_TOKEN_KEY } from "./peer_link.ts";
 
-/** A peer that takes longer is as good as dead; the next one is asked. */
+/**
+ * Time-out of a fetch in ms. A slower peer is treated as dead, and the next one
+ * is tried.
+ */
 const FETCH_TIMEOUT_MS = 1_500;
 
-/** What a peer gave. */
+/** A peer's reply. */
 export interface FetchedConfiguration {
   readonly content: Uint8Array;
-  /** Hosts that the peer knows of, itself included. */
+  /** Number of hosts that the peer knows, including itself. */
   readonly knownHosts: number;
 }
 
-/** The bytes, or `undefined` when the peer has none or can't be reached. */
+/**
+ * Fetches the content; returns `undefined` if the peer does not have it or
+ * can't be reached. `digest` is the configuration's digest, or a table's name
+ * between entry hosts.
+ */
 export async function tryFetchConfiguration(
   peerAddress: string,
   options: { readonly digest: string; readonly fleetToken: string },
--- a/src/peers/fetch_test.ts
+++ b/src/peers/fetch_test.ts
@@ -36,7 +36,7 @@
   });
 }
 
-/** A network before a peer that can forget the connections open in it. */
+/** A proxy in front of a peer that can drop its open connections silently. */
 async function openProxy(peerAddress: string) {
   const [host, port] = peerAddress.split(":");
   const sockets: Socket[] = [];
@@ -49,7 +49,10 @@
   await once(server, "listening");
   return {
     address: getAddress(server),
-    /** What is sent on connections that are open now gets no answer. */
+    /**
+     * Drops all data on the connections that are open now, without closing
+     * them.
+     */
     dropConnections() {
       for (const socket of sockets) socket.unpipe();
     },
@@ -67,11 +70,12 @@
   return fetched && Buffer.from(fetched.content).toString();
 }
 
-test("a fetch works though the proxy has forgotten open connections", async () => {
-  // A host fetches a configuration. The network between the hosts forgets the
-  // connection: no reset, no answer, new connections work. Seconds later operators
-  // change a route, and the host is to fetch again. Were it to use the connection
-  // from before, its callers would be refused until that is given up.
+test("a fetch works after the network has silently dropped open connections", async () => {
+  // A host fetches a configuration. The network then silently drops the
+  // connection: it sends no reset, and only new connections work. When
+  // operators change a route seconds later, the host must fetch again. If it
+  // reused the old connection, its callers would be refused until that
+  // connection times out.
   const address = await findFreeAddress();
   await using _peer = await servePeer(address);
   await using proxy = await openProxy(address);
@@ -81,9 +85,9 @@
   deepStrictEqual([before, after], ["copy of config", "copy of config"]);
 });
 
-test("a fetch works as soon as a peer is back", async () => {
-  // A peer is restarted; a fetch meets nobody. It is back at once and tells its
-  // versions: a fetch must ask it, not remember that it was away.
+test("a fetch works as soon as a restarted peer is available", async () => {
+  // A fetch fails while the peer restarts. The next fetch must try the peer
+  // again instead of remembering that it was unavailable.
   const address = await findFreeAddress();
   const before = await fetchText(address);
   await using _peer = await servePeer(address);
--- a/src/peers/link_keepalive.ts
+++ b/src/peers/link_keepalive.ts
@@ -1,49 +1,55 @@
 /**
- * Decides when a link is asked for a sign of life, and when it is given up.
+ * Decides when a link is pinged and when it is considered dead.
  *
- * Failure: something between the two ends loses track of a connection. It stays
- * open and carries nothing, without an error, for as long as nobody asks. Guard:
- * what is asked must be answered in time.
+ * Failure prevented: a device between the two ends drops the connection
+ * silently. The connection stays open and carries no data, without an error,
+ * unless one end pings. Therefore each ping must be answered in time.
  *
- * Load: 390 hosts with links to dozens of owners each, most of them unused at
- * any moment. Harm prevented: a ping each second on every link costs more than
- * all that the links carry. A link is therefore asked often only while something
- * depends on it: a slot held or asked for at the other end.
+ * Load: 390 hosts with links to dozens of slot owners each, most of them idle
+ * at any moment. Pinging every link each second would cost more traffic than
+ * the links carry. A link is therefore pinged frequently only while it is in
+ * use: while a slot at the other end is held or requested.
  *
  * @module
  */
 
-/** Times in milliseconds. */
+/** Times in ms. */
 export interface LinkKeepaliveOptions {
-  /** A link in need that was quiet for so long is asked. */
+  /** A link in use on which nothing was received for this time is pinged. */
   readonly pingIntervalMs: number;
-  /** Any other link that was quiet for so long is asked. */
+  /** An idle link on which nothing was received for this time is pinged. */
   readonly idlePingIntervalMs: number;
-  /** An answer that takes longer never comes. */
+  /** A link whose ping is not answered within this time is considered dead. */
   readonly pongTimeoutMs: number;
 }
 
-/** What to do with the link now. */
+/**
+ * The next action for a link: nothing ("wait"), a ping ("ask"), or closing it
+ * as dead ("give-up").
+ */
 export type LinkDecision =
   | { readonly kind: "wait" }
   | { readonly kind: "ask" }
   | { readonly kind: "give-up"; readonly silentMs: number };
 
-/** Watches one connection from its dialing on. */
+/** Monitors one connection, starting when it is dialled. */
 export interface LinkKeepalive {
-  /** Something came from the other end. */
+  /** Records that data was received from the other end. */
   recordReceived(nowMs: number): void;
-  /** Called about each `pingMs`; an `ask` counts as done. */
+  /**
+   * Called about every `pingIntervalMs`. When it returns `ask`, the caller must
+   * send a ping.
+   */
   decide(nowMs: number, isInUse: boolean): LinkDecision;
 }
 
-/** Makes the watch of a connection whose greeting is just being sent. */
+/** Creates the monitor of a connection whose hello is being sent. */
 export function createLinkKeepalive(
   options: LinkKeepaliveOptions,
   nowMs: number,
 ): LinkKeepalive {
   let lastReceivedMs = nowMs;
-  // The greeting must be answered like any ping.
+  // The hello must be answered like any ping.
   let pingSentMs: number | undefined = nowMs;
 
   return {
@@ -60,7 +66,8 @@
       const periodMs = isInUse
         ? options.pingIntervalMs
         : options.idlePingIntervalMs;
-      // Half a period, since a turn that comes a little early must not skip it.
+      // Compares with half an interval, so that a timer that fires slightly
+      // early does not skip a ping.
       if (atMs - lastReceivedMs < periodMs / 2) return { kind: "wait" };
       pingSentMs = atMs;
       return { kind: "ask" };
--- a/src/peers/link_keepalive_test.ts
+++ b/src/peers/link_keepalive_test.ts
@@ -1,5 +1,5 @@
 /**
- * Tests of when links are asked and given up.
+ * Tests of when links are pinged and considered dead.
  *
  * @module
  */
@@ -16,7 +16,9 @@
   pongTimeoutMs,
 } = defaultPeerLinkOptions;
 
-/** Runs turns; `answers` says whether the other end answers an ask. */
+/**
+ * Runs the timer's calls; `answers` tells whether the other end answers a ping.
+ */
 function run(
   untilMs: number,
   options: {
@@ -37,10 +39,11 @@
   return { pings, closedMs: undefined };
 }
 
-test("a link that goes silent while a request waits is given up within 5 s", () => {
-  // A caller's request waits for a grant. The connection to the owner goes
-  // silent for good: the grant never comes, and no error either. The host must
-  // notice and dial anew, or the request waits until its deadline.
+test("a link that fails silently while a request waits is closed within 5 s", () => {
+  // A caller's request waits for a grant of a slot. The connection to the
+  // slot's owner fails silently, so neither a grant nor an error ever arrives.
+  // The host must detect this and reconnect, or the request waits until its
+  // deadline.
   fc.assert(fc.property(fc.nat({ max: 60_000 }), (silentMs) => {
     const { closedMs } = run(120_000, {
       isInUse: () => true,
@@ -51,7 +54,7 @@
   }));
 });
 
-test("a silent link is found soon after something comes to need it", () => {
+test("a silently failed link is detected soon after it comes into use", () => {
   const inUseMs = 50_000;
   const { closedMs } = run(120_000, {
     isInUse: (nowMs) => nowMs >= inUseMs,
@@ -60,7 +63,7 @@
   assert.ok(closedMs! <= inUseMs + 2 * pingIntervalMs + pongTimeoutMs);
 });
 
-test("a link that nothing needs is asked seldom, and not given up", () => {
+test("an idle link is pinged rarely and stays open", () => {
   const { pings, closedMs } = run(600_000, {
     isInUse: () => false,
     answers: () => true,
@@ -69,7 +72,7 @@
   assert.ok(pings <= 2 * 600_000 / idlePingIntervalMs);
 });
 
-test("a link whose greeting is not answered is given up", () => {
+test("a link whose hello is not answered is closed", () => {
   const keepalive = createLinkKeepalive(defaultPeerLinkOptions, 0);
   assert.equal(keepalive.decide(pongTimeoutMs - 1, true).kind, "wait");
   assert.equal(keepalive.decide(pongTimeoutMs, true).kind, "give-up");
--- a/src/peers/load_codec.ts
+++ b/src/peers/load_codec.ts
@@ -1,7 +1,7 @@
 /**
- * Reports of load between hosts, with the generated codec. Names travel as
- * digests of four bytes: two upstreams with the same one are counted as one,
- * which at a thousand of them happens once in ten thousand fleets.
+ * The codec of the load reports between hosts. Names are encoded as digests of
+ * four bytes. Two upstreams with the same digest are counted as one, which with
+ * 1,000 upstreams happens in one of 10,000 fleets.
  *
  * @module
  */
@@ -30,7 +30,7 @@
   ) => [wire, scope as LoadScope]),
 );
 
-/** Makes the codec of the fleet of the secret. */
+/** Creates the codec for the fleet with this secret. */
 export function createLoadCodec(secret: string): DatagramCodec<LoadReport> {
   return createAuthenticatedCodec(secret, {
     encode: (report) =>
@@ -38,7 +38,7 @@
     decode(bytes) {
       const wire = fromBinary(LoadReportSchema, bytes);
       const scope = fromWireScope.get(wire.scope);
-      if (scope === undefined) throw new TypeError("Unknown scope");
+      if (scope === undefined) throw new TypeError("Unknown load scope");
       return { ...wire, scope, learned: wire.learned.map(fromWireLearned) };
     },
   });
@@ -58,12 +58,12 @@
     learned: [...report.learned],
   };
 }
-/** Names kept with their digests; more are forgotten all at once. */
+/** Maximum number of cached digests; the whole cache is cleared beyond it. */
 const MAX_CACHED_DIGESTS = 8_192;
 
 const digests = new Map<string, number>();
 
-/** The digest by which a name travels. */
+/** The digest that represents a name in load reports. */
 export function getNameDigest(name: string): number {
   if (digests.size >= MAX_CACHED_DIGESTS) digests.clear();
   return getOrCreate(
--- a/src/peers/load_codec_test.ts
+++ b/src/peers/load_codec_test.ts
@@ -3,7 +3,7 @@
 import type { UpstreamUse } from "../load/types.ts";
 import { createLoadCodec } from "./load_codec.ts";
 
-test("each count of an upstream's use reaches the other hosts", () => {
+test("all counts of an upstream's use survive encoding and decoding", () => {
   const codec = createLoadCodec("secret");
   const use: UpstreamUse = {
     upstream: 7,
--- a/src/peers/mod.ts
+++ b/src/peers/mod.ts
@@ -1,6 +1,6 @@
 /**
- * Links between routers: gRPC streams for slots and counters, datagrams for
- * membership.
+ * Communication between hosts: gRPC links for slots and counters, UDP datagrams
+ * for membership and load reports, and fetches of configurations and tables.
  *
  * @module
  */
--- a/src/peers/peer_link.ts
+++ b/src/peers/peer_link.ts
@@ -1,11 +1,11 @@
 /**
- * The link from this host to one peer: dials, greets, sends frames and hands on
- * the peer's answers. One fiber for each link, written straight down: dial,
- * serve until lost, wait, dial again.
+ * The link from this host to one peer: dials, sends the hello and frames, and
+ * delivers the peer's frames. Each link is run by one fiber in a loop: dial,
+ * serve the connection until it is lost, wait, dial again.
  *
- * A connection can go silent for good while new ones work. The link therefore
- * pings on its own, and a peer that answers nothing within the deadline is
- * dialed anew; TCP keepalive would show it only after minutes.
+ * Failure prevented: a connection can fail silently while new ones work. The
+ * link therefore sends its own pings and reconnects if the peer does not answer
+ * in time; TCP keep-alive would detect this only after minutes.
  *
  * @module
  */
@@ -26,12 +26,12 @@
   type LinkKeepaliveOptions,
 } from "./link_keepalive.ts";
 
-/** Times of a link in milliseconds. */
+/** Times of a link in ms. */
 export interface PeerLinkOptions extends LinkKeepaliveOptions {
   readonly redialDelayMs: number;
 }
 
-/** Times for links within and between regions. */
+/** Default times, for links within and between regions. */
 export const defaultPeerLinkOptions: PeerLinkOptions = {
   pingIntervalMs: 1_000,
   idlePingIntervalMs: 20_000,
@@ -39,12 +39,14 @@
   redialDelayMs: 200,
 };
 
-/** What a link needs of the process. */
+/** Dependencies of a peer link. */
 export interface PeerLinkHost {
   readonly clock: Clock;
   readonly fleetToken: string;
   createHello(): Frame;
-  /** Whether a slot at the peer is held or asked for, or an answer is due. */
+  /**
+   * Whether a slot at the peer is held or requested, or an answer is pending.
+   */
   isInUse(): boolean;
   onOpen(): void;
   onFrame(frame: Frame): void;
@@ -53,19 +55,21 @@
 
 /** A link to one peer. */
 export interface PeerLink {
-  /** Sends now, or drops the frame while the link is down. */
+  /**
+   * Sends the frame immediately, or drops it if the link is not established.
+   */
   send(frame: Frame): void;
   isOpen(): boolean;
-  /** Runs the link until it is interrupted. */
+  /** Runs the link until the effect is interrupted. */
   readonly run: Effect.Effect<never>;
 }
 
 type Stream = ClientDuplexStream<Frame, Frame>;
 
-/** Name of the metadata entry that proves membership of the fleet. */
+/** Name of the gRPC metadata entry that carries the fleet's token. */
 export const FLEET_TOKEN_KEY = "azurestile-fleet";
 
-/** Makes a link to the peer's address; `run` drives it. */
+/** Creates a link to the peer's address; it connects while `run` runs. */
 export function createPeerLink(
   address: string,
   host: PeerLinkHost,
@@ -91,7 +95,7 @@
     return opened;
   }
 
-  /** Serves one connection; ends with the reason of its loss. */
+  /** Serves one connection; succeeds with the reason for its loss. */
   const runConnection = Effect.callback<string>((resume) => {
     const opened = dial();
     stream = opened;
@@ -118,7 +122,7 @@
           return;
         case "give-up": {
           const silentMs = Math.round(decision.silentMs);
-          resume(Effect.succeed(`Silent for ${silentMs} ms`));
+          resume(Effect.succeed(`No data from the peer for ${silentMs} ms`));
           return;
         }
         default:
--- a/src/peers/peer_server.ts
+++ b/src/peers/peer_server.ts
@@ -1,6 +1,7 @@
 /**
- * The side of a link that is dialed: greets back, answers pings and hands on
- * what dialers send. Grants and counter views go back on the same stream.
+ * The server side of peer links: answers hellos and pings, and delivers the
+ * frames that peers send. Grants and counter views are sent back on the same
+ * stream.
  *
  * @module
  */
@@ -25,27 +26,35 @@
 import { peerService } from "./peer_service.ts";
 import { FLEET_TOKEN_KEY } from "./peer_link.ts";
 
-/** What the server needs of the process. */
+/** Dependencies of a peer server. */
 export interface PeerServerHost {
   readonly fleetToken: string;
   onFrame(peer: string, frame: Frame): void;
-  /** Files of a configuration by digest; `undefined` when not known here. */
+  /**
+   * The content of a configuration by its digest, or of a table by its name;
+   * `undefined` if it is not available here.
+   */
   tryGetConfiguration(digest: string): Uint8Array | undefined;
-  /** Hosts known here, this one included. */
+  /** Number of hosts known here, including this one. */
   countHosts(): number;
 }
 
-/** The gRPC server of one router. */
+/** The gRPC server of one host. */
 export interface PeerServer extends AsyncDisposable {
-  /** Whether the host has dialed this one. */
+  /** Whether the peer has an open link to this host. */
   isConnected(peer: string): boolean;
-  /** Sends to a host that dialed this one; false when it is not connected. */
+  /**
+   * Sends to a peer that has an open link to this host; returns false if none
+   * is open.
+   */
   trySend(peer: string, frame: Frame): boolean;
 }
 
 type Stream = ServerDuplexStream<Frame, Frame>;
 
-/** Listens on the address, an IP and a port; rejects when it is taken. */
+/**
+ * Listens on the address, an IP and a port; rejects if it is already in use.
+ */
 export async function listenForPeers(
   address: string,
   host: PeerServerHost,
--- a/src/peers/peer_service.ts
+++ b/src/peers/peer_service.ts
@@ -1,5 +1,6 @@
 /**
- * The gRPC service between routers, with the generated codec.
+ * The definition of the gRPC service between routers, with the generated
+ * Protocol Buffers codec.
  *
  * @module
  */
@@ -35,7 +36,7 @@
   responseDeserialize: (bytes) => fromBinary(FetchReplySchema, bytes),
 };
 
-/** The service definition that server and client share. */
+/** The service definition for both server and client. */
 export const peerService = {
   open,
   fetchConfiguration,
