--- a/src/entry/entry.ts
+++ b/src/entry/entry.ts
@@ -247,8 +247,9 @@
   function getDistance(dataCentre: string): Distance {
     if (dataCentre === settings.dataCentre) return "same-data-centre";
     const { regions } = settings;
-    const isNear = regions.get(dataCentre) === regions.get(settings.dataCentre);
-    return isNear ? "same-region" : "other-region";
+    const isSameRegion =
+      regions.get(dataCentre) === regions.get(settings.dataCentre);
+    return isSameRegion ? "same-region" : "other-region";
   }
 
   const agent = createUpstreamAgent();
--- a/src/entry/full_hosts_test.ts
+++ b/src/entry/full_hosts_test.ts
@@ -24,8 +24,8 @@
   const views = names.map((peerAddress) =>
     createFullHosts({ clock, peerAddress, dataCentre: "a", incarnation: 1 })
   );
-  const tell = (fact: Fact) => views.forEach((view) => view.receive(fact));
-  return { clock, members, views, tell };
+  const deliver = (fact: Fact) => views.forEach((view) => view.receive(fact));
+  return { clock, members, views, tell: deliver };
 }
 
 test("a host that reports that it is full counts as full at the others", () => {
--- a/src/entry/load_exchange.ts
+++ b/src/entry/load_exchange.ts
@@ -42,7 +42,7 @@
   host: LoadExchangeHost,
 ): Promise<LoadExchange> {
   const { view, self } = host;
-  const sums = createLoadSums({
+  const reporter = createLoadSums({
     clock: host.clock,
     self,
     getHosts: host.getHosts,
@@ -55,14 +55,14 @@
   });
   const socket = await openDatagrams<LoadReport>(
     getLoadAddress(self.peerAddress),
-    { codec: createLoadCodec(FLEET_NAME), onMessage: sums.receive },
+    { codec: createLoadCodec(FLEET_NAME), onMessage: reporter.receive },
   );
 
   function send(): number {
-    for (const { to, report } of sums.createReports()) {
+    for (const { to, report } of reporter.createReports()) {
       socket.sendToAll(to.map(getLoadAddress), report);
     }
-    return sums.getPeriodMs();
+    return reporter.getPeriodMs();
   }
 
   return {
