--- a/src/discovery/table_follower.ts
+++ b/src/discovery/table_follower.ts
@@ -98,8 +98,8 @@
   /** No poll has succeeded since the last full read. */
   let hasJustRead = false;
   /**
-   * The last call failed. The platform may have been restored since, so the
-   * next poll must return immediately.
+   * A call has failed since the last successful poll. The platform may have
+   * been restored meanwhile, so the next poll must return immediately.
    */
   let hasFailed = false;
 
