--- a/src/entry/full_hosts_test.ts
+++ b/src/entry/full_hosts_test.ts
@@ -25,20 +25,23 @@
     createFullHosts({ clock, peerAddress, dataCentre: "a", incarnation: 1 })
   );
   const deliver = (fact: Fact) => views.forEach((view) => view.receive(fact));
-  return { clock, members, views, tell: deliver };
+  return { clock, members, views, deliver };
 }
 
 test("a host that reports that it is full counts as full at the others", () => {
-  const { views: [first, second], tell } = createFixture(["h1", "h2"]);
-  tell(first!.createFact(true));
+  const { views: [first, second], deliver } = createFixture(["h1", "h2"]);
+  deliver(first!.createFact(true));
   strictEqual(second!.isFull("h1"), true);
-  tell(first!.createFact(false));
+  deliver(first!.createFact(false));
   strictEqual(second!.isFull("h1"), false);
 });
 
 test("a full host that stops reporting no longer counts as full", () => {
-  const { clock, views: [first, second], tell } = createFixture(["h1", "h2"]);
-  tell(first!.createFact(true));
+  const { clock, views: [first, second], deliver } = createFixture([
+    "h1",
+    "h2",
+  ]);
+  deliver(first!.createFact(true));
   clock.advance(3_000);
   strictEqual(second!.isFull("h1"), false);
 });
@@ -46,8 +49,8 @@
 test("however many hosts are overloaded, half of a data centre takes callers", () => {
   // Guards against an overload of all hosts that leaves callers no host at all.
   const names = ["h1", "h2", "h3", "h4", "h5"];
-  const { views, members, tell } = createFixture(names);
-  for (const view of views) tell(view.createFact(true));
+  const { views, members, deliver } = createFixture(names);
+  for (const view of views) deliver(view.createFact(true));
   deepStrictEqual(
     views.map((view) => view.mayBeFull(members)),
     [true, true, false, false, false],
--- a/src/entry/servers.ts
+++ b/src/entry/servers.ts
@@ -67,9 +67,8 @@
  *
  * Load: a burst of new connections at a host with an eighth of a core. Failure
  * prevented: with a queue of 1,000, each connection was accepted 20 s late, the
- * callers had given up all requests on them, and no other caller was served
- * while the burst lasted (2 of 100 requests of a team within its share were
- * served).
+ * callers had given up all requests on them, and hardly any other caller was
+ * served while the burst lasted (2 of 100 requests of a team within its share).
  */
 export function getBacklog(processorShare: number): number {
   const perSecond = processorShare * ACCEPTED_PER_CORE_SECOND;
