--- /dev/null
+++ b/src/discovery/table_distribution.ts
@@ -0,0 +1,262 @@
+/**
+ * Distributes the platform's tables from the hosts that read them to all other
+ * hosts. A reader reports the positions of its tables to all hosts, on each
+ * change and at intervals. A host that lacks a reported version fetches the
+ * table from that reader.
+ *
+ * Failure prevented: the platform rejects a third of the hosts, or loses its
+ * change history, while an operator revokes an API key. Without the
+ * distribution those hosts would go on using the old configuration. With it
+ * they have the new one a round trip after the first reader, and never an older
+ * one than before.
+ *
+ * All state is kept per table. If a successful read of one table counted for
+ * the other, hosts that receive the list of upstreams would not notice that no
+ * host reads the configuration, and would refuse requests on routes that
+ * operators have added.
+ *
+ * @module
+ */
+
+import type { Clock } from "../core/mod.ts";
+import type { Fact } from "../membership/mod.ts";
+import { isNewer, type TablePosition } from "./positions.ts";
+import { FAILURE_MEMORY_MS } from "./reader_selection.ts";
+
+/** The tables that are distributed. */
+export type TableName = "config" | "upstreams";
+
+export const TABLE_NAMES: readonly TableName[] = ["config", "upstreams"];
+
+/**
+ * A reader's report on one table: the position of the table's newest change,
+ * and the outcome of the reader's own reads.
+ */
+export interface TableReport extends TablePosition {
+  /**
+   * Time since the reader's last successful read, in ms; absent if there is
+   * none.
+   */
+  readonly readMsAgo?: number;
+  /**
+   * Time since the reader's last read failed, in ms; absent if it did not fail.
+   */
+  readonly turnedAwayMsAgo?: number;
+}
+
+/** A reader's report on all tables. */
+export interface ReaderReport {
+  readonly peerAddress: string;
+  readonly tables: Readonly<Record<TableName, TableReport>>;
+}
+
+/** Dependencies of the table distribution. */
+export interface TableDistributionHost {
+  readonly clock: Clock;
+  readonly peerAddress: string;
+  /** Wall-clock start time of this process, in ms. */
+  readonly incarnation: number;
+  /** Sends the fact directly to all hosts, one datagram each. */
+  pushFact(fact: Fact): void;
+  /** Spreads the fact to all hosts by gossip. */
+  spreadFact(fact: Fact): void;
+  countHosts(): number;
+  /** The position up to which this host's replica is current. */
+  getPosition(table: TableName): TablePosition;
+  /** The position of the newest change in this host's replica. */
+  getChangedPosition(table: TableName): TablePosition;
+  /** Fetches a newer copy of the table from the reader at the address. */
+  fetch(table: TableName, peerAddress: string): void;
+}
+
+/** Sends this host's reports and evaluates those of other hosts. */
+export interface TableDistribution {
+  /**
+   * Records that this host has read the table from the platform; `changed`
+   * tells whether its replica changed.
+   */
+  recordRead(table: TableName, changed: boolean): void;
+  /** Records that the platform rejected this host's read or did not answer. */
+  recordFailure(table: TableName): void;
+  /** Processes another host's report. */
+  receive(fact: Fact): void;
+  hasRecentFailure(table: TableName, peerAddress: string): boolean;
+  /**
+   * Time since any host, including this one, last read the table from the
+   * platform, in ms.
+   */
+  getUnconfirmedMs(table: TableName): number;
+  /** Whether any host's read failed within the last `ms` milliseconds. */
+  hadOutageWithin(ms: number): boolean;
+}
+
+/**
+ * Key prefix of the gossiped facts that carry reports. It identifies the format
+ * of the report: during a rolling upgrade, hosts ignore reports in a format
+ * that they can't read, and read the platform themselves if they receive no
+ * others.
+ */
+export const REPORT_KEY_PREFIX = "table-reader/";
+
+/** Minimum interval between two reports without a change, in ms. */
+const CONFIRM_MS = 700;
+
+/**
+ * In fleets of up to this many hosts, reports without a change are sent
+ * directly to all hosts. Three readers then send 100 datagrams each per table
+ * and second, 54 KB/s (computed). By gossip a report would take seven rounds to
+ * reach 80 hosts, which is 1.8 s of the 2 s after which a host reads the
+ * platform itself. Larger fleets use gossip to bound the traffic.
+ */
+const MAX_PUSH_HOSTS = 100;
+
+/**
+ * What this host knows about the reads of one table; times are monotonic ms.
+ */
+interface TableReadState {
+  /** Time of the last successful read by any host, including this one. */
+  confirmedMs: number;
+  /**
+   * Time of this host's own last successful read. Only this is reported. If
+   * hosts also reported what they heard from others, each hop would make a read
+   * look newer by the network delay, and frequent reports during an outage
+   * would look like contact with the platform.
+   */
+  readMs: number;
+  /** The value of `readMs` that was last reported to the other hosts. */
+  reportedMs: number;
+  /**
+   * Time of each host's last failed read by peer address, including this host.
+   */
+  readonly lastFailureMs: Map<string, number>;
+}
+
+/** Creates the table distribution of a host that has received no reports. */
+export function createTableDistribution(
+  host: TableDistributionHost,
+): TableDistribution {
+  const { clock } = host;
+  const states: Readonly<Record<TableName, TableReadState>> = {
+    config: createTableReadState(),
+    upstreams: createTableReadState(),
+  };
+  let lastOutageMs = -Infinity;
+  let reportVersion = 0;
+
+  function createTableReport(table: TableName): TableReport {
+    const { readMs, lastFailureMs } = states[table];
+    return {
+      // Report the position of the newest change, not the position read. The
+      // latter rises with each change to any table, so each report would make
+      // every host fetch a copy that it already has.
+      ...host.getChangedPosition(table),
+      readMsAgo: getAgeMs(readMs),
+      turnedAwayMsAgo: getAgeMs(lastFailureMs.get(host.peerAddress)),
+    };
+  }
+
+  /** Age in whole ms; `undefined` for "never", which JSON omits. */
+  function getAgeMs(sinceMs: number | undefined): number | undefined {
+    if (sinceMs === undefined || sinceMs === -Infinity) return undefined;
+    return Math.round(clock.monotonicMs() - sinceMs);
+  }
+
+  function publish(isUrgent: boolean): void {
+    const report: ReaderReport = {
+      peerAddress: host.peerAddress,
+      tables: {
+        config: createTableReport("config"),
+        upstreams: createTableReport("upstreams"),
+      },
+    };
+    reportVersion++;
+    const fact = {
+      // A restarted host counts versions from 1 again, under another key.
+      key: `${REPORT_KEY_PREFIX}${host.peerAddress}/${host.incarnation}`,
+      version: reportVersion,
+      value: JSON.stringify(report),
+    };
+    for (const table of TABLE_NAMES) {
+      states[table].reportedMs = states[table].readMs;
+    }
+    if (isUrgent || host.countHosts() <= MAX_PUSH_HOSTS) host.pushFact(fact);
+    else host.spreadFact(fact);
+  }
+
+  function setLastFailure(
+    table: TableName,
+    peerAddress: string,
+    sinceMs: number,
+  ): void {
+    states[table].lastFailureMs.set(peerAddress, sinceMs);
+    lastOutageMs = Math.max(lastOutageMs, sinceMs);
+  }
+
+  function receiveTableReport(
+    table: TableName,
+    peerAddress: string,
+    report: TableReport,
+  ): void {
+    const { readMsAgo, turnedAwayMsAgo } = report;
+    const state = states[table];
+    const nowMs = clock.monotonicMs();
+    if (turnedAwayMsAgo === undefined) state.lastFailureMs.delete(peerAddress);
+    else setLastFailure(table, peerAddress, nowMs - turnedAwayMsAgo);
+    if (readMsAgo !== undefined) {
+      state.confirmedMs = Math.max(state.confirmedMs, nowMs - readMsAgo);
+    }
+    if (isNewer(report, host.getPosition(table))) {
+      host.fetch(table, peerAddress);
+    }
+  }
+
+  function hasRecentFailure(table: TableName, peerAddress: string): boolean {
+    const sinceMs = states[table].lastFailureMs.get(peerAddress);
+    if (sinceMs === undefined) return false;
+    return clock.monotonicMs() - sinceMs < FAILURE_MEMORY_MS;
+  }
+
+  return {
+    recordRead(table, changed) {
+      const state = states[table];
+      const nowMs = clock.monotonicMs();
+      state.confirmedMs = nowMs;
+      state.readMs = nowMs;
+      const hadFailed = state.lastFailureMs.delete(host.peerAddress);
+      const isUrgent = changed || hadFailed;
+      if (isUrgent || nowMs - state.reportedMs >= CONFIRM_MS) publish(isUrgent);
+    },
+    recordFailure(table) {
+      lastOutageMs = clock.monotonicMs();
+      // A host must exclude itself for no longer than the other hosts exclude
+      // it. If it counted from its last failure, which it reports to nobody,
+      // all other hosts would leave the table to the hosts that rank first, and
+      // those hosts to each other.
+      if (hasRecentFailure(table, host.peerAddress)) return;
+      // The first failure is urgent because the other hosts replace this reader
+      // at once. A repeated failure is not.
+      const isUrgent = !states[table].lastFailureMs.has(host.peerAddress);
+      setLastFailure(table, host.peerAddress, lastOutageMs);
+      publish(isUrgent);
+    },
+    receive(fact) {
+      const { peerAddress, tables } = JSON.parse(fact.value) as ReaderReport;
+      for (const table of TABLE_NAMES) {
+        receiveTableReport(table, peerAddress, tables[table]);
+      }
+    },
+    hasRecentFailure,
+    getUnconfirmedMs: (table) =>
+      clock.monotonicMs() - states[table].confirmedMs,
+    hadOutageWithin: (ms) => clock.monotonicMs() - lastOutageMs < ms,
+  };
+}
+
+function createTableReadState(): TableReadState {
+  return {
+    confirmedMs: -Infinity,
+    readMs: -Infinity,
+    reportedMs: -Infinity,
+    lastFailureMs: new Map(),
+  };
+}
--- a/src/discovery/table_follower.ts
+++ b/src/discovery/table_follower.ts
@@ -1,7 +1,8 @@
 /**
- * Follows one table at the platform while this host is one of its readers: reads
- * it once, then waits for changes. Every way in which the platform can fail ends
- * in another try: lost history by a whole read, all else by a wait.
+ * Keeps the replica of one table current while this host is a reader of the
+ * table: reads a snapshot once, then long-polls for changes. Every failure of
+ * the platform leads to another attempt: lost history to a full read, all other
+ * failures to a retry after a delay.
  *
  * @module
  */
@@ -9,109 +10,134 @@
 import * as Effect from "effect/Effect";
 import type { Clock } from "../core/mod.ts";
 import { isLaterEra, isSameEra, type TablePosition } from "./positions.ts";
-import type { SharedTable } from "./shared_table.ts";
-import { type TableChange, TableError, type WatchedTable } from "./types.ts";
+import type { TableReplica } from "./table_replica.ts";
+import { type TableChange, TableError, type TableSource } from "./types.ts";
 
-/** What a follower needs of the process. */
-export interface FollowerHost<T> {
+/** Dependencies of a table follower. */
+export interface TableFollowerHost<T> {
   readonly clock: Clock;
-  readonly source: WatchedTable<T>;
-  readonly table: SharedTable<T>;
+  readonly source: TableSource<T>;
+  readonly table: TableReplica<T>;
   isReader(): boolean;
-  /** The platform has answered; `changed` when the copy is another now. */
-  onContact(changed: boolean): void;
+  /**
+   * The platform answered; `changed` tells whether the replica's rows changed.
+   */
+  onAnswer(changed: boolean): void;
   onFailure(err: TableError): void;
-  /** What the host does with the table has failed. */
+  /** An unexpected exception, for example from `onAnswer`. */
   onDefect(defect: unknown): void;
-  /** From 0 up to 1; spreads the tries of many hosts. */
+  /** A random number in [0, 1); spreads the retries of many hosts over time. */
   random(): number;
 }
 
 /**
- * Longest wait for a change in one call, in ms. A connection that went silent
- * shows after this and the client's slack, which together leave a second of the
- * 2.5 s within which a configuration must be in force.
+ * Maximum duration of one long poll, in ms. A dead connection is detected after
+ * this time plus the client's own time-out. Together they leave one second of
+ * the 2.5 s within which a new configuration must be in force.
  */
-export const FOLLOW_WAIT_MS = 1_000;
+export const LONG_POLL_MS = 1_000;
 
-/** Wait between two looks at whether this host is a reader, in ms. */
-const IDLE_CHECK_MS = 200;
+/**
+ * Interval in ms at which a host that is not a reader checks whether it has
+ * become one.
+ */
+const READER_CHECK_INTERVAL_MS = 200;
 
-/** Wait before the next try after a failure, in ms; half of it is random. */
+/**
+ * Delay before the next attempt after a failure, in ms; half of it is random
+ * jitter.
+ */
 const RETRY_WAIT_MS = 500;
 
-/** While nothing is known every caller is refused, so that a try costs less. */
-const FIRST_RETRY_WAIT_MS = 200;
+/**
+ * Delay before the next attempt while the replica is still empty, in ms. It is
+ * shorter because the host refuses every caller until it has a configuration.
+ */
+const EMPTY_RETRY_WAIT_MS = 200;
 
 /**
- * A host that has just started does not know yet who reads, and reads itself, for
- * some five seconds in a fleet of 80. Upstreams start then as well, each of which
- * is a change, and a call by every host: 2,508 calls before the first caller came.
- * So in its first seconds answers are taken a while apart, in which further
- * changes come together. Less than half of the time in which a change must be in
- * force. It counts from the start: a host that takes over from another reader
- * later must not hear of changes late.
+ * During start-up a follower pauses after each answer, so that several changes
+ * arrive in one call.
+ *
+ * A host that has just started does not know yet which hosts are readers. It
+ * reads the tables itself for about 5 s in a fleet of 80. Upstreams start at
+ * the same time, each of them is one change, and without the pause each change
+ * cost one call by every host: 2,508 calls before the first caller arrived. The
+ * pause is shorter than half of the time within which a change must be in
+ * force. The period counts from the start of the process: a host that replaces
+ * another reader later must receive changes without delay.
  */
-const START_MS = 5_000;
-const START_WAIT_MS = 800;
+const STARTUP_MS = 5_000;
+const STARTUP_PAUSE_MS = 800;
 
 /**
- * Failure guarded against: the platform has come back from an older copy, and has
- * given out again the version that was asked from. What it wrote below that
- * version stands in no change; only a whole read shows it.
+ * Rejects changes of an era other than the requested position's.
+ *
+ * Failure prevented: after a restore from an older backup, the platform assigns
+ * version numbers again, up to and beyond the version from which this host
+ * polls. The poll does not return changes that were written below that version;
+ * only a full read does.
  */
 function checkEra<T>(
   change: TableChange<T>,
-  asked: TablePosition,
+  requested: TablePosition,
 ): Effect.Effect<TableChange<T>, TableError> {
-  if (isSameEra(change, asked)) return Effect.succeed(change);
-  const reason = `The platform's era is ${change.era}, not ${asked.era}`;
-  const kind = isLaterEra(change, asked) ? "history-lost" : "unreachable";
+  if (isSameEra(change, requested)) return Effect.succeed(change);
+  const reason =
+    `The platform answered from era ${change.era}, expected era ${requested.era}`;
+  const kind = isLaterEra(change, requested) ? "history-lost" : "unreachable";
   return Effect.fail(new TableError({ kind, reason }));
 }
 
-/** Follows for ever; interrupt it to end. */
-export function followTable<T>(host: FollowerHost<T>): Effect.Effect<never> {
+/** Follows the table until the effect is interrupted. */
+export function followTable<T>(
+  host: TableFollowerHost<T>,
+): Effect.Effect<never> {
   const startedMs = host.clock.monotonicMs();
-  let mustRead = true;
-  /** Nothing has been followed since the last whole read. */
+  let needsFullRead = true;
+  /** No poll has succeeded since the last full read. */
   let hasJustRead = false;
-  /** The platform may be another one now; its next answer is wanted at once. */
+  /**
+   * A call has failed since the last successful poll. The platform may have
+   * been restored meanwhile, so the next poll must return immediately.
+   */
   let hasFailed = false;
 
-  const read = host.source.read().pipe(Effect.map((state) => {
-    mustRead = false;
+  const read = host.source.read().pipe(Effect.map((snapshot) => {
+    needsFullRead = false;
     hasJustRead = true;
-    return host.table.replace(state);
+    return host.table.replace(snapshot);
   }));
 
-  const follow = Effect.suspend(() => {
-    const asked = host.table.getPosition();
-    const waitMs = hasFailed ? 0 : FOLLOW_WAIT_MS;
-    return host.source.follow(asked.version, waitMs).pipe(
-      Effect.flatMap((change) => checkEra(change, asked)),
+  const poll = Effect.suspend(() => {
+    const requested = host.table.getPosition();
+    const waitMs = hasFailed ? 0 : LONG_POLL_MS;
+    return host.source.pollChanges(requested.version, waitMs).pipe(
+      Effect.flatMap((change) => checkEra(change, requested)),
       Effect.map((change) => {
         hasJustRead = false;
         hasFailed = false;
-        // Meanwhile a whole copy of another era may have come from a peer.
-        const isOther = !isSameEra(asked, host.table.getPosition());
-        return isOther ? false : host.table.apply(change);
+        // A peer's snapshot of another era may have replaced the replica
+        // meanwhile.
+        const isOtherEra = !isSameEra(requested, host.table.getPosition());
+        return isOtherEra ? false : host.table.apply(change);
       }),
     );
   });
 
-  const settle = Effect.suspend(() =>
-    host.clock.monotonicMs() - startedMs > START_MS
+  const pauseDuringStartup = Effect.suspend(() =>
+    host.clock.monotonicMs() - startedMs > STARTUP_MS
       ? Effect.void
-      : Effect.sleep(START_WAIT_MS)
+      : Effect.sleep(STARTUP_PAUSE_MS)
   );
 
-  const step = Effect.suspend(() => mustRead ? read : follow).pipe(
-    Effect.map((changed) => host.onContact(changed)),
-    Effect.andThen(settle),
+  const step = Effect.suspend(() => needsFullRead ? read : poll).pipe(
+    Effect.map((changed) => host.onAnswer(changed)),
+    Effect.andThen(pauseDuringStartup),
     Effect.catchTag("TableError", (err) => recover(err)),
-    // A host that stopped to follow would keep its copy for good, and others,
-    // which take it for a reader, would not notice for as long as it answers.
+    // If the follower ended here, this host would keep its replica unchanged
+    // for good. The other hosts would still take it for a reader and would not
+    // notice while it answers probes.
     Effect.catchDefect((defect) => {
       host.onDefect(defect);
       return Effect.sleep(RETRY_WAIT_MS);
@@ -120,23 +146,24 @@
 
   function recover(err: TableError): Effect.Effect<void> {
     if (err.kind === "history-lost") {
-      mustRead = true;
-      // Without a wait a read that brings no way to follow repeats at once.
-      return hasJustRead ? wait(RETRY_WAIT_MS) : Effect.void;
+      needsFullRead = true;
+      // If polling fails right after a full read as well, retrying without a
+      // delay would send calls in a tight loop.
+      return hasJustRead ? waitWithJitter(RETRY_WAIT_MS) : Effect.void;
     }
     hasFailed = true;
     host.onFailure(err);
     const isKnown = host.table.getPosition().version > 0;
-    return wait(isKnown ? RETRY_WAIT_MS : FIRST_RETRY_WAIT_MS);
+    return waitWithJitter(isKnown ? RETRY_WAIT_MS : EMPTY_RETRY_WAIT_MS);
   }
 
-  /** About so long, in ms; half of it is random. */
-  function wait(ms: number): Effect.Effect<void> {
+  /** Waits for between half of the given time and all of it, in ms. */
+  function waitWithJitter(ms: number): Effect.Effect<void> {
     return Effect.sleep(ms * (0.5 + host.random() / 2));
   }
 
-  const turn = Effect.suspend(() =>
-    host.isReader() ? step : Effect.sleep(IDLE_CHECK_MS)
+  const iteration = Effect.suspend(() =>
+    host.isReader() ? step : Effect.sleep(READER_CHECK_INTERVAL_MS)
   );
-  return Effect.forever(turn);
+  return Effect.forever(iteration);
 }
--- /dev/null
+++ b/src/entry/drain.ts
@@ -0,0 +1,119 @@
+/**
+ * Drains an entry host between SIGTERM and its exit.
+ *
+ * Callers cache the list of hosts for seconds and keep their connections for
+ * longer, so requests continue to arrive. From the signal on, this host is
+ * absent from the answers to host queries, reports that it is not ready, and
+ * closes each connection after its response. A request that can't complete in
+ * the remaining time is refused as "not run", which is true because it was not
+ * sent to an upstream. Requests that have started are completed.
+ *
+ * @module
+ */
+
+import type { ServerResponse } from "node:http";
+import * as Effect from "effect/Effect";
+import type { Clock } from "../core/mod.ts";
+
+/** The requests in flight and the state of the drain. */
+export interface Drain {
+  isDraining(): boolean;
+  /** Whether a request with this expected duration, in ms, may start now. */
+  mayStartRequest(expectedMs: number): boolean;
+  /**
+   * Counts the response as in flight until its connection has closed or its
+   * last byte was sent.
+   */
+  track(res: ServerResponse): void;
+  countInFlight(): number;
+  /** Drains the host; returns the number of responses that were cut off. */
+  readonly run: Effect.Effect<{ cut: number; tookMs: number }>;
+}
+
+/** Dependencies of the drain. */
+export interface DrainHost {
+  readonly clock: Clock;
+  /** Time from SIGTERM to SIGKILL, in ms. */
+  readonly graceMs: number;
+  /** Announces to the other hosts that this host is leaving. */
+  announceLeaving(): void;
+  onPhase(phase: "leaving" | "ending", inFlight: number): void;
+}
+
+/** Time reserved for the exit of the process, in ms. */
+const EXIT_MARGIN_MS = 400;
+
+/**
+ * Share of the grace period in which every request may start; the rest is left
+ * for streams to complete. Most callers have queried the hosts again by then,
+ * since they cache the answer for 2 s. A request that starts after three
+ * eighths of the grace period and is cut off at its end counts as lost, and
+ * this host may receive the signal 100 ms after it was sent.
+ */
+const ADMIT_ALL_SHARE = 1 / 4;
+
+/**
+ * Minimum share of the grace period for which a host without requests keeps
+ * running, because late callers still arrive.
+ */
+const MIN_STAY_SHARE = 5 / 8;
+
+/**
+ * The host also keeps running until no request has arrived for this time, in
+ * ms.
+ */
+const MIN_QUIET_MS = 1_000;
+
+const CHECK_INTERVAL_MS = 50;
+
+/** Creates the drain of a host that is serving. */
+export function createDrain(host: DrainHost): Drain {
+  const { clock, graceMs } = host;
+  const openResponses = new Set<ServerResponse>();
+  let startedMs: number | undefined;
+  let lastArrivalMs = clock.monotonicMs();
+
+  function getElapsedMs(): number {
+    return startedMs === undefined ? 0 : clock.monotonicMs() - startedMs;
+  }
+
+  function setConnectionClose(res: ServerResponse): void {
+    if (!res.headersSent) res.setHeader("connection", "close");
+  }
+
+  function isDone(): boolean {
+    const elapsedMs = getElapsedMs();
+    if (elapsedMs >= graceMs - EXIT_MARGIN_MS) return true;
+    const quietMs = clock.monotonicMs() - lastArrivalMs;
+    return elapsedMs >= graceMs * MIN_STAY_SHARE && quietMs >= MIN_QUIET_MS &&
+      openResponses.size === 0;
+  }
+
+  const run = Effect.gen(function* () {
+    startedMs = clock.monotonicMs();
+    host.announceLeaving();
+    for (const res of openResponses) setConnectionClose(res);
+    host.onPhase("leaving", openResponses.size);
+    while (!isDone()) yield* Effect.sleep(CHECK_INTERVAL_MS);
+    host.onPhase("ending", openResponses.size);
+    return { cut: openResponses.size, tookMs: Math.round(getElapsedMs()) };
+  });
+
+  return {
+    isDraining: () => startedMs !== undefined,
+    mayStartRequest(expectedMs) {
+      if (startedMs === undefined) return true;
+      const elapsedMs = getElapsedMs();
+      if (elapsedMs <= graceMs * ADMIT_ALL_SHARE) return true;
+      return expectedMs <= graceMs - EXIT_MARGIN_MS - elapsedMs;
+    },
+    track(res) {
+      lastArrivalMs = clock.monotonicMs();
+      openResponses.add(res);
+      res.once("close", () => openResponses.delete(res));
+      if (startedMs !== undefined) setConnectionClose(res);
+    },
+    countInFlight: () => openResponses.size,
+    run,
+  };
+}
--- a/src/entry/entry.ts
+++ b/src/entry/entry.ts
@@ -1,6 +1,7 @@
 /**
- * One entry host's process: makes the parts, joins them and runs their tasks.
- * Disposing of it ends its tasks and closes its sockets.
+ * Assembles one entry host: creates its components, connects them and runs
+ * their background tasks. Disposing of the entry host stops the tasks and
+ * closes the sockets.
  *
  * @module
  */
@@ -26,14 +27,14 @@
 import { createHealthWatch, createRestWatch } from "../upstreams/mod.ts";
 import { chooseAddresses } from "./caller_addresses.ts";
 import { openLoadExchange } from "./load_exchange.ts";
-import { createFullHosts, FULL_KEY } from "./full_hosts.ts";
+import { createFullHosts, FULL_KEY_PREFIX } from "./full_hosts.ts";
 import { createIntake } from "./intake.ts";
-import { createKnowledge } from "./knowledge.ts";
-import { createLeaving } from "./leaving.ts";
-import { createLoopWatch } from "./loop_watch.ts";
+import { createPlatformView } from "./platform_view.ts";
+import { createDrain } from "./drain.ts";
+import { createEventLoopMonitor } from "./event_loop_monitor.ts";
 import { createEntryMetrics } from "./metrics.ts";
 import { openPeers } from "./peers.ts";
-import { followHostDirectory } from "./host_directory.ts";
+import { createHostRegistration } from "./host_registration.ts";
 import {
   createMetricsListener,
   createReadinessListener,
@@ -47,20 +48,31 @@
 
 /** A running entry host. */
 export interface Entry extends AsyncDisposable {
-  /** Takes no new work and ends what it has, within the grace. */
-  leave(): Promise<{ readonly cut: number; readonly tookMs: number }>;
+  /**
+   * Stops taking new requests and completes the running ones within the grace
+   * period. Returns the number of responses that were cut off.
+   */
+  drain(): Promise<{ readonly cut: number; readonly tookMs: number }>;
 }
 
-/** Callers ask again after so long, in ms: hosts come and go within seconds. */
+/**
+ * How long callers may cache a list of hosts, in ms. It is short because hosts
+ * come and go within seconds.
+ */
 const RESOLVE_TTL_MS = 2_000;
 
-/** Waiting prompts are looked at so often, in ms: a sixtieth of a target. */
+/**
+ * Interval of the scheduling passes over the queue, in ms: a sixtieth of a
+ * prompt target.
+ */
 const QUEUE_TICK_MS = 10;
 
-/** Of a service whose prompts' route has just been removed, in ms. */
-const NO_TARGET_MS = 1_000;
+/**
+ * Prompt target for a service whose prompt route has just been removed, in ms.
+ */
+const DEFAULT_TARGET_MS = 1_000;
 
-/** Starts an entry host; rejects when an address is taken. */
+/** Starts an entry host; rejects if an address is already in use. */
 export async function startEntry(
   settings: EntrySettings,
   host: EntryHost,
@@ -92,13 +104,13 @@
 
   function onFact(fact: Fact): void {
     if (fact.key.startsWith(CRASH_KEY)) crashes.receive(fact);
-    else if (fact.key.startsWith(FULL_KEY)) fullHosts.receive(fact);
-    else knowledge.receive(fact);
+    else if (fact.key.startsWith(FULL_KEY_PREFIX)) fullHosts.receive(fact);
+    else platformView.receive(fact);
   }
 
   const workingClock = createWorkingClock(clock);
   const health = createHealthWatch(workingClock);
-  const loop = createLoopWatch(clock, QUEUE_TICK_MS);
+  const loopMonitor = createEventLoopMonitor(clock, QUEUE_TICK_MS);
   const fullHosts = createFullHosts({
     clock,
     peerAddress,
@@ -107,8 +119,8 @@
   });
   const intake = createIntake({
     clock,
-    mayRest: () => fullHosts.mayRest(getAlive()),
-    onFull({ isFull, meanTurnMs }) {
+    mayBeFull: () => fullHosts.mayBeFull(getAlive()),
+    onDecision({ isFull, meanTurnMs }) {
       peers.membership.pushFact(fullHosts.createFact(isFull));
       log({
         event: "intake-changed",
@@ -122,7 +134,7 @@
     getDigest: getNameDigest,
     isAlive: (address) => peers.membership.isUsable(address),
     getStatedCapacity: () =>
-      knowledge.tryGetRoutes()?.config.tokensPerSecond ?? 0,
+      platformView.tryGetRoutes()?.config.tokensPerSecond ?? 0,
     getLearned: () =>
       [...pacings].map(([service, pacing]) => ({
         ...pacing.getEvidence(),
@@ -142,14 +154,14 @@
         }),
     );
   function getLimitTokens(service: string): number {
-    const targetMs = knowledge.tryGetRoutes()?.tryGetPromptTargetMs(service);
-    return getPacing(service).getLimitTokens(targetMs ?? NO_TARGET_MS);
+    const targetMs = platformView.tryGetRoutes()?.tryGetPromptTargetMs(service);
+    return getPacing(service).getLimitTokens(targetMs ?? DEFAULT_TARGET_MS);
   }
 
   const queue = createPromptQueue({
     nowMs: clock.monotonicMs,
     getLoad: (upstream) => ({
-      slots: knowledge.directory.getSlots(upstream),
+      slots: platformView.directory.getSlots(upstream),
       inFlight: load.getInFlight(upstream),
       readingTokens: load.getReadingTokens(upstream),
       underservedElsewhere: load.getUnderservedElsewhere(upstream),
@@ -177,36 +189,36 @@
         request: undefined,
       }),
   });
-  const knowledge = createKnowledge({
+  const platformView = createPlatformView({
     clock,
     platform: host.platform,
     peerAddress,
     incarnation,
     random: host.random,
     log,
-    onPlatformReturned: () => directory.refresh(),
+    onPlatformRestored: () => registration.refresh(),
     onFetched: (table, outcome) => metrics.observeFetch(table, outcome),
     getHosts: () => getAlive().map((each) => each.peerAddress),
     pushFact: (fact) => peers.membership.pushFact(fact),
     spreadFact: (fact) => peers.membership.spreadFact(fact),
     fetchTable: (name, peer) => peers.fetchTable(name, peer),
   });
-  const leaving = createLeaving({
+  const drain = createDrain({
     clock,
     graceMs: settings.stopGraceMs,
-    leave: () => peers.membership.leave(),
+    announceLeaving: () => peers.membership.leave(),
     onPhase: (phase, inFlight) =>
       log({ event: "drain-phase", phase, inFlight }),
   });
   const isReady = () =>
-    !leaving.isLeaving() && !intake.isFull() &&
-    knowledge.tryGetRoutes() !== undefined;
+    !drain.isDraining() && !intake.isFull() &&
+    platformView.tryGetRoutes() !== undefined;
   const metrics = createEntryMetrics({
-    getConfigVersion: () => knowledge.getInputs().configVersion,
+    getConfigVersion: () => platformView.getInputs().configVersion,
     getQueued: queue.getCount,
-    countInFlight: leaving.countInFlight,
+    countInFlight: drain.countInFlight,
     countAliveHosts: () => getAlive().length,
-    getUnreadMs: loop.getUnreadMs,
+    getUnreadMs: loopMonitor.getUnreadMs,
     getReadingLimits: () =>
       [...pacings.keys()].map((service) => ({
         service,
@@ -218,7 +230,7 @@
     clock,
     incarnation,
     random: host.random,
-    onMember: (member) =>
+    onMemberChanged: (member) =>
       log({
         event: "member-changed",
         member: member.host,
@@ -226,8 +238,8 @@
         incarnation: member.incarnation,
       }),
     onFact,
-    tryGetTable: (name) => knowledge.tryGetTable(name),
-    onFailed: (reason) =>
+    tryGetTable: (name) => platformView.tryGetTable(name),
+    onTickFailed: (reason) =>
       log({ event: "task-failed", task: "membership", reason }),
   });
   peers.setSeeds(settings.seeds);
@@ -235,8 +247,9 @@
   function getDistance(dataCentre: string): Distance {
     if (dataCentre === settings.dataCentre) return "same-data-centre";
     const { regions } = settings;
-    const isNear = regions.get(dataCentre) === regions.get(settings.dataCentre);
-    return isNear ? "same-region" : "other-region";
+    const isSameRegion =
+      regions.get(dataCentre) === regions.get(settings.dataCentre);
+    return isSameRegion ? "same-region" : "other-region";
   }
 
   const agent = createUpstreamAgent();
@@ -245,8 +258,8 @@
     startedMs,
     codec: protocol.calls,
     agent,
-    directory: knowledge.directory,
-    noteLeaving: knowledge.noteLeaving,
+    directory: platformView.directory,
+    noteLeaving: platformView.markLeaving,
     queue,
     load,
     getPacing,
@@ -257,13 +270,13 @@
       clock,
       getFleetOptions(retries, () => getAlive().length),
     ),
-    tryGetRoutes: knowledge.tryGetRoutes,
+    tryGetRoutes: platformView.tryGetRoutes,
     getDistance,
-    isBehind: loop.isBehind,
-    getTurnMs: loop.getTurnMs,
-    getUnreadMs: loop.getUnreadMs,
-    mayStart: leaving.mayStart,
-    getInputs: knowledge.getInputs,
+    isBehind: loopMonitor.isOverloaded,
+    getTurnMs: loopMonitor.getTurnOverrunMs,
+    getUnreadMs: loopMonitor.getUnreadMs,
+    mayStart: drain.mayStartRequest,
+    getInputs: platformView.getInputs,
     log,
     onEnded: metrics.observeEnd,
     random: host.random,
@@ -272,7 +285,7 @@
   const callers = await listen(
     settings.callerAddress,
     (req, res) => {
-      leaving.track(res);
+      drain.track(res);
       serve(forwardHost, req, res);
     },
     getBacklog(settings.processorShare),
@@ -312,20 +325,20 @@
     );
   }
 
-  function watch(): void {
+  function measureIterations(): void {
     workingClock.tick();
-    loop.tick();
+    loopMonitor.tick();
     intake.tick();
   }
 
-  /** Prompts wait for time to pass as well as for events. */
+  /** Waiting prompts depend on elapsed time as well as on events. */
   function decide(): void {
     queue.tick();
-    const limits = knowledge.tryGetRoutes()?.config.callerLimits;
+    const limits = platformView.tryGetRoutes()?.config.callerLimits;
     if (limits !== undefined) setCallerLimits(callers.server, limits);
   }
 
-  const directory = followHostDirectory({
+  const registration = createHostRegistration({
     directory: host.platform.hosts,
     peerAddress,
     seeds: settings.seeds,
@@ -335,20 +348,23 @@
     onFailure: (reason) =>
       log({ event: "platform-lost", table: "hosts", reason }),
   });
-  const exchange = await openLoadExchange({
+  const loadExchange = await openLoadExchange({
     clock: workingClock,
     self: { peerAddress, dataCentre: settings.dataCentre },
     view: load,
     getHosts: getAlive,
   });
   const tasks = [
-    exchange.run,
+    loadExchange.run,
     peers.run,
-    knowledge.run,
-    directory.run,
+    platformView.run,
+    registration.run,
   ]
     .map((task) => Effect.runFork(task));
-  const ticker = startTicker(QUEUE_TICK_MS, { watch, decide });
+  const ticker = startTicker(QUEUE_TICK_MS, {
+    measure: measureIterations,
+    decide,
+  });
   log({
     event: "started",
     name: settings.name,
@@ -358,9 +374,9 @@
   });
 
   return {
-    async leave() {
-      Effect.runFork(directory.remove);
-      const result = await Effect.runPromise(leaving.run);
+    async drain() {
+      Effect.runFork(registration.remove);
+      const result = await Effect.runPromise(drain.run);
       log({ event: "stopped", ...result });
       return result;
     },
@@ -369,7 +385,7 @@
       for (const task of tasks) await Effect.runPromise(Fiber.interrupt(task));
       for (const server of servers) await server[Symbol.asyncDispose]();
       agent.destroy();
-      await exchange[Symbol.asyncDispose]();
+      await loadExchange[Symbol.asyncDispose]();
       await peers[Symbol.asyncDispose]();
     },
   };
