--- /dev/null
+++ b/src/entry/event_loop_monitor_test.ts
@@ -0,0 +1,34 @@
+import { strictEqual } from "node:assert";
+import { test } from "node:test";
+import { createManualClock } from "../core/mod.ts";
+import { createEventLoopMonitor } from "./event_loop_monitor.ts";
+
+const PERIOD_MS = 10;
+
+test("a host in a long event-loop iteration is overloaded until the iteration ends", () => {
+  // A host that processes 15 requests per second receives 200. Its iterations
+  // grow to seconds, so callers have given up on what it reads at an
+  // iteration's end.
+  const clock = createManualClock(1_000);
+  const monitor = createEventLoopMonitor(clock, PERIOD_MS);
+  monitor.tick();
+  clock.advance(PERIOD_MS + 200);
+  strictEqual(monitor.isOverloaded(), false);
+  clock.advance(1);
+  strictEqual(monitor.isOverloaded(), true);
+  monitor.tick();
+  strictEqual(monitor.isOverloaded(), false);
+});
+
+test("input read now may have waited since the previous iteration began", () => {
+  const clock = createManualClock(1_000);
+  const monitor = createEventLoopMonitor(clock, PERIOD_MS);
+  monitor.tick();
+  clock.advance(PERIOD_MS);
+  monitor.tick();
+  strictEqual(monitor.getUnreadMs(), 0);
+  clock.advance(PERIOD_MS + 700);
+  monitor.tick();
+  clock.advance(300);
+  strictEqual(monitor.getUnreadMs(), 990);
+});
--- a/src/entry/full_hosts_test.ts
+++ b/src/entry/full_hosts_test.ts
@@ -16,7 +16,7 @@
   };
 }
 
-/** Hosts of one data centre that hear each other's facts at once. */
+/** Hosts in one data centre that receive each other's facts at once. */
 function createFixture(names: readonly string[]) {
   const clock = createManualClock(1_000);
   const members = [...names.map((name) => createMember(name))];
@@ -24,37 +24,40 @@
   const views = names.map((peerAddress) =>
     createFullHosts({ clock, peerAddress, dataCentre: "a", incarnation: 1 })
   );
-  const tell = (fact: Fact) => views.forEach((view) => view.receive(fact));
-  return { clock, members, views, tell };
+  const deliver = (fact: Fact) => views.forEach((view) => view.receive(fact));
+  return { clock, members, views, deliver };
 }
 
-test("hosts leave out of their answers what has told that it is full", () => {
-  const { views: [first, second], tell } = createFixture(["h1", "h2"]);
-  tell(first!.createFact(true));
+test("a host that reports that it is full counts as full at the others", () => {
+  const { views: [first, second], deliver } = createFixture(["h1", "h2"]);
+  deliver(first!.createFact(true));
   strictEqual(second!.isFull("h1"), true);
-  tell(first!.createFact(false));
+  deliver(first!.createFact(false));
   strictEqual(second!.isFull("h1"), false);
 });
 
-test("a full host that is gone counts as full no longer", () => {
-  const { clock, views: [first, second], tell } = createFixture(["h1", "h2"]);
-  tell(first!.createFact(true));
+test("a full host that stops reporting no longer counts as full", () => {
+  const { clock, views: [first, second], deliver } = createFixture([
+    "h1",
+    "h2",
+  ]);
+  deliver(first!.createFact(true));
   clock.advance(3_000);
   strictEqual(second!.isFull("h1"), false);
 });
 
-test("however many hosts are full, half of a data centre takes callers", () => {
-  // Guards against a load on all hosts that leaves callers no host at all.
+test("however many hosts are overloaded, half of a data centre takes callers", () => {
+  // Guards against an overload of all hosts that leaves callers no host at all.
   const names = ["h1", "h2", "h3", "h4", "h5"];
-  const { views, members, tell } = createFixture(names);
-  for (const view of views) tell(view.createFact(true));
+  const { views, members, deliver } = createFixture(names);
+  for (const view of views) deliver(view.createFact(true));
   deepStrictEqual(
-    views.map((view) => view.mayRest(members)),
+    views.map((view) => view.mayBeFull(members)),
     [true, true, false, false, false],
   );
 });
 
-test("a data centre's only host goes on", () => {
+test("a data centre's only host continues to take callers", () => {
   const { views: [only], members } = createFixture(["h1"]);
-  strictEqual(only!.mayRest(members), false);
+  strictEqual(only!.mayBeFull(members), false);
 });
--- a/src/forwarding/pick_upstream.ts
+++ b/src/forwarding/pick_upstream.ts
@@ -19,7 +19,7 @@
   RankedUpstream,
   WaitingPrompt,
 } from "../queue/mod.ts";
-import { hasLeft } from "../requests/caller.ts";
+import { hasDisconnected } from "../requests/caller.ts";
 import { type Call, type ForwardHost, getLeftMs } from "./call.ts";
 import { createNotRun, Rejected } from "./replies.ts";
 import { getRestRetryMs } from "./retry_after.ts";
@@ -116,7 +116,7 @@
       serviceTokens: size,
       workTokens,
       getUpstreams: keepChoices(host, call, prompt),
-      isCallerConnected: () => !hasLeft(call.res),
+      isCallerConnected: () => !hasDisconnected(call.res),
       start(id, { readingTokens, queuedTokens }) {
         const upstream = host.directory.getReady(call.service)
           .find((each) => each.id === id)!;
--- a/src/requests/run_once.ts
+++ b/src/requests/run_at_most_once.ts
@@ -1,11 +1,12 @@
 /**
- * Runs of a request that may run at most once: claimed before its first byte
- * goes upstream, never sent again after that byte, and its end recorded for a
- * resend.
+ * Runs a request that may run at most once: the request is claimed before its
+ * first byte is sent upstream, is never sent again after that byte, and its
+ * outcome is recorded for a resend.
  *
- * The claim is taken beside the wait for the slot, shortly before the slot is
- * expected: a slot does not idle during the store's round trip, and a host that
- * dies leaves few claims of requests that only waited.
+ * The claim is taken while the request waits for its slot, shortly before the
+ * slot is expected: the slot does not stay idle during the round trip to the
+ * table service, and a host that dies leaves few claims of requests that were
+ * still waiting.
  *
  * @module
  */
@@ -20,50 +21,58 @@
 import type { SlotHandle } from "../slots/mod.ts";
 import type { AdmittedRequest } from "../types.ts";
 import { UpstreamError, wasNotSent } from "../upstreams/mod.ts";
-import { recordEnd, sendAnswer, toReply } from "./end.ts";
+import { createFailureReply, recordEnd, sendResponse } from "./end.ts";
 import { type ParsedCall, reject, type RequestRejected } from "./parse.ts";
 import {
-  createMayHaveRun,
-  createNotRun,
+  createMayHaveRunReply,
+  createNotRunReply,
   type FinalReply,
   RECORDED_HEADER,
 } from "./reply.ts";
 import { looksLikeCrash } from "./run_on_engine.ts";
 import { runOnPlainService } from "./run_on_plain_service.ts";
-import { runAtUpstream, takeTurn } from "./run_suspect.ts";
+import { runAtUpstream, withTrialIfSuspect } from "./run_suspect.ts";
 import { createProgress, type Progress, type ServeHost } from "./types.ts";
 import { withSlot } from "./use_slot.ts";
 
-/** The claim is taken so long before the slot is expected, in ms. */
-const CLAIM_AHEAD_MS = 250;
+/** How long before the expected slot the claim is taken, in ms. */
+const CLAIM_LEAD_MS = 250;
 
-/** Refused connections of one request, at most. */
-const MAX_REFUSALS = 10;
+/** Maximum number of refused connections of one request. */
+const MAX_REFUSED_CONNECTIONS = 10;
 
-/** Longer answers are not kept for a resend, in characters. */
-const MAX_RECORDED = 65_536;
+/**
+ * Maximum length of a response that is recorded for a resend, in characters.
+ */
+const MAX_RECORDED_CHARS = 65_536;
 
-/** A claim older than its deadline by so much has no holder any more, in ms. */
-const HOLDER_SLACK_MS = 60_000;
+/**
+ * A claim that is older than the service's longest deadline by this time has no
+ * holder any more, in ms.
+ */
+const CLAIM_HOLDER_GRACE_MS = 60_000;
 
-/** An earlier request with the same key has its end already. */
+/** An earlier request with the same idempotency key has a recorded outcome. */
 class AlreadyEnded extends Data.TaggedError("AlreadyEnded")<{
   readonly end: RecordedEnd;
 }> {}
 
-interface OnceContext {
+interface AtMostOnceContext {
   readonly host: ServeHost;
   readonly admitted: AdmittedRequest;
   readonly call: ParsedCall;
   readonly res: ServerResponse;
   readonly progress: Progress;
   readonly claim: Claim;
-  /** Set when the upstream has answered. */
+  /** Set when the upstream has responded. */
   end: RecordedEnd | undefined;
 }
 
-/** Runs the request, or tells what became of an earlier one with its key. */
-export function runOnce(
+/**
+ * Runs the request, or replies with the outcome of an earlier request with the
+ * same idempotency key.
+ */
+export function runAtMostOnce(
   host: ServeHost,
   admitted: AdmittedRequest,
   call: ParsedCall,
@@ -71,9 +80,9 @@
 ): Effect.Effect<void, RequestRejected> {
   if (call.service.kind === "engine") {
     const args = [admitted.operation];
-    return reject(createNotRun(501, "onceNeedsPlainService", { args }));
+    return reject(createNotRunReply(501, "onceNeedsPlainService", { args }));
   }
-  const context: OnceContext = {
+  const context: AtMostOnceContext = {
     host,
     admitted,
     call,
@@ -89,57 +98,57 @@
     }),
     end: undefined,
   };
-  return runUntilSent(context).pipe(
-    // Whatever ended the request, also the loss of its caller: the claim is
-    // settled, or the key would be held for good.
-    Effect.ensuring(Effect.sync(() => host.runDetached(settle(context)))),
+  return retryUntilSent(context).pipe(
+    // The claim is settled however the request ends, also when the caller
+    // disconnects; otherwise the key would stay claimed for ever.
+    Effect.ensuring(Effect.sync(() => host.runDetached(settleClaim(context)))),
   );
 }
 
-/** Tries again only after a refused connection: nothing was sent there. */
-function runUntilSent(
-  context: OnceContext,
+/** Retries only after a refused connection, since nothing was sent there. */
+function retryUntilSent(
+  context: AtMostOnceContext,
 ): Effect.Effect<void, RequestRejected> {
   const { host, admitted, progress } = context;
   return Effect.gen(function* () {
     let hasClaim = false;
     for (let refusals = 0;; refusals++) {
       const attempt = runWithClaim(context, hasClaim).pipe(
-        Effect.tapError((err) => countCrash(context, err)),
+        Effect.tapError((err) => recordIfCrash(context, err)),
       );
-      const turn = { ...admitted, progress };
-      const err = yield* takeTurn(host, turn, attempt).pipe(
+      const trial = { ...admitted, progress };
+      const err = yield* withTrialIfSuspect(host, trial, attempt).pipe(
         Effect.map(() => undefined),
         Effect.catchTag("UpstreamError", (err) => Effect.succeed(err)),
       );
       if (err === undefined) return;
       hasClaim = true;
-      if (wasNotSent(err) && refusals < MAX_REFUSALS) continue;
-      yield* reject(toReply(err, admitted, progress));
+      if (wasNotSent(err) && refusals < MAX_REFUSED_CONNECTIONS) continue;
+      yield* reject(createFailureReply(err, admitted, progress));
     }
   });
 }
 
-function countCrash(
-  context: OnceContext,
+function recordIfCrash(
+  context: AtMostOnceContext,
   err: { readonly _tag: string },
 ): Effect.Effect<void> {
   const { host, admitted, progress } = context;
   return Effect.suspend(() => {
     if (!(err instanceof UpstreamError)) return Effect.void;
     if (!looksLikeCrash(err, progress)) return Effect.void;
-    const crash = { isAlone: progress.isAlone, isFinal: true };
+    const crash = { isExclusive: progress.hasExclusiveUse, isFinal: true };
     return host.quarantine.recordCrash(admitted.fingerprint, crash);
   }).pipe(Effect.asVoid);
 }
 
 function runWithClaim(
-  context: OnceContext,
+  context: AtMostOnceContext,
   hasClaim: boolean,
 ): Effect.Effect<void, UpstreamError | RequestRejected> {
   const { host, admitted, progress } = context;
-  const slotCame = Deferred.makeUnsafe<void>();
-  const prepare = hasClaim ? Effect.void : takeClaim(context, slotCame);
+  const slotGranted = Deferred.makeUnsafe<void>();
+  const prepare = hasClaim ? Effect.void : takeClaim(context, slotGranted);
   return withSlot<RecordedEnd, UpstreamError | RequestRejected | AlreadyEnded>(
     host,
     admitted,
@@ -147,7 +156,7 @@
       progress,
       bodyBytes: Buffer.byteLength(context.call.body),
       prepare,
-      onSlot: () => Deferred.doneUnsafe(slotCame, Effect.void),
+      onSlotGranted: () => Deferred.doneUnsafe(slotGranted, Effect.void),
       run: (slot) =>
         runAtUpstream(
           host,
@@ -157,37 +166,37 @@
             upstream: slot.upstream,
             progress,
           },
-          send(context, slot),
+          callUpstream(context, slot),
         ),
     },
   ).pipe(
     Effect.map((end) => {
-      sendAnswer(context.res, admitted.id, end);
+      sendResponse(context.res, admitted.id, end);
       recordEnd(host, admitted, { outcome: "answered", cost: 1, reason: "" });
     }),
     Effect.catchTag("AlreadyEnded", ({ end }) =>
       Effect.sync(() => {
         context.res.setHeader(RECORDED_HEADER, "true");
-        sendAnswer(context.res, admitted.id, end);
+        sendResponse(context.res, admitted.id, end);
         recordEnd(host, admitted, {
           outcome: "answered",
           cost: 0,
-          reason: "Recorded",
+          reason: "Recorded outcome of an earlier request",
         });
       })),
   );
 }
 
 function takeClaim(
-  context: OnceContext,
-  slotCame: Deferred.Deferred<void>,
+  context: AtMostOnceContext,
+  slotGranted: Deferred.Deferred<void>,
 ): Effect.Effect<void, RequestRejected | AlreadyEnded> {
   const { host, admitted, claim } = context;
   return Effect.gen(function* () {
     const { team, service } = admitted;
     const expectedMs = host.backlog.getExpectedWaitMs(team, service);
-    yield* Deferred.await(slotCame).pipe(Effect.timeoutOrElse({
-      duration: Math.max(0, expectedMs - CLAIM_AHEAD_MS),
+    yield* Deferred.await(slotGranted).pipe(Effect.timeoutOrElse({
+      duration: Math.max(0, expectedMs - CLAIM_LEAD_MS),
       orElse: () => Effect.void,
     }));
     const result = yield* claim.take;
@@ -201,41 +210,46 @@
     if (result.kind === "ended") {
       return yield* Effect.fail(new AlreadyEnded({ end: result.end }));
     }
-    yield* reject(toClaimReply(host, result, context.call));
+    yield* reject(createClaimReply(host, result, context.call));
   });
 }
 
-function toClaimReply(
+function createClaimReply(
   host: ServeHost,
   result: Exclude<ClaimResult, { kind: "claimed" | "ended" }>,
   call: ParsedCall,
 ): FinalReply {
   switch (result.kind) {
     case "other-content":
-      return createNotRun(422, "idempotencyKeyReused");
+      return createNotRunReply(422, "idempotencyKeyReused");
     case "unknown":
-      return createMayHaveRun(409, "claimEndUnknown");
+      return createMayHaveRunReply(409, "claimEndUnknown");
     case "unavailable":
-      // The claim may stand, but this attempt sent nothing and never will.
-      return createNotRun(503, "claimsUnavailable", { retryAfterMs: 2_000 });
+      // The claim may have been written, but this request sent nothing and
+      // never will.
+      return createNotRunReply(503, "claimsUnavailable", {
+        retryAfterMs: 2_000,
+      });
     case "under-way": {
       const { row } = result;
-      if (host.isProcessGone(row.host, row.incarnation)) {
-        return createMayHaveRun(409, "claimHolderLost");
+      if (host.isProcessDead(row.host, row.incarnation)) {
+        return createMayHaveRunReply(409, "claimHolderLost");
       }
       const claimedMs = row.expiresMs - CLAIM_KEEP_MS;
-      const limitMs = call.service.maxDeadlineMs + HOLDER_SLACK_MS;
+      const limitMs = call.service.maxDeadlineMs + CLAIM_HOLDER_GRACE_MS;
       if (host.clock.wallMs() > claimedMs + limitMs) {
-        return createMayHaveRun(409, "claimEndUnknown");
+        return createMayHaveRunReply(409, "claimEndUnknown");
       }
-      return createMayHaveRun(409, "claimedElsewhere", { retryAfterMs: 1_000 });
+      return createMayHaveRunReply(409, "claimedElsewhere", {
+        retryAfterMs: 1_000,
+      });
     }
   }
 }
 
-/** The call itself; the caller's loss does not cut it off. */
-function send(
-  context: OnceContext,
+/** Calls the upstream. The call continues when the caller disconnects. */
+function callUpstream(
+  context: AtMostOnceContext,
   slot: SlotHandle,
 ): Effect.Effect<RecordedEnd, UpstreamError> {
   const sent = runOnPlainService(context, slot).pipe(
@@ -252,14 +266,14 @@
 }
 
 /**
- * Records what became of the claim. The answer does not wait for it: a store
- * that is slow or down would hold back answers that are already there. A resend
- * that comes before the record is told that the request is under way.
+ * Records the end of the claim. The response does not wait for this: a slow or
+ * unavailable table service would hold back responses that are complete. A
+ * resend that arrives before the record is told that the request is under way.
  */
-function settle(context: OnceContext): Effect.Effect<boolean> {
+function settleClaim(context: AtMostOnceContext): Effect.Effect<boolean> {
   const { claim, end, progress } = context;
   if (end !== undefined) {
-    return end.body.length <= MAX_RECORDED
+    return end.body.length <= MAX_RECORDED_CHARS
       ? claim.end(end)
       : claim.setUnknown();
   }
--- a/src/requests/run_on_plain_service.ts
+++ b/src/requests/run_on_plain_service.ts
@@ -1,5 +1,6 @@
 /**
- * One call to a plain service, and what it says of the request's progress.
+ * Calls a plain service and records what the call shows of the request's
+ * progress.
  *
  * @module
  */
@@ -11,8 +12,8 @@
 import type { ParsedCall } from "./parse.ts";
 import { getRemainingMs, type Progress, type ServeHost } from "./types.ts";
 
-/** What a call needs. */
-export interface PlainRun {
+/** Input of a call. */
+export interface PlainAttempt {
   readonly host: ServeHost;
   readonly admitted: AdmittedRequest;
   readonly call: ParsedCall;
@@ -20,14 +21,14 @@
 }
 
 /**
- * Calls the service. From the start the call counts as sent; only a refused
+ * Calls the service. The call counts as sent from the start; only a refused
  * connection proves that it was not.
  */
 export function runOnPlainService(
-  run: PlainRun,
+  attempt: PlainAttempt,
   slot: SlotHandle,
 ): Effect.Effect<PlainAnswer, UpstreamError> {
-  const { host, admitted, call, progress } = run;
+  const { host, admitted, call, progress } = attempt;
   return Effect.gen(function* () {
     const startMs = host.clock.monotonicMs();
     progress.isSent = true;
--- a/src/requests/serve.ts
+++ b/src/requests/serve.ts
@@ -1,7 +1,7 @@
 /**
- * The life of one request, straight down: parse, admit, claim, wait for a slot,
- * run, end. One fiber runs it; when the caller vanishes the fiber is
- * interrupted, and each step gives back what it holds.
+ * Serves one request in sequence: parse, admit, claim, wait for a slot, run,
+ * end. A single fiber runs it; when the caller disconnects the fiber is
+ * interrupted, and each step releases what it holds.
  *
  * @module
  */
@@ -11,7 +11,7 @@
 import * as Effect from "effect/Effect";
 import type { AdmittedRequest } from "../types.ts";
 import { admit } from "./admit.ts";
-import { type CallerLost, sendHeartbeats, watchCaller } from "./caller.ts";
+import { type CallerLost, failOnDisconnect, sendHeartbeats } from "./caller.ts";
 import { recordEnd } from "./end.ts";
 import {
   parseCall,
@@ -19,10 +19,14 @@
   reject,
   type RequestRejected,
 } from "./parse.ts";
-import { createMayHaveRun, createNotRun, sendReply } from "./reply.ts";
+import {
+  createMayHaveRunReply,
+  createNotRunReply,
+  sendReply,
+} from "./reply.ts";
 import { resumeStream, STREAMS_PATH } from "./resume_stream.ts";
 import { runIdempotent } from "./run_idempotent.ts";
-import { runOnce } from "./run_once.ts";
+import { runAtMostOnce } from "./run_at_most_once.ts";
 import { checkQuarantine } from "./run_suspect.ts";
 import type { ServeHost } from "./types.ts";
 
@@ -38,7 +42,7 @@
     if (deployment === undefined) {
       const args = ["no configuration is in force"];
       return yield* reject(
-        createNotRun(503, "notReady", { args, retryAfterMs: 1_000 }),
+        createNotRunReply(503, "notReady", { args, retryAfterMs: 1_000 }),
       );
     }
     if (req.url?.startsWith(STREAMS_PATH)) {
@@ -48,7 +52,7 @@
     yield* admitAndRun(host, request, call, res);
   });
   return served.pipe(
-    Effect.raceFirst(watchCaller(res)),
+    Effect.raceFirst(failOnDisconnect(res)),
     Effect.raceFirst(sendHeartbeats(req, res)),
     Effect.catchTag(
       "RequestRejected",
@@ -57,7 +61,7 @@
     Effect.catchTag("CallerLost", () => Effect.void),
     Effect.catchCause((cause) =>
       Effect.sync(() => {
-        const reply = createMayHaveRun(500, "internalError", {
+        const reply = createMayHaveRunReply(500, "internalError", {
           args: [String(cause)],
         });
         sendReply(res, reply, request);
@@ -89,7 +93,7 @@
     if (call.operation.idempotent) {
       yield* runIdempotent(host, admitted, call, res);
     } else {
-      yield* runOnce(host, admitted, call, res);
+      yield* runAtMostOnce(host, admitted, call, res);
     }
   }).pipe(
     Effect.tapError((err) =>
@@ -102,7 +106,7 @@
     ),
     Effect.onInterrupt(() =>
       Effect.sync(() => {
-        const reason = "The caller vanished";
+        const reason = "The caller disconnected";
         recordEnd(host, admitted, { outcome: "caller-lost", cost: 0, reason });
       })
     ),
