--- a/src/queue/shared_capacity_test.ts
+++ b/src/queue/shared_capacity_test.ts
@@ -151,14 +151,14 @@
       });
     }
 
-    return { sums, queue, ask: submit };
+    return { sums, queue, submit };
   });
 
   const perMs = options.demandFactor * TOKENS_PER_MS * UPSTREAMS.length;
   const periodMs = promptTokens * options.teams.length / perMs;
   options.teams.forEach(({ hosts: used, weight = 1 }, at) => {
     agenda.every(periodMs / weight, () => {
-      hosts[used[asked[at]! % used.length]!]!.ask(at);
+      hosts[used[asked[at]! % used.length]!]!.submit(at);
     });
   });
   hosts.forEach((host, at) => {
--- a/src/queue/team_queue.ts
+++ b/src/queue/team_queue.ts
@@ -37,9 +37,9 @@
   /** Number of waiting requests by team; teams without any are omitted. */
   getCounts(): ReadonlyMap<string, number>;
   /** Arrival of the oldest waiting request, in monotonic milliseconds. */
-  tryGetOldestMs(): number | undefined;
+  tryGetOldestArrivalMs(): number | undefined;
   /** Arrival of the oldest waiting request of one team. */
-  tryGetTeamOldestMs(team: string): number | undefined;
+  tryGetTeamOldestArrivalMs(team: string): number | undefined;
 }
 
 interface Node<S> {
@@ -97,8 +97,9 @@
     getTotal: () => nodes.size,
     getCounts: () =>
       new Map([...queues].map(([team, queue]) => [team, queue.count])),
-    tryGetTeamOldestMs: (team) => queues.get(team)?.first?.queued.req.arrivedMs,
-    tryGetOldestMs() {
+    tryGetTeamOldestArrivalMs: (team) =>
+      queues.get(team)?.first?.queued.req.arrivedMs,
+    tryGetOldestArrivalMs() {
       let oldest: number | undefined;
       for (const queue of queues.values()) {
         const { arrivedMs } = queue.first!.queued.req;
--- a/src/queue/team_queue_test.ts
+++ b/src/queue/team_queue_test.ts
@@ -49,7 +49,7 @@
         expected = expected.filter((each) => each !== removed);
       }
       assert.equal(queues.getTotal(), expected.length);
-      assert.equal(queues.tryGetOldestMs(), expected[0]?.arrivedMs);
+      assert.equal(queues.tryGetOldestArrivalMs(), expected[0]?.arrivedMs);
       for (const name of ["alder", "birch"]) {
         const count = expected.filter((each) => each.team === name).length;
         assert.equal(queues.getCount(name), count);
--- a/src/router/router.ts
+++ b/src/router/router.ts
@@ -85,7 +85,7 @@
     getOwned: () => fleet.getOwned(),
     getQueued: (service) => fleet.slots.getQueues(service).getCounts(),
     tryGetOldestMs: (service) =>
-      fleet.slots.getQueues(service).tryGetOldestMs(),
+      fleet.slots.getQueues(service).tryGetOldestArrivalMs(),
     getCounter: (service, team) =>
       fleet.getCounters().get(service)?.get(team) ?? 0,
     getMembers: () => membership.getMembers(),
--- a/src/slots/slot_requester.ts
+++ b/src/slots/slot_requester.ts
@@ -19,7 +19,7 @@
 export interface SlotRequesterHost {
   readonly queues: Pick<
     TeamQueues<never>,
-    "getCount" | "tryGetTeamOldestMs"
+    "getCount" | "tryGetTeamOldestArrivalMs"
   >;
   readonly reportedWants: ReportedWants;
   nowMs(): number;
@@ -55,7 +55,7 @@
 
   function getWant(team: string): Want {
     const nowMs = host.nowMs();
-    const oldestMs = host.queues.tryGetTeamOldestMs(team) ?? nowMs;
+    const oldestMs = host.queues.tryGetTeamOldestArrivalMs(team) ?? nowMs;
     return {
       team,
       waiting: host.queues.getCount(team),
