--- a/src/fairness/cost_estimate.ts
+++ b/src/fairness/cost_estimate.ts
@@ -18,7 +18,7 @@
 /** Cost estimates for one service at one host, by team. */
 export interface CostEstimator {
   get(team: string): number;
-  observe(team: string, cost: number): void;
+  record(team: string, cost: number): void;
 }
 
 interface Mean {
@@ -39,7 +39,7 @@
 
   return {
     get: (team) => teamMeans.get(team)?.value ?? serviceMean.value,
-    observe(team, cost) {
+    record(team, cost) {
       add(serviceMean, cost);
       add(getOrCreate(teamMeans, team, () => ({ value: 0, count: 0 })), cost);
     },
--- a/src/fairness/counters.ts
+++ b/src/fairness/counters.ts
@@ -41,7 +41,7 @@
    */
   charge(team: string, amount: number): void;
   /** Records the total service of one request, divided by the team's weight. */
-  observeLargest(amount: number): void;
+  recordLargest(amount: number): void;
   /** Returns the largest service of one request, divided by the weight. */
   getLargest(): number;
   /** Sets whether the team has requests waiting at this node. */
@@ -292,7 +292,7 @@
     charge(team, amount) {
       getEntry(team).sum += amount;
     },
-    observeLargest(amount) {
+    recordLargest(amount) {
       largest = Math.max(largest, amount);
     },
     getLargest: () => largest,
--- a/src/fairness/counters_test.ts
+++ b/src/fairness/counters_test.ts
@@ -172,7 +172,7 @@
       settle(nodes, nodes.root);
       const hereRoot = create();
       here!.setParent("here");
-      here!.observeLargest(largest);
+      here!.recordLargest(largest);
       here!.charge("alder", served);
       exchange(hereRoot, children[0]!);
       here!.setParent("root");
--- a/src/fleet/owned_upstreams.ts
+++ b/src/fleet/owned_upstreams.ts
@@ -127,8 +127,8 @@
     const leaf = rest.getLeaf(service);
     const weight = getWeight(team);
     if (result === "answered") {
-      getEstimate(service).observe(team, cost);
-      leaf.observeLargest(cost / weight);
+      getEstimate(service).record(team, cost);
+      leaf.recordLargest(cost / weight);
     }
     if (charged === 0 && !leaf.isContended(team)) return;
     leaf.charge(team, (cost - charged) / weight);
