--- a/src/load/load_reporter_test.ts
+++ b/src/load/load_reporter_test.ts
@@ -32,7 +32,7 @@
       getStatedCapacity: () => 1_000,
       getLearned: () => [],
     });
-    const sums = createLoadReporter({
+    const reporter = createLoadReporter({
       clock,
       self,
       getHosts: getAlive,
@@ -40,11 +40,11 @@
       createOwnContent: view.createOwnContent,
       onOthersLoad: view.receive,
     });
-    return { self, view, sums };
+    return { self, view, reporter };
   });
 
   function sendAll(): void {
-    for (const { self, sums } of hosts) {
+    for (const { self, reporter: sums } of hosts) {
       if (dead.has(self.peerAddress)) continue;
       for (const { to, report } of sums.createReports()) {
         for (const address of to) {
@@ -58,7 +58,7 @@
           due.push({
             atMs,
             run() {
-              if (!dead.has(address)) target.sums.receive(report);
+              if (!dead.has(address)) target.reporter.receive(report);
             },
           });
         }
@@ -138,7 +138,7 @@
   for (const { view } of fleet.hosts) view.beginRequest("engine-1");
   fleet.runRounds(3);
   for (const dataCentre of ["dc-0", "dc-1"]) {
-    const aggregator = fleet.hosts.find(({ self, sums }) =>
+    const aggregator = fleet.hosts.find(({ self, reporter: sums }) =>
       self.dataCentre === dataCentre && sums.createReports().length === 2
     )!;
     fleet.dead.add(aggregator.self.peerAddress);
--- a/src/queue/prompt_queue_test.ts
+++ b/src/queue/prompt_queue_test.ts
@@ -454,20 +454,20 @@
 test("a prompt of a team over its share is refused at once if too many wait", () => {
   // Guards against prompts that wait half a second only to be refused.
   const fixture = createFixture();
-  const asked = { team: "flood", route: "drafts", targetMs: 800 };
+  const newPrompt = { team: "flood", route: "drafts", targetMs: 800 };
   fixture.getUse("a").inFlight = 48;
   for (let at = 0; at < 4; at++) fixture.add({ team: "flood", ranked: ["a"] });
-  strictEqual(fixture.queue.tryRefuseEarly(asked), undefined);
+  strictEqual(fixture.queue.tryRefuseEarly(newPrompt), undefined);
   fixture.overShare.add("flood");
-  strictEqual(fixture.queue.tryRefuseEarly(asked)?.reason, "in-vain");
-  const other = { ...asked, route: "chats" };
+  strictEqual(fixture.queue.tryRefuseEarly(newPrompt)?.reason, "in-vain");
+  const other = { ...newPrompt, route: "chats" };
   strictEqual(fixture.queue.tryRefuseEarly(other), undefined);
 });
 
 test("prompts may wait as long as enough of them start in time", () => {
   // Guards against refusals while upstreams have capacity.
   const fixture = createFixture();
-  const asked = { team: "flood", route: "drafts", targetMs: 800 };
+  const newPrompt = { team: "flood", route: "drafts", targetMs: 800 };
   fixture.overShare.add("flood");
   for (let at = 0; at < 40; at++) {
     fixture.add({ team: "flood", readingTokens: 100, ranked: ["a"] });
@@ -477,7 +477,7 @@
   }
   fixture.getUse("a").inFlight = 48;
   for (let at = 0; at < 10; at++) fixture.add({ team: "flood", ranked: ["a"] });
-  strictEqual(fixture.queue.tryRefuseEarly(asked), undefined);
+  strictEqual(fixture.queue.tryRefuseEarly(newPrompt), undefined);
 });
 
 test("a scheduling pass reads the load of each upstream only once", () => {
--- a/src/queue/shared_capacity_test.ts
+++ b/src/queue/shared_capacity_test.ts
@@ -80,7 +80,7 @@
       getOthers: () => view.getOthersLearned(SERVICE),
       onChanged: () => {},
     });
-    const sums = createLoadReporter({
+    const reporter = createLoadReporter({
       clock,
       self,
       getHosts: () => peers,
@@ -151,7 +151,7 @@
       });
     }
 
-    return { sums, queue, submit };
+    return { reporter, queue, submit };
   });
 
   const perMs = options.demandFactor * TOKENS_PER_MS * UPSTREAMS.length;
@@ -165,12 +165,12 @@
     agenda.after(at, () => agenda.every(TICK_MS, host.queue.tick));
   });
   agenda.every(REPORT_MS, () => {
-    for (const { sums } of hosts) {
+    for (const { reporter: sums } of hosts) {
       for (const { to, report } of sums.createReports()) {
         const receivers = hosts
           .filter((_, at) => to.includes(peers[at]!.peerAddress));
         agenda.after(LINK_MS, () => {
-          for (const each of receivers) each.sums.receive(report);
+          for (const each of receivers) each.reporter.receive(report);
         });
       }
     }
