--- a/src/fairness/counters.ts
+++ b/src/fairness/counters.ts
@@ -248,9 +248,10 @@
   }
 
   /**
-   * Whether the parent has to be told of a team. The service of a team that
-   * waits nowhere is not urgent: it is reported as soon as the team waits, and
-   * until then the unreported service is at most that of the largest request.
+   * Whether the state of a team has to be reported to the parent. The service
+   * of a team that waits nowhere is not urgent: it is reported as soon as the
+   * team waits, and until then the unreported service is at most that of the
+   * largest request.
    */
   function hasUnreportedChange(entry: TeamEntry, backlogged: boolean): boolean {
     if (backlogged !== entry.ackedBacklogged) return true;
--- a/src/load/load_reporter_test.ts
+++ b/src/load/load_reporter_test.ts
@@ -44,9 +44,9 @@
   });
 
   function sendAll(): void {
-    for (const { self, reporter: sums } of hosts) {
+    for (const { self, reporter } of hosts) {
       if (dead.has(self.peerAddress)) continue;
-      for (const { to, report } of sums.createReports()) {
+      for (const { to, report } of reporter.createReports()) {
         for (const address of to) {
           const target = hosts.find((each) =>
             each.self.peerAddress === address
@@ -138,8 +138,8 @@
   for (const { view } of fleet.hosts) view.beginRequest("engine-1");
   fleet.runRounds(3);
   for (const dataCentre of ["dc-0", "dc-1"]) {
-    const aggregator = fleet.hosts.find(({ self, reporter: sums }) =>
-      self.dataCentre === dataCentre && sums.createReports().length === 2
+    const aggregator = fleet.hosts.find(({ self, reporter }) =>
+      self.dataCentre === dataCentre && reporter.createReports().length === 2
     )!;
     fleet.dead.add(aggregator.self.peerAddress);
   }
--- a/src/queue/shared_capacity_test.ts
+++ b/src/queue/shared_capacity_test.ts
@@ -165,8 +165,8 @@
     agenda.after(at, () => agenda.every(TICK_MS, host.queue.tick));
   });
   agenda.every(REPORT_MS, () => {
-    for (const { reporter: sums } of hosts) {
-      for (const { to, report } of sums.createReports()) {
+    for (const { reporter } of hosts) {
+      for (const { to, report } of reporter.createReports()) {
         const receivers = hosts
           .filter((_, at) => to.includes(peers[at]!.peerAddress));
         agenda.after(LINK_MS, () => {
