--- a/src/forwarding/retry_after.ts
+++ b/src/forwarding/retry_after.ts
@@ -14,7 +14,7 @@
 const MAX_NO_CONFIG_RETRY_MS = 3_000;
 
 /** Callers wait no longer than this share of the time that they have left. */
-const PATIENCE_SHARE = 1 / 3;
+const MAX_TIMEOUT_SHARE = 1 / 3;
 
 /** Least and most of the time that is told; callers must not come in a burst. */
 const LEAST_SPREAD = 0.75;
@@ -24,7 +24,7 @@
 export interface NoConfigInput {
   readonly sinceStartMs: number;
   /** How long the caller waits in all, if it said. */
-  readonly patienceMs: number | undefined;
+  readonly callerTimeoutMs: number | undefined;
   /** From 0 up to 1. */
   readonly random: number;
 }
@@ -39,13 +39,13 @@
  * been: of 355 requests in two such seconds 144 were lost, not 189 (one run each).
  */
 export function getNoConfigRetryMs(input: NoConfigInput): number {
-  const { sinceStartMs, patienceMs = Infinity, random } = input;
+  const { sinceStartMs, callerTimeoutMs: callerTimeoutMs = Infinity, random } = input;
   const expectedMs = Math.max(NO_CONFIG_RETRY_MS, sinceStartMs);
   const spread = LEAST_SPREAD + (MOST_SPREAD - LEAST_SPREAD) * random;
   return Math.min(
     expectedMs * spread,
     MAX_NO_CONFIG_RETRY_MS,
-    patienceMs * PATIENCE_SHARE,
+    callerTimeoutMs * MAX_TIMEOUT_SHARE,
   );
 }
 
--- a/src/forwarding/retry_after_test.ts
+++ b/src/forwarding/retry_after_test.ts
@@ -16,22 +16,22 @@
   // Each caller comes back once; told half a second it comes while the outage
   // lasts, and is refused for good.
   const outageEndsMs = 2_000;
-  const patienceMs = 15_000;
+  const callerTimeoutMs = 15_000;
   for (const sinceStartMs of [1_200, 1_600]) {
-    const waitMs = getNoConfigRetryMs({ sinceStartMs, patienceMs, random: 0 });
+    const waitMs = getNoConfigRetryMs({ sinceStartMs, callerTimeoutMs: callerTimeoutMs, random: 0 });
     ok(sinceStartMs + waitMs > outageEndsMs, `${waitMs} at ${sinceStartMs}`);
   }
 });
 
 test("no caller is told to wait longer than it will", () => {
   const input = { sinceStartMs: 60_000, random: 1 };
-  strictEqual(getNoConfigRetryMs({ ...input, patienceMs: 3_000 }), 1_000);
-  ok(getNoConfigRetryMs({ ...input, patienceMs: undefined }) <= 3_000);
+  strictEqual(getNoConfigRetryMs({ ...input, callerTimeoutMs: 3_000 }), 1_000);
+  ok(getNoConfigRetryMs({ ...input, callerTimeoutMs: undefined }) <= 3_000);
 });
 
 test("callers that are refused together come back one by one", () => {
   const times = [0, 0.5, 1].map((random) =>
-    getNoConfigRetryMs({ sinceStartMs: 1_000, patienceMs: undefined, random })
+    getNoConfigRetryMs({ sinceStartMs: 1_000, callerTimeoutMs: undefined, random })
   );
   strictEqual(new Set(times).size, times.length);
 });
--- a/src/forwarding/serve.ts
+++ b/src/forwarding/serve.ts
@@ -120,7 +120,7 @@
   if (routes === undefined) {
     const retryAfterMs = getNoConfigRetryMs({
       sinceStartMs: host.clock.monotonicMs() - host.startedMs,
-      patienceMs: headers.patienceMs,
+      callerTimeoutMs: headers.callerTimeoutMs,
       random: host.random(),
     });
     return createNotRun("No configuration is known yet", retryAfterMs);
@@ -151,7 +151,7 @@
     const body = yield* readWholeBody({ req, res }, maxBodyBytes);
     yield* takeInClose(res);
     yield* checkTime(host, trail, { res, headers });
-    const patienceMs = headers.patienceMs ?? route.timeoutMs;
+    const callerTimeoutMs = headers.callerTimeoutMs ?? route.timeoutMs;
     const call: Call = {
       req,
       res,
@@ -162,7 +162,7 @@
       body,
       fingerprint: getFingerprint(req, team, body),
       arrivedMs: trail.arrivedMs,
-      deadlineMs: trail.arrivedMs + Math.min(patienceMs, route.timeoutMs),
+      deadlineMs: trail.arrivedMs + Math.min(callerTimeoutMs, route.timeoutMs),
       progress: createProgress(headers.lastEventId),
     };
     trail.call = call;
@@ -181,7 +181,7 @@
   { res, headers }: { res: ServerResponse; headers: CallHeaders },
 ): Effect.Effect<void, Rejected> {
   const waitedMs = host.clock.monotonicMs() - trail.arrivedMs;
-  const isOver = waitedMs >= (headers.patienceMs ?? Infinity);
+  const isOver = waitedMs >= (headers.callerTimeoutMs ?? Infinity);
   if (!trail.isTooMuch && !isOver) return Effect.void;
   if (!res.headersSent) res.setHeader("connection", "close");
   const reason = `The host is behind; the request was read after up to ${
--- a/src/forwarding/types.ts
+++ b/src/forwarding/types.ts
@@ -29,7 +29,7 @@
   /** Chosen by the caller, new for each try; echoed by the upstream. */
   readonly requestId: string;
   /** How long the caller waits, in ms, from when it sent the request. */
-  readonly patienceMs: number | undefined;
+  readonly callerTimeoutMs: number | undefined;
   readonly key: string | undefined;
   readonly prompt: Prompt | undefined;
   /** The caller has the stream's events up to this one. */
--- a/src/testing/forward_fixture.ts
+++ b/src/testing/forward_fixture.ts
@@ -116,7 +116,7 @@
       if (id === FAULTY_ID) throw new TypeError("Meant by the test");
       return {
         requestId: id,
-        patienceMs: 4_000,
+        callerTimeoutMs: 4_000,
         key: req.headers["x-key"] as string | undefined,
         prompt: {
           model: "m",
