--- a/src/entry/entry.ts
+++ b/src/entry/entry.ts
@@ -251,7 +251,7 @@
     load,
     getPacing,
     health,
-    rests: createRestWatch(clock),
+    backoffs: createRestWatch(clock),
     crashes,
     retryBudget: createRetryBudget(
       clock,
--- a/src/forwarding/attempt.ts
+++ b/src/forwarding/attempt.ts
@@ -50,7 +50,7 @@
       headLimitMs,
       mayStillSend: () =>
         host.directory.isReady(upstream) &&
-        host.rests.getLeftMs(upstream) === 0,
+        host.backoffs.getLeftMs(upstream) === 0,
       onSent() {
         progress.attempts++;
         progress.runs++;
--- a/src/forwarding/call.ts
+++ b/src/forwarding/call.ts
@@ -39,7 +39,7 @@
   /** What has been seen of the service, and what its upstreams may read. */
   getPacing(service: string): Pacing;
   readonly health: HealthWatch;
-  readonly rests: RestWatch;
+  readonly backoffs: RestWatch;
   readonly crashes: CrashWatch;
   readonly retryBudget: RetryBudget;
   tryGetRoutes(): RouteTable | undefined;
--- a/src/forwarding/forward.ts
+++ b/src/forwarding/forward.ts
@@ -105,7 +105,7 @@
     Effect.tap(() =>
       Effect.sync(() => {
         health.noteLife(upstream.id);
-        host.rests.noteAnswered(upstream);
+        host.backoffs.noteAnswered(upstream);
       })
     ),
     Effect.flatMap((answer) => passOn(host, call, picked, answer)),
--- a/src/forwarding/note_said.ts
+++ b/src/forwarding/note_said.ts
@@ -7,7 +7,7 @@
 
 import type { UpstreamEntry } from "../discovery/mod.ts";
 import type { Call, ForwardHost } from "./call.ts";
-import type { AnswerHeaders, RestAsked } from "./types.ts";
+import type { AnswerHeaders, RequestedBackoff } from "./types.ts";
 
 /** An answer whose head has been read. */
 export interface Said {
@@ -18,7 +18,7 @@
 
 /** Takes in what the upstream says, whatever becomes of the answer. */
 export function noteSaid(host: ForwardHost, call: Call, said: Said): void {
-  const { isLeaving, rest } = said.headers;
+  const { isLeaving, backoff: rest } = said.headers;
   if (isLeaving) {
     log(host, call, said, { said: "leaving" });
     host.noteLeaving(said.upstream);
@@ -30,14 +30,14 @@
   host: ForwardHost,
   call: Call,
   said: Said,
-  rest: RestAsked,
+  rest: RequestedBackoff,
 ): void {
   if (rest.kind === "unreadable") {
     log(host, call, said, { said: "unreadable-rest", text: rest.text });
     return;
   }
   log(host, call, said, { said: "rest", restMs: Math.round(rest.ms) });
-  host.rests.note(said.upstream, rest.ms);
+  host.backoffs.note(said.upstream, rest.ms);
 }
 
 /** What a line adds to the answer. */
--- a/src/forwarding/pick_upstream.ts
+++ b/src/forwarding/pick_upstream.ts
@@ -18,7 +18,7 @@
 import { hasLeft } from "../requests/caller.ts";
 import { type Call, type ForwardHost, getLeftMs } from "./call.ts";
 import { createNotRun, Rejected } from "./replies.ts";
-import { getRestRetryMs } from "./retry_after.ts";
+import { getBackoffRetryMs } from "./retry_after.ts";
 import type { Prompt } from "./types.ts";
 
 /** An upstream that a request may be sent to. */
@@ -65,7 +65,7 @@
 ): readonly UpstreamEntry[] {
   const ready = host.directory.getReady(call.service);
   const untried = ready.filter((each) => !call.progress.tried.has(each.id));
-  const open = host.rests.filterOpen(untried, host.health.getInFlight);
+  const open = host.backoffs.filterOpen(untried, host.health.getInFlight);
   return host.health.filterSound(open);
 }
 
@@ -244,10 +244,10 @@
 /** The answer to a request that no upstream takes now, which has not run. */
 export function createNoUpstream(host: ForwardHost, call: Call): Rejected {
   const ready = host.directory.getReady(call.service);
-  const restMs = Math.min(...ready.map(host.rests.getLeftMs));
-  if (restMs > 0 && restMs < Infinity) {
+  const backoffMs = Math.min(...ready.map(host.backoffs.getLeftMs));
+  if (backoffMs > 0 && backoffMs < Infinity) {
     const reason = `All upstreams of "${call.service}" have asked for a rest`;
-    return createNotRun(reason, getRestRetryMs(restMs, host.random()));
+    return createNotRun(reason, getBackoffRetryMs(backoffMs, host.random()));
   }
   const tried = call.progress.tried.size;
   const reason = tried === 0
--- a/src/forwarding/retry_after.ts
+++ b/src/forwarding/retry_after.ts
@@ -50,8 +50,8 @@
 }
 
 /** Callers of a rest come back over so much of it, and at least so long, in ms. */
-const REST_SPREAD_SHARE = 0.25;
-const LEAST_REST_SPREAD_MS = 500;
+const BACKOFF_JITTER_SHARE = 0.25;
+const MIN_BACKOFF_JITTER_MS = 500;
 
 /**
  * When to come back while all upstreams rest, in ms; `random` from 0 up to 1.
@@ -60,7 +60,7 @@
  * told less than the rest are refused again and again, and told the same moment
  * they all come in it.
  */
-export function getRestRetryMs(leftMs: number, random: number): number {
-  const spreadMs = Math.max(LEAST_REST_SPREAD_MS, leftMs * REST_SPREAD_SHARE);
+export function getBackoffRetryMs(leftMs: number, random: number): number {
+  const spreadMs = Math.max(MIN_BACKOFF_JITTER_MS, leftMs * BACKOFF_JITTER_SHARE);
   return leftMs + spreadMs * random;
 }
--- a/src/forwarding/retry_after_test.ts
+++ b/src/forwarding/retry_after_test.ts
@@ -2,7 +2,7 @@
 import { test } from "node:test";
 import {
   getNoConfigRetryMs,
-  getRestRetryMs,
+  getBackoffRetryMs,
   NO_CONFIG_RETRY_MS,
 } from "./retry_after.ts";
 
@@ -38,7 +38,7 @@
 
 test("callers of upstreams that rest are told no less than the rest, and not all the same", () => {
   // Guards against callers that are refused again in the rest, or come in one moment.
-  strictEqual(getRestRetryMs(4_000, 0), 4_000);
-  strictEqual(getRestRetryMs(4_000, 0.5), 4_500);
-  strictEqual(getRestRetryMs(100, 0.5), 350);
+  strictEqual(getBackoffRetryMs(4_000, 0), 4_000);
+  strictEqual(getBackoffRetryMs(4_000, 0.5), 4_500);
+  strictEqual(getBackoffRetryMs(100, 0.5), 350);
 });
--- a/src/forwarding/types.ts
+++ b/src/forwarding/types.ts
@@ -55,11 +55,11 @@
   /** The upstream says that it leaves. */
   readonly isLeaving: boolean;
   /** How long it wants no request from this host; absent where it says nothing. */
-  readonly rest: RestAsked | undefined;
+  readonly backoff: RequestedBackoff | undefined;
 }
 
 /** A rest that an upstream asks for, or what can't be read as one. */
-export type RestAsked =
+export type RequestedBackoff =
   | { readonly kind: "for"; readonly ms: number }
   | { readonly kind: "unreadable"; readonly text: string };
 
--- a/src/testing/forward_fixture.ts
+++ b/src/testing/forward_fixture.ts
@@ -139,7 +139,7 @@
       isSealed: headers["x-seal"] !== undefined,
       isNotRun: status === 421 || headers["x-not-run"] !== undefined,
       isLeaving: headers["x-leaving"] !== undefined,
-      rest: headers["x-rest-ms"] === undefined
+      backoff: headers["x-rest-ms"] === undefined
         ? undefined
         : { kind: "for", ms: Number(headers["x-rest-ms"]) },
     }),
@@ -274,7 +274,7 @@
         load.beginReading(upstream, readingTokens),
     }),
     health: createHealthWatch(clock),
-    rests: createRestWatch(clock),
+    backoffs: createRestWatch(clock),
     crashes: createCrashWatch({
       clock,
       pushFact: () => {},
