--- a/src/forwarding/attempt.ts
+++ b/src/forwarding/attempt.ts
@@ -7,7 +7,7 @@
 
 import * as Effect from "effect/Effect";
 import type { UpstreamEntry } from "../discovery/mod.ts";
-import { type Call, type ForwardHost, getLeftMs } from "./call.ts";
+import { type Call, type ForwardHost, getRemainingMs } from "./call.ts";
 import { getForwardable } from "./headers.ts";
 import { noteSaid } from "./note_said.ts";
 import { AttemptFailed } from "./types.ts";
@@ -34,7 +34,7 @@
     const headers = host.codec.createUpstreamHeaders(
       getForwardable(req.rawHeaders),
       {
-        remainingMs: Math.max(1, Math.floor(getLeftMs(host, call))),
+        remainingMs: Math.max(1, Math.floor(getRemainingMs(host, call))),
         upstreamId: upstream.id,
         team: call.team,
         lastEventId: progress.lastEventId,
--- a/src/forwarding/call.ts
+++ b/src/forwarding/call.ts
@@ -134,6 +134,6 @@
 }
 
 /** Time that is left for the request, in ms. */
-export function getLeftMs(host: ForwardHost, call: Call): number {
+export function getRemainingMs(host: ForwardHost, call: Call): number {
   return call.deadlineMs - host.clock.monotonicMs();
 }
--- a/src/forwarding/forward.ts
+++ b/src/forwarding/forward.ts
@@ -9,7 +9,7 @@
 import * as Effect from "effect/Effect";
 import type { CallerLost } from "../requests/caller.ts";
 import { attempt } from "./attempt.ts";
-import { type Call, type ForwardHost, getLeftMs } from "./call.ts";
+import { type Call, type ForwardHost, getRemainingMs } from "./call.ts";
 import { getForwardable } from "./headers.ts";
 import { decideNextStep, type NextStep } from "./next_step.ts";
 import { passOnStream } from "./pass_on_stream.ts";
@@ -72,7 +72,7 @@
       connects,
       hasSentEvents: call.res.headersSent,
       hasEventId: progress.lastEventId !== undefined,
-      leftMs: getLeftMs(host, call),
+      remainingMs: getRemainingMs(host, call),
       hasCandidate: getCandidates(host, call).length > 0,
       tryTakeRetry: () => host.retryBudget.tryTake("", service),
     });
@@ -160,7 +160,7 @@
 ): Effect.Effect<void, AttemptFailed> {
   const limits = {
     maxBytes: MAX_ANSWER_BYTES,
-    limitMs: Math.max(1, getLeftMs(host, call)),
+    limitMs: Math.max(1, getRemainingMs(host, call)),
   };
   return readAnswerBody(answer, limits).pipe(
     Effect.flatMap((chunks) => {
@@ -209,13 +209,13 @@
 }
 
 function getHeadLimitMs(host: ForwardHost, call: Call): number {
-  const leftMs = Math.max(1, getLeftMs(host, call));
+  const remainingMs = Math.max(1, getRemainingMs(host, call));
   const { route, progress } = call;
   const mayRepeat = progress.runs + 1 < route.maxAttempts;
-  if (!mayRepeat) return leftMs;
-  if (route.kind === "idempotent") return leftMs * REPEAT_SHARE;
-  if (route.isResumable) return Math.min(leftMs, STREAM_SILENCE_MS);
-  return leftMs;
+  if (!mayRepeat) return remainingMs;
+  if (route.kind === "idempotent") return remainingMs * REPEAT_SHARE;
+  if (route.isResumable) return Math.min(remainingMs, STREAM_SILENCE_MS);
+  return remainingMs;
 }
 
 /** What may have run at an upstream before is not refused as "not run". */
--- a/src/forwarding/next_step.ts
+++ b/src/forwarding/next_step.ts
@@ -28,7 +28,7 @@
   readonly hasSentEvents: boolean;
   /** Those events had ids, so that the stream can go on behind them. */
   readonly hasEventId: boolean;
-  readonly leftMs: number;
+  readonly remainingMs: number;
   /** There is an upstream that has not been asked and may be asked now. */
   readonly hasCandidate: boolean;
   /** Takes a retry from the budget that all hosts share. */
@@ -47,7 +47,7 @@
 const MAX_ATTEMPTS = 3;
 
 /** With less left, in ms, no upstream would end in time. */
-const MIN_LEFT_MS = 30;
+const MIN_REMAINING_MS = 30;
 
 /** Decides; takes from the retry budget only where all else allows it. */
 export function decideNextStep(input: StepInput): NextStep {
@@ -62,7 +62,7 @@
 }
 
 function tryGetObstacle(input: StepInput): string | undefined {
-  if (input.leftMs < MIN_LEFT_MS) return "No time is left";
+  if (input.remainingMs < MIN_REMAINING_MS) return "No time is left";
   if (input.connects >= MAX_CONNECTS) return "Too many connections failed";
   if (input.attempts >= MAX_ATTEMPTS) return "Too many upstreams refused it";
   if (!input.hasCandidate) return "No other upstream takes requests";
--- a/src/forwarding/next_step_test.ts
+++ b/src/forwarding/next_step_test.ts
@@ -14,7 +14,7 @@
     connects: 1,
     hasSentEvents: false,
     hasEventId: false,
-    leftMs: 1_000,
+    remainingMs: 1_000,
     hasCandidate: true,
     tryTakeRetry() {
       taken++;
--- a/src/forwarding/pick_upstream.ts
+++ b/src/forwarding/pick_upstream.ts
@@ -16,7 +16,7 @@
 } from "../placement/mod.ts";
 import type { Choice, PromptRefusal, WaitingPrompt } from "../queue/mod.ts";
 import { hasLeft } from "../requests/caller.ts";
-import { type Call, type ForwardHost, getLeftMs } from "./call.ts";
+import { type Call, type ForwardHost, getRemainingMs } from "./call.ts";
 import { createNotRun, Rejected } from "./replies.ts";
 import { getBackoffRetryMs } from "./retry_after.ts";
 import type { Prompt } from "./types.ts";
@@ -106,7 +106,7 @@
       request: call.headers.requestId,
       team: call.team ?? "",
       arrivedMs: queuedAtMs,
-      targetMs: Math.min(call.route.targetMs, getLeftMs(host, call)),
+      targetMs: Math.min(call.route.targetMs, getRemainingMs(host, call)),
       service: call.service,
       route: call.route.name,
       size,
--- a/src/forwarding/retry_after.ts
+++ b/src/forwarding/retry_after.ts
@@ -17,8 +17,8 @@
 const MAX_TIMEOUT_SHARE = 1 / 3;
 
 /** Least and most of the time that is told; callers must not come in a burst. */
-const LEAST_SPREAD = 0.75;
-const MOST_SPREAD = 1.25;
+const MIN_JITTER = 0.75;
+const MAX_JITTER = 1.25;
 
 /** What is known of a host without a configuration, and of its caller. */
 export interface NoConfigInput {
@@ -41,9 +41,9 @@
 export function getNoConfigRetryMs(input: NoConfigInput): number {
   const { sinceStartMs, callerTimeoutMs: callerTimeoutMs = Infinity, random } = input;
   const expectedMs = Math.max(NO_CONFIG_RETRY_MS, sinceStartMs);
-  const spread = LEAST_SPREAD + (MOST_SPREAD - LEAST_SPREAD) * random;
+  const jitter = MIN_JITTER + (MAX_JITTER - MIN_JITTER) * random;
   return Math.min(
-    expectedMs * spread,
+    expectedMs * jitter,
     MAX_NO_CONFIG_RETRY_MS,
     callerTimeoutMs * MAX_TIMEOUT_SHARE,
   );
@@ -60,7 +60,7 @@
  * told less than the rest are refused again and again, and told the same moment
  * they all come in it.
  */
-export function getBackoffRetryMs(leftMs: number, random: number): number {
-  const spreadMs = Math.max(MIN_BACKOFF_JITTER_MS, leftMs * BACKOFF_JITTER_SHARE);
-  return leftMs + spreadMs * random;
+export function getBackoffRetryMs(remainingMs: number, random: number): number {
+  const jitterMs = Math.max(MIN_BACKOFF_JITTER_MS, remainingMs * BACKOFF_JITTER_SHARE);
+  return remainingMs + jitterMs * random;
 }
--- a/src/forwarding/serve.ts
+++ b/src/forwarding/serve.ts
@@ -20,7 +20,7 @@
   type Call,
   createProgress,
   type ForwardHost,
-  getLeftMs,
+  getRemainingMs,
 } from "./call.ts";
 import { forward } from "./forward.ts";
 import { type Exchange, readWholeBody } from "./read_body.ts";
@@ -270,7 +270,7 @@
       () => resume(Effect.fail(createVanished())),
     );
     const limit = startTimeLimit(
-      Math.max(0, getLeftMs(host, call)),
+      Math.max(0, getRemainingMs(host, call)),
       () => resume(Effect.fail(createTimeLimit(call))),
     );
     return Effect.sync(() => {
