--- a/src/forwarding/attempt.ts
+++ b/src/forwarding/attempt.ts
@@ -11,7 +11,7 @@
 import { getForwardable } from "./headers.ts";
 import { noteSaid } from "./note_said.ts";
 import { AttemptFailed } from "./types.ts";
-import { type OpenAnswer, openCall } from "./upstream_call.ts";
+import { type UpstreamResponse, openCall } from "./upstream_call.ts";
 
 /** What an attempt is made with. */
 export interface AttemptOptions {
@@ -28,7 +28,7 @@
   host: ForwardHost,
   call: Call,
   { upstream, headLimitMs }: AttemptOptions,
-): Effect.Effect<OpenAnswer, AttemptFailed> {
+): Effect.Effect<UpstreamResponse, AttemptFailed> {
   const { req, progress } = call;
   return Effect.suspend(() => {
     const headers = host.codec.createUpstreamHeaders(
@@ -57,7 +57,7 @@
       },
     });
   }).pipe(
-    Effect.flatMap((answer) => check(host, call, upstream, answer)),
+    Effect.flatMap((response) => validateResponse(host, call, upstream, response)),
   );
 }
 
@@ -66,20 +66,20 @@
  * one's; an answer that no upstream made is passed on as a success; a status
  * that promises "not run" is passed on for a request that may have run.
  */
-function check(
+function validateResponse(
   host: ForwardHost,
   call: Call,
   upstream: UpstreamEntry,
-  answer: OpenAnswer,
-): Effect.Effect<OpenAnswer, AttemptFailed> {
-  const { res } = answer;
+  response: UpstreamResponse,
+): Effect.Effect<UpstreamResponse, AttemptFailed> {
+  const { res } = response;
   const status = res.statusCode ?? 0;
-  const headers = host.codec.readAnswer(status, res.headers);
+  const headers = host.codec.readResponseHeaders(status, res.headers);
   const { requestId, isSealed, isNotRun } = headers;
   noteSaid(host, call, { upstream, status, headers });
-  const isOther = requestId !== undefined &&
+  const isMismatched = requestId !== undefined &&
     requestId !== call.headers.requestId;
-  if (isOther) return drop(answer, "broken", "Answer to another request");
+  if (isMismatched) return abortAndFail(response, "broken", "Answer to another request");
   if (isNotRun) {
     call.progress.possibleRuns--;
     // Read to its end, so that the connection can be used again.
@@ -88,23 +88,23 @@
   }
   const isSuccess = status >= 200 && status < 300;
   if (isSuccess && (!isSealed || requestId === undefined)) {
-    return drop(answer, "broken", "Success that no upstream has sealed");
+    return abortAndFail(response, "broken", "Success that no upstream has sealed");
   }
   if (isSuccess && res.headers["content-encoding"] !== undefined) {
-    return drop(answer, "broken", "Body in an encoding nobody asked for");
+    return abortAndFail(response, "broken", "Body in an encoding nobody asked for");
   }
   if (NOT_RUN_STATUSES.has(status)) {
-    return drop(answer, "broken", `Status ${status} for what may have run`);
+    return abortAndFail(response, "broken", `Status ${status} for what may have run`);
   }
-  return Effect.succeed(answer);
+  return Effect.succeed(response);
 }
 
-function drop(
-  answer: OpenAnswer,
+function abortAndFail(
+  response: UpstreamResponse,
   kind: AttemptFailed["kind"],
   reason: string,
 ): Effect.Effect<never, AttemptFailed> {
-  answer.abort();
+  response.abort();
   return fail(kind, reason);
 }
 
--- a/src/forwarding/forward.ts
+++ b/src/forwarding/forward.ts
@@ -22,10 +22,10 @@
 import { createNotRun, Rejected } from "./replies.ts";
 import { FAILED_RETRY_MS } from "./retry_after.ts";
 import { AttemptFailed } from "./types.ts";
-import { type OpenAnswer, readAnswerBody } from "./upstream_call.ts";
+import { type UpstreamResponse, readResponseBody } from "./upstream_call.ts";
 
 /** Whole answers up to this size are held; streams are not held. */
-const MAX_ANSWER_BYTES = 8 * 1024 * 1024;
+const MAX_RESPONSE_BYTES = 8 * 1024 * 1024;
 
 /**
  * An idempotent call is sent once more after this share of the time that is
@@ -108,7 +108,7 @@
         host.backoffs.noteAnswered(upstream);
       })
     ),
-    Effect.flatMap((answer) => passOn(host, call, picked, answer)),
+    Effect.flatMap((response) => passOn(host, call, picked, response)),
     Effect.tap(() =>
       Effect.sync(() => {
         health.noteAnswered(upstream.id);
@@ -144,27 +144,27 @@
   host: ForwardHost,
   call: Call,
   picked: Picked,
-  answer: OpenAnswer,
+  response: UpstreamResponse,
 ): Effect.Effect<void, AttemptFailed | CallerLost> {
-  const status = answer.res.statusCode ?? 0;
+  const status = response.res.statusCode ?? 0;
   if (call.route.kind === "stream" && status >= 200 && status < 300) {
-    return passOnStream(host, call, picked, answer);
+    return passOnStream(host, call, picked, response);
   }
-  return passOnWhole(host, call, answer);
+  return passOnWhole(host, call, response);
 }
 
 function passOnWhole(
   host: ForwardHost,
   call: Call,
-  answer: OpenAnswer,
+  response: UpstreamResponse,
 ): Effect.Effect<void, AttemptFailed> {
   const limits = {
-    maxBytes: MAX_ANSWER_BYTES,
+    maxBytes: MAX_RESPONSE_BYTES,
     limitMs: Math.max(1, getRemainingMs(host, call)),
   };
-  return readAnswerBody(answer, limits).pipe(
+  return readResponseBody(response, limits).pipe(
     Effect.flatMap((chunks) => {
-      const { res: upstreamRes } = answer;
+      const { res: upstreamRes } = response;
       const status = upstreamRes.statusCode ?? 0;
       const isFailure = status >= 500;
       if (isFailure && mayAskAnother(host, call)) {
@@ -177,7 +177,7 @@
         return Effect.fail(new AttemptFailed({ kind: "broken", reason }));
       }
       call.progress.status = status;
-      sendWhole(call.res, answer, chunks);
+      sendWhole(call.res, response, chunks);
       return Effect.void;
     }),
   );
@@ -193,10 +193,10 @@
 
 function sendWhole(
   res: ServerResponse,
-  answer: OpenAnswer,
+  response: UpstreamResponse,
   chunks: readonly Uint8Array[],
 ): void {
-  const { rawHeaders, statusCode = 502 } = answer.res;
+  const { rawHeaders, statusCode = 502 } = response.res;
   const length = chunks.reduce((sum, chunk) => sum + chunk.length, 0);
   const headers = getForwardable(rawHeaders);
   if (res.getHeader("connection") !== undefined) {
--- a/src/forwarding/note_said.ts
+++ b/src/forwarding/note_said.ts
@@ -7,13 +7,13 @@
 
 import type { UpstreamEntry } from "../discovery/mod.ts";
 import type { Call, ForwardHost } from "./call.ts";
-import type { AnswerHeaders, RequestedBackoff } from "./types.ts";
+import type { ResponseHeaders, RequestedBackoff } from "./types.ts";
 
 /** An answer whose head has been read. */
 export interface Said {
   readonly upstream: UpstreamEntry;
   readonly status: number;
-  readonly headers: Pick<AnswerHeaders, "isLeaving" | "rest">;
+  readonly headers: Pick<ResponseHeaders, "isLeaving" | "rest">;
 }
 
 /** Takes in what the upstream says, whatever becomes of the answer. */
--- a/src/forwarding/pass_on_stream.ts
+++ b/src/forwarding/pass_on_stream.ts
@@ -21,7 +21,7 @@
 import { createPauseNotes, type PauseNotes } from "./pause_notes.ts";
 import type { Picked } from "./pick_upstream.ts";
 import { AttemptFailed } from "./types.ts";
-import { createEndedEarly, type OpenAnswer } from "./upstream_call.ts";
+import { createTruncatedError, type UpstreamResponse } from "./upstream_call.ts";
 
 /**
  * A resumable stream that is silent for so long, in ms, goes on elsewhere: four
@@ -35,11 +35,11 @@
   host: ForwardHost,
   call: Call,
   picked: Picked,
-  answer: OpenAnswer,
+  response: UpstreamResponse,
 ): Effect.Effect<void, AttemptFailed | CallerLost> {
   return Effect.callback<void, AttemptFailed | CallerLost>((resume) => {
     const { res: caller, progress, route } = call;
-    const { res: upstreamRes } = answer;
+    const { res: upstreamRes } = response;
     const frames = createEventFrames();
     const mayMove = route.isResumable && progress.possibleRuns < route.maxAttempts;
     const silence = mayMove
@@ -47,7 +47,7 @@
       : undefined;
 
     function onSilence(): void {
-      answer.abort();
+      response.abort();
       const reason = `No event in ${RESUME_SILENCE_MS} ms`;
       resume(Effect.fail(new AttemptFailed({ kind: "silent", reason })));
     }
@@ -71,7 +71,7 @@
       lastChunkMs = nowMs;
       // What lay unread in a long turn is this host's pause, not the upstream's.
       notes?.note(pauseMs - host.getUnreadMs(), nowMs);
-      if (!caller.headersSent) startStream(call, answer);
+      if (!caller.headersSent) startStream(call, response);
       progress.lastEventId = chunk.lastEventId ?? progress.lastEventId;
       if (caller.write(chunk.bytes)) return;
       upstreamRes.pause();
@@ -85,21 +85,21 @@
       const chunk = frames.push(bytes);
       if (chunk !== undefined) passOn(chunk);
     });
-    function finish(isWhole: boolean): Effect.Effect<void, AttemptFailed> {
-      if (!isWhole) return Effect.fail(createEndedEarly());
+    function finish(isComplete: boolean): Effect.Effect<void, AttemptFailed> {
+      if (!isComplete) return Effect.fail(createTruncatedError());
       if (frames.getPending().length > 0) {
         const reason = "The stream ended in the middle of an event";
         return Effect.fail(new AttemptFailed({ kind: "broken", reason }));
       }
       notes?.end();
-      if (!caller.headersSent) startStream(call, answer);
+      if (!caller.headersSent) startStream(call, response);
       caller.end();
       return Effect.void;
     }
 
     upstreamRes.on("close", () => {
       silence?.[Symbol.dispose]();
-      resume(answer.isWhole.pipe(Effect.flatMap(finish)));
+      resume(response.isComplete.pipe(Effect.flatMap(finish)));
     });
     const watch = onCallerLeft(
       caller,
@@ -108,7 +108,7 @@
     return Effect.sync(() => {
       watch[Symbol.dispose]();
       silence?.[Symbol.dispose]();
-      if (!upstreamRes.complete) answer.abort();
+      if (!upstreamRes.complete) response.abort();
     });
   });
 }
@@ -126,9 +126,9 @@
   });
 }
 
-function startStream(call: Call, answer: OpenAnswer): void {
+function startStream(call: Call, response: UpstreamResponse): void {
   const { res } = call;
-  const { rawHeaders, statusCode = 200 } = answer.res;
+  const { rawHeaders, statusCode = 200 } = response.res;
   const headers = getForwardable(rawHeaders);
   if (isClosing(res)) headers.push("Connection", "close");
   call.progress.status = statusCode;
--- a/src/forwarding/replies.ts
+++ b/src/forwarding/replies.ts
@@ -54,7 +54,7 @@
   const { status, reason, retryAfterMs } = rejected;
   const body = JSON.stringify({ error: reason });
   res.writeHead(status, {
-    ...request.codec.createReplyHeaders({
+    ...request.codec.createRejectionHeaders({
       requestId: request.id,
       retryAfterMs,
     }),
--- a/src/forwarding/types.ts
+++ b/src/forwarding/types.ts
@@ -46,7 +46,7 @@
 }
 
 /** An answer's headers, as far as the system decides by them. */
-export interface AnswerHeaders {
+export interface ResponseHeaders {
   readonly requestId: string | undefined;
   /** An upstream made the answer, and no machine on the way. */
   readonly isSealed: boolean;
@@ -72,13 +72,13 @@
     rawHeaders: readonly string[],
     forwarded: ForwardedHeaders,
   ): string[];
-  readAnswer(status: number, headers: IncomingHttpHeaders): AnswerHeaders;
+  readResponseHeaders(status: number, headers: IncomingHttpHeaders): ResponseHeaders;
   /** Headers of an answer of the system's own. */
-  createReplyHeaders(reply: ReplyHeaders): Record<string, string>;
+  createRejectionHeaders(reply: RejectionHeaders): Record<string, string>;
 }
 
 /** What an answer of the system's own tells in its headers. */
-export interface ReplyHeaders {
+export interface RejectionHeaders {
   readonly requestId: string | undefined;
   /** When to come back; only on answers that say "not run". */
   readonly retryAfterMs: number | undefined;
--- a/src/forwarding/upstream_call.ts
+++ b/src/forwarding/upstream_call.ts
@@ -36,12 +36,12 @@
 }
 
 /** The head of an answer; its body is still to be read. */
-export interface OpenAnswer {
+export interface UpstreamResponse {
   readonly res: IncomingMessage;
   /** Closes the connection, whatever has been read. */
   abort(): void;
   /** Whether the whole body has come; asked once the body has ended. */
-  readonly isWhole: Effect.Effect<boolean>;
+  readonly isComplete: Effect.Effect<boolean>;
 }
 
 /**
@@ -53,25 +53,25 @@
 /** Sends the request; succeeds with the head of the answer. */
 export function openCall(
   call: UpstreamCall,
-): Effect.Effect<OpenAnswer, AttemptFailed> {
-  return Effect.callback<OpenAnswer, AttemptFailed>((resume) => {
+): Effect.Effect<UpstreamResponse, AttemptFailed> {
+  return Effect.callback<UpstreamResponse, AttemptFailed>((resume) => {
     const [host, port] = call.address.split(":");
     let isSent = false;
-    let isOpen = false;
+    let hasResponse = false;
     const req = sendRequest({
       agent: call.agent,
       host,
       port: Number(port),
       method: call.method,
       path: call.target,
-      headers: getFramed(call),
+      headers: getHeadersWithLength(call),
       setHost: false,
     });
 
     function fail(kind: AttemptFailed["kind"], reason: string): void {
       limit[Symbol.dispose]();
       req.destroy();
-      if (!isOpen) resume(Effect.fail(new AttemptFailed({ kind, reason })));
+      if (!hasResponse) resume(Effect.fail(new AttemptFailed({ kind, reason })));
     }
 
     let limit = startTimeLimit(
@@ -92,13 +92,13 @@
     });
     req.on("response", (res) => {
       limit[Symbol.dispose]();
-      isOpen = true;
+      hasResponse = true;
       // Without a listener an error of the body would end the process.
       res.on("error", () => {});
-      const isWhole = hasLength(res)
+      const isComplete = hasBodyLength(res)
         ? Effect.sync(() => res.complete)
-        : watchEnd(res);
-      resume(Effect.succeed({ res, abort: () => req.destroy(), isWhole }));
+        : watchForReset(res);
+      resume(Effect.succeed({ res, abort: () => req.destroy(), isWhole: isComplete }));
     });
     req.on("error", (err) => {
       const reason = `${(err as NodeJS.ErrnoException).code ?? err.message}`;
@@ -107,17 +107,17 @@
     req.end(call.body);
     return Effect.sync(() => {
       limit[Symbol.dispose]();
-      if (!isOpen) req.destroy();
+      if (!hasResponse) req.destroy();
     });
   });
 }
 
 /** Reads the whole body; fails when it ends early or is larger than allowed. */
-export function readAnswerBody(
-  answer: OpenAnswer,
+export function readResponseBody(
+  response: UpstreamResponse,
   limits: { readonly maxBytes: number; readonly limitMs: number },
 ): Effect.Effect<readonly Buffer[], AttemptFailed> {
-  const { res, abort } = answer;
+  const { res, abort } = response;
   return Effect.callback<readonly Buffer[], AttemptFailed>((resume) => {
     const chunks: Buffer[] = [];
     let size = 0;
@@ -138,9 +138,9 @@
     res.on("close", () => {
       limit[Symbol.dispose]();
       resume(
-        answer.isWhole.pipe(
-          Effect.flatMap((isWhole) =>
-            isWhole ? Effect.succeed(chunks) : Effect.fail(createEndedEarly())
+        response.isComplete.pipe(
+          Effect.flatMap((isComplete) =>
+            isComplete ? Effect.succeed(chunks) : Effect.fail(createTruncatedError())
           ),
         ),
       );
@@ -153,12 +153,12 @@
 }
 
 /** The failure of a body that ended before its end. */
-export function createEndedEarly(): AttemptFailed {
+export function createTruncatedError(): AttemptFailed {
   const reason = "The body ended early";
   return new AttemptFailed({ kind: "broken", reason });
 }
 
-function hasLength(res: IncomingMessage): boolean {
+function hasBodyLength(res: IncomingMessage): boolean {
   return res.headers["content-length"] !== undefined ||
     res.headers["transfer-encoding"] !== undefined;
 }
@@ -170,7 +170,7 @@
  * tells them apart: on a connection that was reset it fails at once. An
  * upstream that has ended its side ignores the empty line.
  */
-function watchEnd(res: IncomingMessage): Effect.Effect<boolean> {
+function watchForReset(res: IncomingMessage): Effect.Effect<boolean> {
   const { socket } = res;
   let wasReset = false;
   const ended = new Promise<void>((resolve) => {
@@ -192,7 +192,7 @@
 }
 
 /** The body's length stands in one header, by what is really sent. */
-function getFramed(call: UpstreamCall): string[] {
+function getHeadersWithLength(call: UpstreamCall): string[] {
   const hasBody = call.body.length > 0 ||
     !["GET", "HEAD", "DELETE", "OPTIONS"].includes(call.method);
   if (!hasBody) return call.headers;
--- a/src/testing/forward_fixture.ts
+++ b/src/testing/forward_fixture.ts
@@ -134,7 +134,7 @@
       if (lastEventId === undefined) return [...rawHeaders];
       return [...rawHeaders, "x-last-event", lastEventId];
     },
-    readAnswer: (status, headers) => ({
+    readResponseHeaders: (status, headers) => ({
       requestId: headers["x-id"] as string | undefined,
       isSealed: headers["x-seal"] !== undefined,
       isNotRun: status === 421 || headers["x-not-run"] !== undefined,
@@ -143,7 +143,7 @@
         ? undefined
         : { kind: "for", ms: Number(headers["x-rest-ms"]) },
     }),
-    createReplyHeaders({ retryAfterMs }): Record<string, string> {
+    createRejectionHeaders({ retryAfterMs }): Record<string, string> {
       if (retryAfterMs === undefined) return {};
       return { "retry-after": String(retryAfterMs) };
     },
