--- a/src/forwarding/forward.ts
+++ b/src/forwarding/forward.ts
@@ -12,7 +12,7 @@
 import { type Call, type ForwardHost, getRemainingMs } from "./call.ts";
 import { getForwardable } from "./headers.ts";
 import { decideNextStep, type NextStep } from "./next_step.ts";
-import { passOnStream } from "./pass_on_stream.ts";
+import { relayStream } from "./relay_stream.ts";
 import {
   createNoUpstream,
   getCandidates,
@@ -46,19 +46,19 @@
 ): Effect.Effect<void, Rejected | CallerLost> {
   let connectAttempts = 0;
 
-  const turn: Effect.Effect<void, Rejected | CallerLost> = Effect.suspend(
+  const tryUpstream: Effect.Effect<void, Rejected | CallerLost> = Effect.suspend(
     () =>
       pickUpstream(host, call).pipe(
-        Effect.mapError((err) => toTruthful(call, err)),
+        Effect.mapError((err) => correctRejection(call, err)),
         Effect.flatMap((picked) => {
           connectAttempts++;
-          return runAt(host, call, picked);
+          return attemptAt(host, call, picked);
         }),
-        Effect.catchTag("AttemptFailed", (err) => goOn(err)),
+        Effect.catchTag("AttemptFailed", (err) => handleFailure(err)),
       ),
   );
 
-  function goOn(
+  function handleFailure(
     err: AttemptFailed,
   ): Effect.Effect<void, Rejected | CallerLost> {
     const { route, progress, service } = call;
@@ -77,17 +77,17 @@
       tryTakeRetry: () => host.retryBudget.tryTake("", service),
     });
     logFailure(host, call, err, step);
-    if (step.kind !== "give-up") return turn;
-    return Effect.fail(toRejected(host, call, err));
+    if (step.kind !== "give-up") return tryUpstream;
+    return Effect.fail(createFinalRejection(host, call, err));
   }
 
-  return turn.pipe(
+  return tryUpstream.pipe(
     Effect.ensuring(Effect.sync(() => call.progress.endPrefill())),
   );
 }
 
 /** One attempt at the upstream, with what it tells about the upstream. */
-function runAt(
+function attemptAt(
   host: ForwardHost,
   call: Call,
   picked: Picked,
@@ -108,14 +108,14 @@
         host.backoffs.noteAnswered(upstream);
       })
     ),
-    Effect.flatMap((response) => passOn(host, call, picked, response)),
+    Effect.flatMap((response) => relay(host, call, picked, response)),
     Effect.tap(() =>
       Effect.sync(() => {
         health.noteAnswered(upstream.id);
         host.crashes.noteAnswered(call.fingerprint);
       })
     ),
-    Effect.tapError((err) => Effect.sync(() => noteFailure(host, call, err))),
+    Effect.tapError((err) => Effect.sync(() => recordFailure(host, call, err))),
     Effect.ensuring(Effect.sync(() => {
       call.progress.endPrefill();
       health.end(upstream.id);
@@ -124,7 +124,7 @@
   );
 }
 
-function noteFailure(
+function recordFailure(
   host: ForwardHost,
   call: Call,
   err: AttemptFailed | CallerLost,
@@ -140,7 +140,7 @@
   if (err.kind === "broken") host.crashes.noteBroken(id, call.fingerprint);
 }
 
-function passOn(
+function relay(
   host: ForwardHost,
   call: Call,
   picked: Picked,
@@ -148,12 +148,12 @@
 ): Effect.Effect<void, AttemptFailed | CallerLost> {
   const status = response.res.statusCode ?? 0;
   if (call.route.kind === "stream" && status >= 200 && status < 300) {
-    return passOnStream(host, call, picked, response);
+    return relayStream(host, call, picked, response);
   }
-  return passOnWhole(host, call, response);
+  return relayBuffered(host, call, response);
 }
 
-function passOnWhole(
+function relayBuffered(
   host: ForwardHost,
   call: Call,
   response: UpstreamResponse,
@@ -167,7 +167,7 @@
       const { res: upstreamRes } = response;
       const status = upstreamRes.statusCode ?? 0;
       const isFailure = status >= 500;
-      if (isFailure && mayAskAnother(host, call)) {
+      if (isFailure && canTryAnother(host, call)) {
         const reason = `Status ${status}`;
         return Effect.fail(new AttemptFailed({ kind: "broken", reason }));
       }
@@ -177,21 +177,21 @@
         return Effect.fail(new AttemptFailed({ kind: "broken", reason }));
       }
       call.progress.status = status;
-      sendWhole(call.res, response, chunks);
+      sendBuffered(call.res, response, chunks);
       return Effect.void;
     }),
   );
 }
 
 /** An upstream's own failure is passed on where nothing else can be done. */
-function mayAskAnother(host: ForwardHost, call: Call): boolean {
+function canTryAnother(host: ForwardHost, call: Call): boolean {
   const { route, progress } = call;
   const isRepeatable = route.kind === "idempotent" || route.isResumable;
   const hasOther = getCandidates(host, call).length > 0;
   return isRepeatable && hasOther && progress.possibleRuns < route.maxAttempts;
 }
 
-function sendWhole(
+function sendBuffered(
   res: ServerResponse,
   response: UpstreamResponse,
   chunks: readonly Uint8Array[],
@@ -219,20 +219,20 @@
 }
 
 /** What may have run at an upstream before is not refused as "not run". */
-function toTruthful(call: Call, rejected: Rejected): Rejected {
+function correctRejection(call: Call, rejected: Rejected): Rejected {
   if (call.progress.possibleRuns === 0) return rejected;
   return new Rejected({ status: 502, reason: rejected.reason });
 }
 
 /** What the caller is told once nothing more is tried. */
-function toRejected(
+function createFinalRejection(
   host: ForwardHost,
   call: Call,
   err: AttemptFailed,
 ): Rejected {
   if (call.progress.possibleRuns === 0) {
-    const isAnyLeft = getCandidates(host, call).length > 0;
-    if (!isAnyLeft) return createNoUpstream(host, call);
+    const hasCandidate = getCandidates(host, call).length > 0;
+    if (!hasCandidate) return createNoUpstream(host, call);
     return createNotRun(err.reason, FAILED_RETRY_MS);
   }
   const status = err.kind === "silent" ? 504 : 502;
--- a/src/forwarding/pass_on_stream.ts
+++ b/src/forwarding/relay_stream.ts
@@ -31,7 +31,7 @@
 const STREAM_IDLE_TIMEOUT_MS = 1_600;
 
 /** Passes on to the end; fails when the stream ends early. */
-export function passOnStream(
+export function relayStream(
   host: ForwardHost,
   call: Call,
   picked: Picked,
@@ -40,7 +40,7 @@
   return Effect.callback<void, AttemptFailed | CallerLost>((resume) => {
     const { res: caller, progress, route } = call;
     const { res: upstreamRes } = response;
-    const frames = createEventFrames();
+    const splitter = createEventFrames();
     const canFailOver = route.isResumable && progress.possibleRuns < route.maxAttempts;
     const idleTimeout = canFailOver
       ? startTimeLimit(STREAM_IDLE_TIMEOUT_MS, onIdle)
@@ -62,7 +62,7 @@
     }
 
     let lastChunkMs: number | undefined;
-    function passOn(chunk: EventChunk): void {
+    function relayChunk(chunk: EventChunk): void {
       const nowMs = host.clock.monotonicMs();
       if (lastChunkMs === undefined) onFirstEvent(nowMs);
       const pauseMs = nowMs - (lastChunkMs ?? nowMs);
@@ -70,7 +70,7 @@
       progress.chunks++;
       lastChunkMs = nowMs;
       // What lay unread in a long turn is this host's pause, not the upstream's.
-      notes?.note(pauseMs - host.getUnreadMs(), nowMs);
+      pauseSampler?.note(pauseMs - host.getUnreadMs(), nowMs);
       if (!caller.headersSent) startStream(call, response);
       progress.lastEventId = chunk.lastEventId ?? progress.lastEventId;
       if (caller.write(chunk.bytes)) return;
@@ -78,20 +78,20 @@
       caller.once("drain", () => upstreamRes.resume());
     }
 
-    const notes = createNotes(host, call);
+    const pauseSampler = createSampler(host, call);
     upstreamRes.on("data", (bytes: Buffer) => {
       host.health.noteLife(picked.upstream.id);
       idleTimeout?.restart();
-      const chunk = frames.push(bytes);
-      if (chunk !== undefined) passOn(chunk);
+      const chunk = splitter.push(bytes);
+      if (chunk !== undefined) relayChunk(chunk);
     });
     function finish(isComplete: boolean): Effect.Effect<void, AttemptFailed> {
       if (!isComplete) return Effect.fail(createTruncatedError());
-      if (frames.getPending().length > 0) {
+      if (splitter.getPending().length > 0) {
         const reason = "The stream ended in the middle of an event";
         return Effect.fail(new AttemptFailed({ kind: "broken", reason }));
       }
-      notes?.end();
+      pauseSampler?.end();
       if (!caller.headersSent) startStream(call, response);
       caller.end();
       return Effect.void;
@@ -101,12 +101,12 @@
       idleTimeout?.[Symbol.dispose]();
       resume(response.isComplete.pipe(Effect.flatMap(finish)));
     });
-    const watch = onCallerLeft(
+    const callerWatch = onCallerLeft(
       caller,
       () => resume(Effect.fail(createVanished())),
     );
     return Effect.sync(() => {
-      watch[Symbol.dispose]();
+      callerWatch[Symbol.dispose]();
       idleTimeout?.[Symbol.dispose]();
       if (!upstreamRes.complete) response.abort();
     });
@@ -114,7 +114,7 @@
 }
 
 /** Tells the service's pacing of the pauses of one answer. */
-function createNotes(
+function createSampler(
   host: ForwardHost,
   { route, service }: Call,
 ): PauseNotes | undefined {
