--- a/src/forwarding/event_frames.ts
+++ b/src/forwarding/event_splitter.ts
@@ -16,18 +16,18 @@
 }
 
 /** The events of one stream. */
-export interface EventFrames {
+export interface EventSplitter {
   /** Takes in bytes; gives the events that are whole now, if any. */
   push(bytes: Buffer): EventChunk | undefined;
   /** Bytes of an event that is not whole. */
-  getPending(): Buffer;
+  getIncomplete(): Buffer;
 }
 
 /** An event ends with an empty line, in any of the standard's line ends. */
 const EVENT_END = /\r\n\r\n|\n\n|\r\r/g;
 
 /** Makes the frames of a stream of which nothing has come. */
-export function createEventFrames(): EventFrames {
+export function createEventSplitter(): EventSplitter {
   let pending: Buffer = Buffer.alloc(0);
 
   return {
@@ -40,13 +40,13 @@
       const end = getLastEventEnd(text);
       pending = all.subarray(end);
       if (end === 0) return undefined;
-      const whole = text.slice(0, end);
+      const complete = text.slice(0, end);
       return {
         bytes: all.subarray(0, end),
-        lastEventId: getLastId(whole),
+        lastEventId: getLastEventId(complete),
       };
     },
-    getPending: () => pending,
+    getIncomplete: () => pending,
   };
 }
 
@@ -58,7 +58,7 @@
   return end;
 }
 
-function getLastId(text: string): string | undefined {
+function getLastEventId(text: string): string | undefined {
   let id: string | undefined;
   for (const match of text.matchAll(/^id:[ ]?(.*?)\r?$/gm)) id = match[1];
   return id;
--- a/src/forwarding/event_frames_test.ts
+++ b/src/forwarding/event_splitter_test.ts
@@ -2,17 +2,17 @@
 import { Buffer } from "node:buffer";
 import { test } from "node:test";
 import * as fc from "fast-check";
-import { createEventFrames } from "./event_frames.ts";
+import { createEventSplitter } from "./event_splitter.ts";
 
 test("half an event is held back", () => {
-  const frames = createEventFrames();
-  const first = frames.push(Buffer.from("id: 7\ndata: a\n\nid: 8\nda"));
+  const splitter = createEventSplitter();
+  const first = splitter.push(Buffer.from("id: 7\ndata: a\n\nid: 8\nda"));
   strictEqual(first?.bytes.toString(), "id: 7\ndata: a\n\n");
   strictEqual(first?.lastEventId, "7");
-  strictEqual(frames.getPending().toString(), "id: 8\nda");
-  const second = frames.push(Buffer.from("ta: b\n\n"));
+  strictEqual(splitter.getIncomplete().toString(), "id: 8\nda");
+  const second = splitter.push(Buffer.from("ta: b\n\n"));
   strictEqual(second?.bytes.toString(), "id: 8\ndata: b\n\n");
-  strictEqual(frames.getPending().length, 0);
+  strictEqual(splitter.getIncomplete().length, 0);
 });
 
 test("however the bytes are cut, all whole events come out unchanged", () => {
@@ -28,12 +28,12 @@
     fc.array(fc.integer({ min: 1, max: 12 }), { minLength: 1, maxLength: 40 }),
     (events, cuts) => {
       const bytes = Buffer.from(events.join(""));
-      const frames = createEventFrames();
+      const splitter = createEventSplitter();
       const out: Buffer[] = [];
       let at = 0;
       for (let cut = 0; at < bytes.length; cut++) {
         const size = cuts[cut % cuts.length]!;
-        const chunk = frames.push(bytes.subarray(at, at + size));
+        const chunk = splitter.push(bytes.subarray(at, at + size));
         if (chunk !== undefined) out.push(Buffer.from(chunk.bytes));
         at += size;
       }
--- a/src/forwarding/relay_stream.ts
+++ b/src/forwarding/relay_stream.ts
@@ -16,7 +16,7 @@
   onCallerLeft,
 } from "../requests/caller.ts";
 import type { Call, ForwardHost } from "./call.ts";
-import { createEventFrames, type EventChunk } from "./event_frames.ts";
+import { createEventSplitter, type EventChunk } from "./event_splitter.ts";
 import { getForwardable } from "./headers.ts";
 import { createPauseNotes, type PauseNotes } from "./pause_notes.ts";
 import type { Picked } from "./pick_upstream.ts";
@@ -40,7 +40,7 @@
   return Effect.callback<void, AttemptFailed | CallerLost>((resume) => {
     const { res: caller, progress, route } = call;
     const { res: upstreamRes } = response;
-    const splitter = createEventFrames();
+    const splitter = createEventSplitter();
     const canFailOver = route.isResumable && progress.possibleRuns < route.maxAttempts;
     const idleTimeout = canFailOver
       ? startTimeLimit(STREAM_IDLE_TIMEOUT_MS, onIdle)
@@ -87,7 +87,7 @@
     });
     function finish(isComplete: boolean): Effect.Effect<void, AttemptFailed> {
       if (!isComplete) return Effect.fail(createTruncatedError());
-      if (splitter.getPending().length > 0) {
+      if (splitter.getIncomplete().length > 0) {
         const reason = "The stream ended in the middle of an event";
         return Effect.fail(new AttemptFailed({ kind: "broken", reason }));
       }
