--- a/src/forwarding/pause_notes.ts
+++ b/src/forwarding/pause_sampler.ts
@@ -10,45 +10,45 @@
  */
 
 /** A pause at most so long is on time, in ms; an answer counts once in a while. */
-export interface PauseNotesOptions {
+export interface PauseSamplerOptions {
   readonly targetMs: number;
   /** Told once that the answer is late, else once in a while that it is not. */
-  onCounted(isLate: boolean): void;
+  onSample(isLate: boolean): void;
 }
 
 /** The pauses of one answer. */
-export interface PauseNotes {
+export interface PauseSampler {
   /** An event has come after a pause of so long; both in ms. */
-  note(pauseMs: number, nowMs: number): void;
+  addPause(pauseMs: number, nowMs: number): void;
   /** The answer has come to its end. */
   end(): void;
 }
 
 /** An answer without a late pause counts once in so long, in ms. */
-const NOTE_PERIOD_MS = 1_000;
+const SAMPLE_PERIOD_MS = 1_000;
 
 /** Makes the notes of an answer that has not begun. */
-export function createPauseNotes(options: PauseNotesOptions): PauseNotes {
+export function createPauseSampler(options: PauseSamplerOptions): PauseSampler {
   let isLate = false;
-  let isCounted = false;
-  let notedMs: number | undefined;
+  let hasSample = false;
+  let sampledMs: number | undefined;
 
-  function count(): void {
-    isCounted = true;
-    options.onCounted(isLate);
+  function addSample(): void {
+    hasSample = true;
+    options.onSample(isLate);
   }
 
   return {
-    note(pauseMs, nowMs) {
-      notedMs ??= nowMs;
+    addPause(pauseMs, nowMs) {
+      sampledMs ??= nowMs;
       if (isLate) return;
       isLate = pauseMs > options.targetMs;
-      if (!isLate && nowMs - notedMs < NOTE_PERIOD_MS) return;
-      notedMs = nowMs;
-      count();
+      if (!isLate && nowMs - sampledMs < SAMPLE_PERIOD_MS) return;
+      sampledMs = nowMs;
+      addSample();
     },
     end() {
-      if (!isCounted) count();
+      if (!hasSample) addSample();
     },
   };
 }
--- a/src/forwarding/relay_stream.ts
+++ b/src/forwarding/relay_stream.ts
@@ -18,7 +18,7 @@
 import type { Call, ForwardHost } from "./call.ts";
 import { createEventSplitter, type EventChunk } from "./event_splitter.ts";
 import { getForwardable } from "./headers.ts";
-import { createPauseNotes, type PauseNotes } from "./pause_notes.ts";
+import { createPauseSampler, type PauseSampler } from "./pause_sampler.ts";
 import type { Picked } from "./pick_upstream.ts";
 import { AttemptFailed } from "./types.ts";
 import { createTruncatedError, type UpstreamResponse } from "./upstream_call.ts";
@@ -70,7 +70,7 @@
       progress.chunks++;
       lastChunkMs = nowMs;
       // What lay unread in a long turn is this host's pause, not the upstream's.
-      pauseSampler?.note(pauseMs - host.getUnreadMs(), nowMs);
+      pauseSampler?.addPause(pauseMs - host.getUnreadMs(), nowMs);
       if (!caller.headersSent) startStream(call, response);
       progress.lastEventId = chunk.lastEventId ?? progress.lastEventId;
       if (caller.write(chunk.bytes)) return;
@@ -117,12 +117,12 @@
 function createSampler(
   host: ForwardHost,
   { route, service }: Call,
-): PauseNotes | undefined {
+): PauseSampler | undefined {
   const { pauseTargetMs } = route;
   if (pauseTargetMs === undefined) return undefined;
-  return createPauseNotes({
+  return createPauseSampler({
     targetMs: pauseTargetMs,
-    onCounted: host.getPacing(service).notePause,
+    onSample: host.getPacing(service).notePause,
   });
 }
 
