--- a/src/forwarding/attempt.ts
+++ b/src/forwarding/attempt.ts
@@ -9,7 +9,7 @@
 import type { UpstreamEntry } from "../discovery/mod.ts";
 import { type Call, type ForwardHost, getRemainingMs } from "./call.ts";
 import { getForwardable } from "./headers.ts";
-import { noteSaid } from "./note_said.ts";
+import { recordSignals } from "./upstream_signals.ts";
 import { AttemptFailed } from "./types.ts";
 import { type UpstreamResponse, openCall } from "./upstream_call.ts";
 
@@ -76,7 +76,7 @@
   const status = res.statusCode ?? 0;
   const headers = host.codec.readResponseHeaders(status, res.headers);
   const { requestId, isSealed, isNotRun } = headers;
-  noteSaid(host, call, { upstream, status, headers });
+  recordSignals(host, call, { upstream, status, headers });
   const isMismatched = requestId !== undefined &&
     requestId !== call.headers.requestId;
   if (isMismatched) return abortAndFail(response, "broken", "Answer to another request");
--- a/src/forwarding/note_said.ts
+++ b/src/forwarding/upstream_signals.ts
@@ -10,48 +10,48 @@
 import type { ResponseHeaders, RequestedBackoff } from "./types.ts";
 
 /** An answer whose head has been read. */
-export interface Said {
+export interface ResponseHead {
   readonly upstream: UpstreamEntry;
   readonly status: number;
   readonly headers: Pick<ResponseHeaders, "isLeaving" | "rest">;
 }
 
 /** Takes in what the upstream says, whatever becomes of the answer. */
-export function noteSaid(host: ForwardHost, call: Call, said: Said): void {
-  const { isLeaving, backoff: rest } = said.headers;
+export function recordSignals(host: ForwardHost, call: Call, head: ResponseHead): void {
+  const { isLeaving, backoff: rest } = head.headers;
   if (isLeaving) {
-    log(host, call, said, { said: "leaving" });
-    host.markLeaving(said.upstream);
+    logSignal(host, call, head, { said: "leaving" });
+    host.markLeaving(head.upstream);
   }
-  if (rest !== undefined) noteRest(host, call, said, rest);
+  if (rest !== undefined) recordBackoff(host, call, head, rest);
 }
 
-function noteRest(
+function recordBackoff(
   host: ForwardHost,
   call: Call,
-  said: Said,
+  head: ResponseHead,
   rest: RequestedBackoff,
 ): void {
   if (rest.kind === "unreadable") {
-    log(host, call, said, { said: "unreadable-rest", text: rest.text });
+    logSignal(host, call, head, { said: "unreadable-rest", text: rest.text });
     return;
   }
-  log(host, call, said, { said: "rest", restMs: Math.round(rest.ms) });
-  host.backoffs.note(said.upstream, rest.ms);
+  logSignal(host, call, head, { said: "rest", restMs: Math.round(rest.ms) });
+  host.backoffs.note(head.upstream, rest.ms);
 }
 
 /** What a line adds to the answer. */
-interface Line {
+interface SignalFields {
   readonly said: "leaving" | "rest" | "unreadable-rest";
   readonly restMs?: number;
   readonly text?: string;
 }
 
-function log(
+function logSignal(
   host: ForwardHost,
   call: Call,
-  { upstream, status }: Said,
-  { said, restMs, text }: Line,
+  { upstream, status }: ResponseHead,
+  { said, restMs, text }: SignalFields,
 ): void {
   host.log({
     event: "upstream-said",
