--- a/src/entry/entry.ts
+++ b/src/entry/entry.ts
@@ -11,7 +11,7 @@
 import { createWorkingClock, getOrCreate } from "../core/mod.ts";
 import type { Decision } from "../diagnostics/mod.ts";
 import {
-  CRASH_KEY,
+  CRASH_KEY_PREFIX,
   createCrashWatch,
   createUpstreamAgent,
   type ForwardHost,
@@ -91,7 +91,7 @@
   }
 
   function onFact(fact: Fact): void {
-    if (fact.key.startsWith(CRASH_KEY)) crashes.receive(fact);
+    if (fact.key.startsWith(CRASH_KEY_PREFIX)) crashes.receive(fact);
     else if (fact.key.startsWith(FULL_KEY)) fullHosts.receive(fact);
     else knowledge.receive(fact);
   }
@@ -168,7 +168,7 @@
   });
   const crashes = createCrashWatch({
     clock,
-    pushFact: (fact) => peers.membership.pushFact(fact),
+    broadcastFact: (fact) => peers.membership.pushFact(fact),
     onSuspected: (fingerprint, count) =>
       log({
         event: "content-suspected",
--- a/src/forwarding/crash_watch.ts
+++ b/src/forwarding/crash_watch.ts
@@ -20,33 +20,33 @@
 export interface CrashWatchHost {
   readonly clock: Clock;
   /** To all hosts within one network delay. */
-  pushFact(fact: Fact): void;
+  broadcastFact(fact: Fact): void;
   onSuspected(fingerprint: string, crashes: number): void;
 }
 
 /** Suspected contents. */
 export interface CrashWatch {
   /** The upstream broke off while it ran the content. */
-  noteBroken(upstream: string, fingerprint: string): void;
+  recordBrokenResponse(upstream: string, fingerprint: string): void;
   /** The upstream refuses connections, so that it has crashed. */
-  noteUnreachable(upstream: string): void;
+  recordUnreachable(upstream: string): void;
   /** The content was run to its end, so that it crashes nothing. */
-  noteAnswered(fingerprint: string): void;
-  isRefused(fingerprint: string): boolean;
+  recordSuccess(fingerprint: string): void;
+  isBlocked(fingerprint: string): boolean;
   receive(fact: Fact): void;
 }
 
 /** Key prefix of the facts that carry counts. */
-export const CRASH_KEY = "crash/";
+export const CRASH_KEY_PREFIX = "crash/";
 
 /** At the third crash it is no chance any more. */
-export const MAX_CRASHES = 3;
+export const CRASH_LIMIT = 3;
 
 /** A count is forgotten after so long without a crash, in ms. */
-const KEEP_MS = 60_000;
+const SUSPECT_TTL_MS = 60_000;
 
 /** Contents remembered; the oldest goes first. */
-const MAX_CONTENTS = 2_000;
+const MAX_SUSPECTS = 2_000;
 
 /**
  * An upstream that can't be reached so soon after an answer broke off, in ms,
@@ -54,7 +54,7 @@
  */
 const CRASH_WINDOW_MS = 2_500;
 
-interface BrokenOff {
+interface BrokenResponse {
   readonly upstream: string;
   readonly fingerprint: string;
   readonly atMs: number;
@@ -68,60 +68,60 @@
 /** Makes a watch that suspects nothing. */
 export function createCrashWatch(host: CrashWatchHost): CrashWatch {
   const suspects = new Map<string, Suspect>();
-  let brokenOff: BrokenOff[] = [];
+  let brokenResponses: BrokenResponse[] = [];
 
   function getCrashes(fingerprint: string): number {
     const suspect = suspects.get(fingerprint);
     if (suspect === undefined) return 0;
-    const isOld = host.clock.monotonicMs() - suspect.atMs > KEEP_MS;
-    return isOld ? 0 : suspect.crashes;
+    const isExpired = host.clock.monotonicMs() - suspect.atMs > SUSPECT_TTL_MS;
+    return isExpired ? 0 : suspect.crashes;
   }
 
-  function set(fingerprint: string, crashes: number): void {
+  function setCrashes(fingerprint: string, crashes: number): void {
     suspects.delete(fingerprint);
     suspects.set(fingerprint, { crashes, atMs: host.clock.monotonicMs() });
-    if (suspects.size > MAX_CONTENTS) {
+    if (suspects.size > MAX_SUSPECTS) {
       suspects.delete(suspects.keys().next().value!);
     }
   }
 
   function addCrash(fingerprint: string): void {
     const crashes = getCrashes(fingerprint) + 1;
-    set(fingerprint, crashes);
+    setCrashes(fingerprint, crashes);
     host.onSuspected(fingerprint, crashes);
     // The first time is mostly an innocent neighbour; it spreads at the next.
     if (crashes === 1) return;
-    host.pushFact({
-      key: `${CRASH_KEY}${fingerprint}`,
+    host.broadcastFact({
+      key: `${CRASH_KEY_PREFIX}${fingerprint}`,
       version: crashes,
       value: "",
     });
   }
 
   return {
-    noteBroken(upstream, fingerprint) {
+    recordBrokenResponse(upstream, fingerprint) {
       const atMs = host.clock.monotonicMs();
-      brokenOff = brokenOff.filter((each) =>
+      brokenResponses = brokenResponses.filter((each) =>
         atMs - each.atMs < CRASH_WINDOW_MS
       );
-      brokenOff.push({ upstream, fingerprint, atMs });
+      brokenResponses.push({ upstream, fingerprint, atMs });
     },
-    noteUnreachable(upstream) {
+    recordUnreachable(upstream) {
       const nowMs = host.clock.monotonicMs();
-      const isCrash = (each: BrokenOff) =>
+      const isCrash = (each: BrokenResponse) =>
         each.upstream === upstream && nowMs - each.atMs < CRASH_WINDOW_MS;
       const crashed = new Set(
-        brokenOff.filter(isCrash).map((each) => each.fingerprint),
+        brokenResponses.filter(isCrash).map((each) => each.fingerprint),
       );
-      brokenOff = brokenOff.filter((each) => each.upstream !== upstream);
+      brokenResponses = brokenResponses.filter((each) => each.upstream !== upstream);
       for (const fingerprint of crashed) addCrash(fingerprint);
     },
-    noteAnswered: (fingerprint) => void suspects.delete(fingerprint),
-    isRefused: (fingerprint) => getCrashes(fingerprint) >= MAX_CRASHES,
+    recordSuccess: (fingerprint) => void suspects.delete(fingerprint),
+    isBlocked: (fingerprint) => getCrashes(fingerprint) >= CRASH_LIMIT,
     receive(fact) {
-      const fingerprint = fact.key.slice(CRASH_KEY.length);
+      const fingerprint = fact.key.slice(CRASH_KEY_PREFIX.length);
       if (fact.version > getCrashes(fingerprint)) {
-        set(fingerprint, fact.version);
+        setCrashes(fingerprint, fact.version);
       }
     },
   };
--- a/src/forwarding/crash_watch_test.ts
+++ b/src/forwarding/crash_watch_test.ts
@@ -9,7 +9,7 @@
   const facts: Fact[] = [];
   const watch = createCrashWatch({
     clock,
-    pushFact: (fact) => facts.push(fact),
+    broadcastFact: (fact) => facts.push(fact),
     onSuspected: () => {},
   });
   return { clock, watch, facts };
@@ -20,53 +20,53 @@
   // again: three upstreams of six are down, with all that ran beside it.
   const { watch } = createFixture();
   for (const upstream of ["a", "b", "c"]) {
-    strictEqual(watch.isRefused("poison"), false);
-    watch.noteBroken(upstream, "poison");
-    watch.noteBroken(upstream, `neighbour at ${upstream}`);
-    watch.noteUnreachable(upstream);
+    strictEqual(watch.isBlocked("poison"), false);
+    watch.recordBrokenResponse(upstream, "poison");
+    watch.recordBrokenResponse(upstream, `neighbour at ${upstream}`);
+    watch.recordUnreachable(upstream);
   }
-  strictEqual(watch.isRefused("poison"), true);
-  strictEqual(watch.isRefused("neighbour at c"), false);
+  strictEqual(watch.isBlocked("poison"), true);
+  strictEqual(watch.isBlocked("neighbour at c"), false);
 });
 
 test("lost answers of an upstream that lives are no crash", () => {
   // The same read of one caller loses its answer again and again; refusing it
   // would take it from the caller for a minute.
   const { watch } = createFixture();
-  for (let at = 0; at < 5; at++) watch.noteBroken("a", "read");
-  strictEqual(watch.isRefused("read"), false);
+  for (let at = 0; at < 5; at++) watch.recordBrokenResponse("a", "read");
+  strictEqual(watch.isBlocked("read"), false);
 });
 
 test("an answer clears the content", () => {
   const { watch } = createFixture();
   for (const upstream of ["a", "b"]) {
-    watch.noteBroken(upstream, "read");
-    watch.noteUnreachable(upstream);
+    watch.recordBrokenResponse(upstream, "read");
+    watch.recordUnreachable(upstream);
   }
-  watch.noteAnswered("read");
-  watch.noteBroken("c", "read");
-  watch.noteUnreachable("c");
-  strictEqual(watch.isRefused("read"), false);
+  watch.recordSuccess("read");
+  watch.recordBrokenResponse("c", "read");
+  watch.recordUnreachable("c");
+  strictEqual(watch.isBlocked("read"), false);
 });
 
 test("other hosts learn of it from the second crash on", () => {
   const { watch, facts } = createFixture();
   const other = createFixture();
   for (const upstream of ["a", "b", "c"]) {
-    watch.noteBroken(upstream, "poison");
-    watch.noteUnreachable(upstream);
+    watch.recordBrokenResponse(upstream, "poison");
+    watch.recordUnreachable(upstream);
   }
   deepStrictEqual(facts.map((fact) => fact.version), [2, 3]);
   for (const fact of facts) other.watch.receive(fact);
-  strictEqual(other.watch.isRefused("poison"), true);
+  strictEqual(other.watch.isBlocked("poison"), true);
 });
 
 test("a connection that fails long after is no crash by the request", () => {
   const { clock, watch } = createFixture();
   for (const upstream of ["a", "b", "c"]) {
-    watch.noteBroken(upstream, "read");
+    watch.recordBrokenResponse(upstream, "read");
     clock.advance(3_000);
-    watch.noteUnreachable(upstream);
+    watch.recordUnreachable(upstream);
   }
-  strictEqual(watch.isRefused("read"), false);
+  strictEqual(watch.isBlocked("read"), false);
 });
--- a/src/forwarding/forward.ts
+++ b/src/forwarding/forward.ts
@@ -112,7 +112,7 @@
     Effect.tap(() =>
       Effect.sync(() => {
         health.noteAnswered(upstream.id);
-        host.crashes.noteAnswered(call.fingerprint);
+        host.crashes.recordSuccess(call.fingerprint);
       })
     ),
     Effect.tapError((err) => Effect.sync(() => recordFailure(host, call, err))),
@@ -133,11 +133,11 @@
   const { id } = call.progress.upstream!;
   if (err.kind === "not-sent") {
     host.health.noteFailed(id, "unreachable");
-    host.crashes.noteUnreachable(id);
+    host.crashes.recordUnreachable(id);
     return;
   }
   host.health.noteFailed(id, "failed");
-  if (err.kind === "broken") host.crashes.noteBroken(id, call.fingerprint);
+  if (err.kind === "broken") host.crashes.recordBrokenResponse(id, call.fingerprint);
 }
 
 function relay(
--- a/src/forwarding/serve.ts
+++ b/src/forwarding/serve.ts
@@ -223,7 +223,7 @@
   host: ForwardHost,
   call: Call,
 ): Effect.Effect<void, Rejected> {
-  if (host.crashes.isRefused(call.fingerprint)) {
+  if (host.crashes.isBlocked(call.fingerprint)) {
     const reason = "Upstreams crashed whenever they ran this content";
     return Effect.fail(new Rejected({ status: 502, reason }));
   }
--- a/src/testing/forward_fixture.ts
+++ b/src/testing/forward_fixture.ts
@@ -277,7 +277,7 @@
     backoffs: createRestWatch(clock),
     crashes: createCrashWatch({
       clock,
-      pushFact: () => {},
+      broadcastFact: () => {},
       onSuspected: () => {},
     }),
     retryBudget: createRetryBudget(clock),
