--- a/src/forwarding/forward.ts
+++ b/src/forwarding/forward.ts
@@ -14,9 +14,9 @@
 import { decideNextStep, type NextStep } from "./next_step.ts";
 import { relayStream } from "./relay_stream.ts";
 import {
-  createNoUpstream,
+  createNoUpstreamRejection,
   getCandidates,
-  type Picked,
+  type PickedUpstream,
   pickUpstream,
 } from "./pick_upstream.ts";
 import { createNotRun, Rejected } from "./replies.ts";
@@ -90,7 +90,7 @@
 function attemptAt(
   host: ForwardHost,
   call: Call,
-  picked: Picked,
+  picked: PickedUpstream,
 ): Effect.Effect<void, AttemptFailed | CallerLost> {
   const { upstream } = picked;
   const { health } = host;
@@ -143,7 +143,7 @@
 function relay(
   host: ForwardHost,
   call: Call,
-  picked: Picked,
+  picked: PickedUpstream,
   response: UpstreamResponse,
 ): Effect.Effect<void, AttemptFailed | CallerLost> {
   const status = response.res.statusCode ?? 0;
@@ -232,14 +232,14 @@
 ): Rejected {
   if (call.progress.possibleRuns === 0) {
     const hasCandidate = getCandidates(host, call).length > 0;
-    if (!hasCandidate) return createNoUpstream(host, call);
+    if (!hasCandidate) return createNoUpstreamRejection(host, call);
     return createNotRun(err.reason, FAILED_RETRY_MS);
   }
   const status = err.kind === "silent" ? 504 : 502;
   return new Rejected({ status, reason: err.reason });
 }
 
-function logAttempt(host: ForwardHost, call: Call, picked: Picked): void {
+function logAttempt(host: ForwardHost, call: Call, picked: PickedUpstream): void {
   const nowMs = host.clock.monotonicMs();
   const { queuedAtMs } = call.progress;
   host.log({
--- a/src/forwarding/pick_upstream.ts
+++ b/src/forwarding/pick_upstream.ts
@@ -22,7 +22,7 @@
 import type { Prompt } from "./types.ts";
 
 /** An upstream that a request may be sent to. */
-export interface Picked {
+export interface PickedUpstream {
   readonly upstream: UpstreamEntry;
   /** Tokens that count as being read there, attention counted. */
   readonly readingTokens: number | undefined;
@@ -41,16 +41,16 @@
  * takes a tenth of a millisecond for each waiting prompt, a hundred times a
  * second. A change of the upstreams counts at once.
  */
-const CHOICES_KEEP_MS = 100;
+const RANKING_TTL_MS = 100;
 
 /** Picks, after a wait for prompts; interrupting it leaves the queue. */
 export function pickUpstream(
   host: ForwardHost,
   call: Call,
-): Effect.Effect<Picked, Rejected> {
+): Effect.Effect<PickedUpstream, Rejected> {
   const { prompt } = call.headers;
   if (!call.route.hasPrompts || prompt === undefined) {
-    return Effect.suspend(() => pickPlain(host, call));
+    return Effect.suspend(() => pickLeastLoaded(host, call));
   }
   return waitInQueue(host, call, prompt);
 }
@@ -69,10 +69,10 @@
   return host.health.filterSound(open);
 }
 
-function pickPlain(
+function pickLeastLoaded(
   host: ForwardHost,
   call: Call,
-): Effect.Effect<Picked, Rejected> {
+): Effect.Effect<PickedUpstream, Rejected> {
   const candidates = getCandidates(host, call);
   const [first] = rankByLoad(candidates.map((each) => ({
     id: each.id,
@@ -82,7 +82,7 @@
   })));
   const upstream = candidates.find((each) => each.id === first);
   if (upstream === undefined) {
-    return Effect.fail(createNoUpstream(host, call));
+    return Effect.fail(createNoUpstreamRejection(host, call));
   }
   return Effect.succeed({
     upstream,
@@ -95,11 +95,11 @@
   host: ForwardHost,
   call: Call,
   prompt: Prompt,
-): Effect.Effect<Picked, Rejected> {
-  const size = getSize(prompt);
+): Effect.Effect<PickedUpstream, Rejected> {
+  const size = getServiceTokens(prompt);
   const workTokens = getWorkTokens(prompt);
-  noteAsked(host, call.team ?? "", prompt);
-  return Effect.callback<Picked, Rejected>((resume) => {
+  recordDemand(host, call.team ?? "", prompt);
+  return Effect.callback<PickedUpstream, Rejected>((resume) => {
     const queuedAtMs = host.clock.monotonicMs();
     call.progress.queuedAtMs = queuedAtMs;
     const waiting: WaitingPrompt = {
@@ -111,19 +111,19 @@
       route: call.route.name,
       size,
       workTokens,
-      getChoices: keepChoices(host, call, prompt),
+      getChoices: createRankingCache(host, call, prompt),
       isWanted: () => !hasLeft(call.res),
       start(id, { readingTokens, queuedTokens }) {
         const upstream = host.directory.getReady(call.service)
           .find((each) => each.id === id)!;
-        let isReading = true;
+        let isPrefilling = true;
         call.progress.endPrefill = () => {
-          if (isReading) host.load.endReading(id, readingTokens);
-          isReading = false;
+          if (isPrefilling) host.load.endReading(id, readingTokens);
+          isPrefilling = false;
         };
         resume(Effect.succeed({ upstream, readingTokens, queuedTokens }));
       },
-      refuse: (refusal) => resume(Effect.fail(toRejected(host, call, refusal))),
+      refuse: (refusal) => resume(Effect.fail(createQueueRejection(host, call, refusal))),
     };
     host.queue.add(waiting);
     return Effect.sync(() => void host.queue.remove(waiting));
@@ -131,39 +131,39 @@
 }
 
 /** Counts a prompt in what its team asks for, however it ends. */
-export function noteAsked(
+export function recordDemand(
   host: ForwardHost,
   team: string,
   prompt: Prompt,
 ): void {
-  const size = getSize(prompt);
+  const size = getServiceTokens(prompt);
   host.load.noteAsked(team, size);
   host.load.noteWork(size, getWorkTokens(prompt));
 }
 
 /** Works the choices out anew after a while, and when upstreams change. */
-function keepChoices(
+function createRankingCache(
   host: ForwardHost,
   call: Call,
   prompt: Prompt,
 ): () => readonly Choice[] {
   let choices: readonly Choice[] = [];
   let ready: readonly UpstreamEntry[] | undefined;
-  let atMs = -Infinity;
+  let rankedAtMs = -Infinity;
   return () => {
     const nowMs = host.clock.monotonicMs();
     const nowReady = host.directory.getReady(call.service);
-    if (nowReady !== ready || nowMs - atMs > CHOICES_KEEP_MS) {
-      choices = getChoices(host, call, prompt);
+    if (nowReady !== ready || nowMs - rankedAtMs > RANKING_TTL_MS) {
+      choices = rankUpstreams(host, call, prompt);
       ready = nowReady;
-      atMs = nowMs;
+      rankedAtMs = nowMs;
     }
     return choices;
   };
 }
 
 /** Upstreams in the order of the prompt's affinity, with what each has to read. */
-function getChoices(
+function rankUpstreams(
   host: ForwardHost,
   call: Call,
   prompt: Prompt,
@@ -173,35 +173,35 @@
   const ranked = rankByAffinity(key, candidates);
   // All hosts send a shared part to the same upstream, which therefore has it
   // but for the first time.
-  const ownTokens = getOwnTokens(prompt);
-  const wholeTokens = getReadingTokens(prompt.promptTokens, 0);
+  const unsharedTokens = getUnsharedPrefillTokens(prompt);
+  const totalTokens = getReadingTokens(prompt.promptTokens, 0);
   // With little to share each region may as well keep its own copy: most of what
   // crosses the link between regions are answers, event by event.
-  const isSmall = wholeTokens - ownTokens <= FREE_TOKENS;
-  const ordered = isSmall
-    ? putNearFirst(ranked, getIsNear(host, candidates))
+  const isSharedPrefixSmall = totalTokens - unsharedTokens <= FREE_TOKENS;
+  const ordered = isSharedPrefixSmall
+    ? putNearFirst(ranked, createSameRegionTest(host, candidates))
     : ranked;
   return ordered.map((upstream, at) => ({
     upstream,
-    readingTokens: at === 0 ? ownTokens : wholeTokens,
+    readingTokens: at === 0 ? unsharedTokens : totalTokens,
   }));
 }
 
 /** Tells of each candidate's id whether it is in this host's region. */
-function getIsNear(
+function createSameRegionTest(
   host: ForwardHost,
   candidates: readonly UpstreamEntry[],
 ): (id: string) => boolean {
-  const near = new Set(
+  const sameRegion = new Set(
     candidates
       .filter((each) => host.getDistance(each.dataCentre) !== "other-region")
       .map((each) => each.id),
   );
-  return (id) => near.has(id);
+  return (id) => sameRegion.has(id);
 }
 
 /** Service of a request: each token read once, each generated twice. */
-export function getSize(prompt: Prompt): number {
+export function getServiceTokens(prompt: Prompt): number {
   return prompt.promptTokens + 2 * prompt.maxOutputTokens;
 }
 
@@ -209,30 +209,30 @@
  * A generated token takes about as much of an upstream as so many that are read:
  * a step makes one token of each answer, and reads hundreds in the same time.
  */
-const GENERATED_AS_READ = 140;
+const GENERATED_TOKEN_WEIGHT = 140;
 
 /** What an upstream does for a prompt whose shared parts it keeps, in tokens. */
 export function getWorkTokens(prompt: Prompt): number {
-  return getOwnTokens(prompt) + prompt.maxOutputTokens * GENERATED_AS_READ;
+  return getUnsharedPrefillTokens(prompt) + prompt.maxOutputTokens * GENERATED_TOKEN_WEIGHT;
 }
 
 /** To read the last part, which is the request's own, in tokens. */
-function getOwnTokens(prompt: Prompt): number {
+function getUnsharedPrefillTokens(prompt: Prompt): number {
   const ownTokens = prompt.parts.at(-1)?.tokens ?? prompt.promptTokens;
   return getReadingTokens(ownTokens, prompt.promptTokens - ownTokens);
 }
 
-function toRejected(
+function createQueueRejection(
   host: ForwardHost,
   call: Call,
   refusal: PromptRefusal,
 ): Rejected {
-  if (refusal.reason === "no-upstream") return createNoUpstream(host, call);
-  return toBusy(refusal);
+  if (refusal.reason === "no-upstream") return createNoUpstreamRejection(host, call);
+  return createBusyRejection(refusal);
 }
 
 /** The answer to a prompt that the queue refuses. */
-export function toBusy(refusal: PromptRefusal): Rejected {
+export function createBusyRejection(refusal: PromptRefusal): Rejected {
   return new Rejected({
     status: 503,
     reason: "Upstreams are busy past the time in which the answer is on time",
@@ -242,7 +242,7 @@
 }
 
 /** The answer to a request that no upstream takes now, which has not run. */
-export function createNoUpstream(host: ForwardHost, call: Call): Rejected {
+export function createNoUpstreamRejection(host: ForwardHost, call: Call): Rejected {
   const ready = host.directory.getReady(call.service);
   const backoffMs = Math.min(...ready.map(host.backoffs.getLeftMs));
   if (backoffMs > 0 && backoffMs < Infinity) {
--- a/src/forwarding/relay_stream.ts
+++ b/src/forwarding/relay_stream.ts
@@ -19,7 +19,7 @@
 import { createEventSplitter, type EventChunk } from "./event_splitter.ts";
 import { getForwardable } from "./headers.ts";
 import { createPauseSampler, type PauseSampler } from "./pause_sampler.ts";
-import type { Picked } from "./pick_upstream.ts";
+import type { PickedUpstream } from "./pick_upstream.ts";
 import { AttemptFailed } from "./types.ts";
 import { createTruncatedError, type UpstreamResponse } from "./upstream_call.ts";
 
@@ -34,7 +34,7 @@
 export function relayStream(
   host: ForwardHost,
   call: Call,
-  picked: Picked,
+  picked: PickedUpstream,
   response: UpstreamResponse,
 ): Effect.Effect<void, AttemptFailed | CallerLost> {
   return Effect.callback<void, AttemptFailed | CallerLost>((resume) => {
--- a/src/forwarding/turn_away.ts
+++ b/src/forwarding/turn_away.ts
@@ -10,7 +10,7 @@
 
 import type { Route } from "../routing/mod.ts";
 import type { ForwardHost } from "./call.ts";
-import { noteAsked, toBusy } from "./pick_upstream.ts";
+import { recordDemand, createBusyRejection } from "./pick_upstream.ts";
 import type { Rejected } from "./replies.ts";
 import type { CallHeaders } from "./types.ts";
 
@@ -34,6 +34,6 @@
     targetMs: route.targetMs,
   });
   if (refusal === undefined) return undefined;
-  noteAsked(host, team, prompt);
-  return toBusy(refusal);
+  recordDemand(host, team, prompt);
+  return createBusyRejection(refusal);
 }
--- a/src/measure/prompt_world.ts
+++ b/src/measure/prompt_world.ts
@@ -6,7 +6,7 @@
  * @module
  */
 
-import { getSize, getWorkTokens } from "../forwarding/pick_upstream.ts";
+import { getServiceTokens, getWorkTokens } from "../forwarding/pick_upstream.ts";
 import type { Prompt } from "../forwarding/mod.ts";
 import {
   createLoadSums,
@@ -198,7 +198,7 @@
     const host = hosts[Math.floor(random() * hosts.length)]!;
     const { view, queue } = host;
     const prompt = toPrompt(req);
-    const size = getSize(prompt);
+    const size = getServiceTokens(prompt);
     const workTokens = getWorkTokens(prompt);
     view.noteAsked(req.team, size);
     view.noteWork(size, workTokens);
