--- a/src/forwarding/turn_away.ts
+++ b/src/forwarding/refuse_early.ts
@@ -15,16 +15,16 @@
 import type { CallHeaders } from "./types.ts";
 
 /** What is known of a request before its body is read. */
-export interface TurnAwayInput {
+export interface EarlyRefusalInput {
   readonly headers: CallHeaders;
   readonly route: Route;
   readonly team: string | undefined;
 }
 
 /** The refusal of a prompt that would wait in vain; `undefined` for others. */
-export function tryTurnAway(
+export function tryRefuseEarly(
   host: ForwardHost,
-  { headers, route, team = "" }: TurnAwayInput,
+  { headers, route, team = "" }: EarlyRefusalInput,
 ): Rejected | undefined {
   const { prompt } = headers;
   if (!route.hasPrompts || prompt === undefined) return undefined;
--- a/src/forwarding/serve.ts
+++ b/src/forwarding/serve.ts
@@ -32,7 +32,7 @@
   type Trail,
 } from "./request_end.ts";
 import { FAILED_RETRY_MS, getNoConfigRetryMs } from "./retry_after.ts";
-import { tryTurnAway } from "./turn_away.ts";
+import { tryRefuseEarly } from "./refuse_early.ts";
 import type { CallHeaders } from "./types.ts";
 
 /** Another host takes the request at once; this one is leaving. */
@@ -69,7 +69,7 @@
   try {
     const asked = identify(host, trail, req);
     if (asked instanceof Rejected) return endRejected(host, trail, res, asked);
-    const refused = tryTurnAway(host, asked);
+    const refused = tryRefuseEarly(host, asked);
     if (refused !== undefined) return endRejected(host, trail, res, refused);
     Effect.runFork(run(host, trail, asked, { req, res }));
   } catch (err) {
