--- a/src/forwarding/request_end.ts
+++ b/src/forwarding/request_end.ts
@@ -14,7 +14,7 @@
 import type { CallHeaders } from "./types.ts";
 
 /** What is known of a request, however far it gets. */
-export interface Trail {
+export interface RequestState {
   headers: CallHeaders | undefined;
   route: Route | undefined;
   team: string | undefined;
@@ -22,28 +22,28 @@
   /** Monotonic milliseconds; at the latest. */
   readonly arrivedMs: number;
   /** This host was too busy for it when it was read. */
-  readonly isTooMuch: boolean;
+  readonly isHostOverloaded: boolean;
 }
 
 /** Sends the answer of the system's own, as far as the caller can still get it. */
 export function endRejected(
   host: ForwardHost,
-  trail: Trail,
+  state: RequestState,
   res: ServerResponse,
   rejected: Rejected,
 ): void {
   const { status, reason, retryAfterMs, queue } = rejected;
-  const isCut = res.headersSent;
+  const isPartlySent = res.headersSent;
   sendRejection(res, rejected, {
     codec: host.codec,
-    id: trail.headers?.requestId,
+    id: state.headers?.requestId,
   });
   // Part of an answer is out: only a closed connection tells that it is not
   // whole.
-  if (isCut) res.destroy();
-  logEnd(host, trail, {
-    outcome: isCut ? "may-have-run" : getOutcome(status),
-    status: isCut ? 0 : status,
+  if (isPartlySent) res.destroy();
+  logEnd(host, state, {
+    outcome: isPartlySent ? "may-have-run" : getOutcome(status),
+    status: isPartlySent ? 0 : status,
     reason,
     retryAfterMs,
     queue,
@@ -53,10 +53,10 @@
 /** The caller has left; nobody is told anything. */
 export function endCallerLost(
   host: ForwardHost,
-  trail: Trail,
+  state: RequestState,
   err: CallerLost,
 ): void {
-  logEnd(host, trail, {
+  logEnd(host, state, {
     outcome: "caller-left",
     status: 0,
     reason: err.reason,
@@ -67,11 +67,11 @@
 /** The upstream's answer has been passed on. */
 export function endAnswered(
   host: ForwardHost,
-  trail: Trail,
+  state: RequestState,
   res: ServerResponse,
 ): void {
-  host.retryBudget.recordSuccess("", trail.call?.service ?? "");
-  logEnd(host, trail, {
+  host.retryBudget.recordSuccess("", state.call?.service ?? "");
+  logEnd(host, state, {
     outcome: "answered",
     status: res.statusCode,
     reason: "Passed on from the upstream",
@@ -79,7 +79,7 @@
   });
 }
 
-interface End {
+interface EndDetails {
   readonly outcome: "answered" | "not-run" | "may-have-run" | "caller-left";
   readonly status: number;
   readonly reason: string;
@@ -87,10 +87,10 @@
   readonly queue?: QueueInputs | undefined;
 }
 
-function logEnd(host: ForwardHost, trail: Trail, end: End): void {
-  const { call, headers, route, team } = trail;
+function logEnd(host: ForwardHost, state: RequestState, end: EndDetails): void {
+  const { call, headers, route, team } = state;
   const nowMs = host.clock.monotonicMs();
-  const totalMs = Math.round(nowMs - trail.arrivedMs);
+  const totalMs = Math.round(nowMs - state.arrivedMs);
   const attempts = call?.progress.attempts ?? 0;
   host.log({
     event: "request-ended",
@@ -106,9 +106,9 @@
       ? undefined
       : Math.round(nowMs - call!.progress.attemptStartedMs),
     totalMs,
-    firstEventMs: toWhole(call?.progress.firstEventMs),
+    firstEventMs: roundMs(call?.progress.firstEventMs),
     chunks: call?.progress.chunks ?? 0,
-    longestPauseMs: toWhole(call?.progress.longestPauseMs),
+    longestPauseMs: roundMs(call?.progress.longestPauseMs),
     retryAfterMs: end.retryAfterMs,
     queue: end.queue,
     inputs: host.getInputs(),
@@ -122,6 +122,6 @@
   });
 }
 
-function toWhole(ms: number | undefined): number | undefined {
+function roundMs(ms: number | undefined): number | undefined {
   return ms === undefined ? undefined : Math.round(ms);
 }
--- a/src/forwarding/serve.ts
+++ b/src/forwarding/serve.ts
@@ -29,7 +29,7 @@
   endAnswered,
   endCallerLost,
   endRejected,
-  type Trail,
+  type RequestState,
 } from "./request_end.ts";
 import { FAILED_RETRY_MS, getNoConfigRetryMs } from "./retry_after.ts";
 import { tryRefuseEarly } from "./refuse_early.ts";
@@ -58,48 +58,48 @@
   req: IncomingMessage,
   res: ServerResponse,
 ): void {
-  const trail: Trail = {
+  const state: RequestState = {
     headers: undefined,
     route: undefined,
     team: undefined,
     call: undefined,
     arrivedMs: host.clock.monotonicMs() - host.getUnreadMs(),
-    isTooMuch: host.isOverloaded(),
+    isHostOverloaded: host.isOverloaded(),
   };
   try {
-    const asked = identify(host, trail, req);
-    if (asked instanceof Rejected) return endRejected(host, trail, res, asked);
+    const asked = identify(host, state, req);
+    if (asked instanceof Rejected) return endRejected(host, state, res, asked);
     const refused = tryRefuseEarly(host, asked);
-    if (refused !== undefined) return endRejected(host, trail, res, refused);
-    Effect.runFork(run(host, trail, asked, { req, res }));
+    if (refused !== undefined) return endRejected(host, state, res, refused);
+    Effect.runFork(run(host, state, asked, { req, res }));
   } catch (err) {
     // Thrown on, it would end the process with all its requests.
-    endRejected(host, trail, res, createInternalError(String(err)));
+    endRejected(host, state, res, createInternalError(String(err)));
   }
 }
 
 /** Reads the request and forwards it; never fails. */
 function run(
   host: ForwardHost,
-  trail: Trail,
+  state: RequestState,
   asked: Asked,
   exchange: Exchange,
 ): Effect.Effect<void> {
   const { res } = exchange;
-  return accept(host, trail, asked, exchange).pipe(
+  return accept(host, state, asked, exchange).pipe(
     Effect.flatMap((call) => forwardInTime(host, call)),
-    Effect.flatMap(() => Effect.sync(() => endAnswered(host, trail, res))),
+    Effect.flatMap(() => Effect.sync(() => endAnswered(host, state, res))),
     Effect.catchTag(
       "Rejected",
-      (err) => Effect.sync(() => endRejected(host, trail, res, err)),
+      (err) => Effect.sync(() => endRejected(host, state, res, err)),
     ),
     Effect.catchTag(
       "CallerLost",
-      (err) => Effect.sync(() => endCallerLost(host, trail, err)),
+      (err) => Effect.sync(() => endCallerLost(host, state, err)),
     ),
     Effect.catchCause((cause) =>
       Effect.sync(() =>
-        endRejected(host, trail, res, createInternalError(String(cause)))
+        endRejected(host, state, res, createInternalError(String(cause)))
       )
     ),
   );
@@ -108,14 +108,14 @@
 /** Finds who asks for which route; `trail` is told what is known. */
 function identify(
   host: ForwardHost,
-  trail: Trail,
+  state: RequestState,
   req: IncomingMessage,
 ): Asked | Rejected {
   const headers = host.codec.tryReadCall(req);
   if (headers === undefined) {
     return createRejected(400, "The request has no usable id");
   }
-  trail.headers = headers;
+  state.headers = headers;
   const routes = host.tryGetRoutes();
   if (routes === undefined) {
     const retryAfterMs = getNoConfigRetryMs({
@@ -127,11 +127,11 @@
   }
   const route = routes.tryGetRoute(req.headers.host ?? "", req.url ?? "/");
   if (route === undefined) return createRejected(404, "No route matches");
-  trail.route = route;
+  state.route = route;
   const team = headers.key === undefined
     ? undefined
     : routes.tryGetTeam(headers.key);
-  trail.team = team;
+  state.team = team;
   const needsTeam = routes.config.teams.length > 0 && !route.isPublic;
   if (needsTeam && team === undefined) {
     return createRejected(401, "The key belongs to no team");
@@ -142,7 +142,7 @@
 /** Reads the body, and checks what may have changed meanwhile. */
 function accept(
   host: ForwardHost,
-  trail: Trail,
+  state: RequestState,
   { headers, routes, route, team }: Asked,
   { req, res }: Exchange,
 ): Effect.Effect<Call, Rejected | CallerLost> {
@@ -150,7 +150,7 @@
     const { maxBodyBytes } = routes.config.callerLimits;
     const body = yield* readBody({ req, res }, maxBodyBytes);
     yield* takeInClose(res);
-    yield* checkTime(host, trail, { res, headers });
+    yield* checkTime(host, state, { res, headers });
     const callerTimeoutMs = headers.callerTimeoutMs ?? route.timeoutMs;
     const call: Call = {
       req,
@@ -161,11 +161,11 @@
       service: pickService(route.services, host.random()),
       body,
       fingerprint: getFingerprint(req, team, body),
-      arrivedMs: trail.arrivedMs,
-      deadlineMs: trail.arrivedMs + Math.min(callerTimeoutMs, route.timeoutMs),
+      arrivedMs: state.arrivedMs,
+      deadlineMs: state.arrivedMs + Math.min(callerTimeoutMs, route.timeoutMs),
       progress: createProgress(headers.lastEventId),
     };
-    trail.call = call;
+    state.call = call;
     yield* checkServable(host, call);
     return call;
   });
@@ -177,12 +177,12 @@
  */
 function checkTime(
   host: ForwardHost,
-  trail: Trail,
+  state: RequestState,
   { res, headers }: { res: ServerResponse; headers: CallHeaders },
 ): Effect.Effect<void, Rejected> {
-  const waitedMs = host.clock.monotonicMs() - trail.arrivedMs;
+  const waitedMs = host.clock.monotonicMs() - state.arrivedMs;
   const isOver = waitedMs >= (headers.callerTimeoutMs ?? Infinity);
-  if (!trail.isTooMuch && !isOver) return Effect.void;
+  if (!state.isHostOverloaded && !isOver) return Effect.void;
   if (!res.headersSent) res.setHeader("connection", "close");
   const reason = `The host is behind; the request was read after up to ${
     Math.round(waitedMs)
