--- a/src/forwarding/serve.ts
+++ b/src/forwarding/serve.ts
@@ -39,10 +39,10 @@
 const LEAVING_RETRY_MS = 50;
 
 /** And so does one that is less busy than this one. */
-const BEHIND_RETRY_MS = 200;
+const OVERLOADED_RETRY_MS = 200;
 
 /** A request whose caller and route are known; its body has not been read. */
-interface Asked {
+interface IdentifiedRequest {
   readonly headers: CallHeaders;
   readonly routes: RouteTable;
   readonly route: Route;
@@ -67,11 +67,11 @@
     isHostOverloaded: host.isOverloaded(),
   };
   try {
-    const asked = identify(host, state, req);
-    if (asked instanceof Rejected) return endRejected(host, state, res, asked);
-    const refused = tryRefuseEarly(host, asked);
+    const identified = identify(host, state, req);
+    if (identified instanceof Rejected) return endRejected(host, state, res, identified);
+    const refused = tryRefuseEarly(host, identified);
     if (refused !== undefined) return endRejected(host, state, res, refused);
-    Effect.runFork(run(host, state, asked, { req, res }));
+    Effect.runFork(serveIdentified(host, state, identified, { req, res }));
   } catch (err) {
     // Thrown on, it would end the process with all its requests.
     endRejected(host, state, res, createInternalError(String(err)));
@@ -79,15 +79,15 @@
 }
 
 /** Reads the request and forwards it; never fails. */
-function run(
+function serveIdentified(
   host: ForwardHost,
   state: RequestState,
-  asked: Asked,
+  identified: IdentifiedRequest,
   exchange: Exchange,
 ): Effect.Effect<void> {
   const { res } = exchange;
-  return accept(host, state, asked, exchange).pipe(
-    Effect.flatMap((call) => forwardInTime(host, call)),
+  return prepareCall(host, state, identified, exchange).pipe(
+    Effect.flatMap((call) => forwardWithinDeadline(host, call)),
     Effect.flatMap(() => Effect.sync(() => endAnswered(host, state, res))),
     Effect.catchTag(
       "Rejected",
@@ -110,7 +110,7 @@
   host: ForwardHost,
   state: RequestState,
   req: IncomingMessage,
-): Asked | Rejected {
+): IdentifiedRequest | Rejected {
   const headers = host.codec.tryReadCall(req);
   if (headers === undefined) {
     return createRejected(400, "The request has no usable id");
@@ -140,17 +140,17 @@
 }
 
 /** Reads the body, and checks what may have changed meanwhile. */
-function accept(
+function prepareCall(
   host: ForwardHost,
   state: RequestState,
-  { headers, routes, route, team }: Asked,
+  { headers, routes, route, team }: IdentifiedRequest,
   { req, res }: Exchange,
 ): Effect.Effect<Call, Rejected | CallerLost> {
   return Effect.gen(function* () {
     const { maxBodyBytes } = routes.config.callerLimits;
     const body = yield* readBody({ req, res }, maxBodyBytes);
-    yield* takeInClose(res);
-    yield* checkTime(host, state, { res, headers });
+    yield* awaitPendingClose(res);
+    yield* checkOnTime(host, state, { res, headers });
     const callerTimeoutMs = headers.callerTimeoutMs ?? route.timeoutMs;
     const call: Call = {
       req,
@@ -175,19 +175,19 @@
  * Refuses what this host reads too late; a caller that knows from the closed
  * connection takes another host.
  */
-function checkTime(
+function checkOnTime(
   host: ForwardHost,
   state: RequestState,
   { res, headers }: { res: ServerResponse; headers: CallHeaders },
 ): Effect.Effect<void, Rejected> {
   const waitedMs = host.clock.monotonicMs() - state.arrivedMs;
-  const isOver = waitedMs >= (headers.callerTimeoutMs ?? Infinity);
-  if (!state.isHostOverloaded && !isOver) return Effect.void;
+  const isTimedOut = waitedMs >= (headers.callerTimeoutMs ?? Infinity);
+  if (!state.isHostOverloaded && !isTimedOut) return Effect.void;
   if (!res.headersSent) res.setHeader("connection", "close");
   const reason = `The host is behind; the request was read after up to ${
     Math.round(waitedMs)
   } ms`;
-  return Effect.fail(createNotRunRejection(reason, BEHIND_RETRY_MS));
+  return Effect.fail(createNotRunRejection(reason, OVERLOADED_RETRY_MS));
 }
 
 /**
@@ -196,16 +196,16 @@
  * next turn, which has passed at the second callback; without the wait the
  * request would be sent on for nobody.
  */
-function takeInClose(res: ServerResponse): Effect.Effect<void, CallerLost> {
+function awaitPendingClose(res: ServerResponse): Effect.Effect<void, CallerLost> {
   return Effect.callback<void, CallerLost>((resume) => {
     let turn = setImmediate(() => {
-      turn = setImmediate(() => resume(checkCaller(res)));
+      turn = setImmediate(() => resume(checkCallerConnected(res)));
     });
     return Effect.sync(() => clearImmediate(turn));
   });
 }
 
-function checkCaller(res: ServerResponse): Effect.Effect<void, CallerLost> {
+function checkCallerConnected(res: ServerResponse): Effect.Effect<void, CallerLost> {
   return hasLeft(res) ? Effect.fail(createVanished()) : Effect.void;
 }
 
@@ -227,7 +227,7 @@
     const reason = "Upstreams crashed whenever they ran this content";
     return Effect.fail(new Rejected({ status: 502, reason }));
   }
-  if (!host.mayStartRequest(getExpectedMs(call))) {
+  if (!host.mayStartRequest(getExpectedDurationMs(call))) {
     const reason = "The host is leaving";
     return Effect.fail(createNotRunRejection(reason, LEAVING_RETRY_MS));
   }
@@ -235,7 +235,7 @@
 }
 
 /** A stream may take its caller's whole patience, a call seldom a second. */
-function getExpectedMs(call: Call): number {
+function getExpectedDurationMs(call: Call): number {
   const allowedMs = call.deadlineMs - call.arrivedMs;
   return call.route.kind === "stream"
     ? allowedMs
@@ -251,15 +251,15 @@
   return getDigest(`${req.url}\n${team ?? ""}\n${content}`).slice(0, 32);
 }
 
-function forwardInTime(
+function forwardWithinDeadline(
   host: ForwardHost,
   call: Call,
 ): Effect.Effect<void, Rejected | CallerLost> {
-  return forward(host, call).pipe(Effect.raceFirst(watchEnd(host, call)));
+  return forward(host, call).pipe(Effect.raceFirst(failWhenOver(host, call)));
 }
 
 /** Fails when the caller leaves or the time is over; never succeeds. */
-function watchEnd(
+function failWhenOver(
   host: ForwardHost,
   call: Call,
 ): Effect.Effect<never, Rejected | CallerLost> {
