--- a/src/forwarding/long_turn_test.ts
+++ b/src/forwarding/blocked_loop_test.ts
@@ -13,7 +13,7 @@
 const CALLERS = 8;
 
 /** Callers whose prompts wait since no upstream has room. */
-async function openWaiting(
+async function openQueuedCalls(
   fixture: ForwardFixture,
 ): Promise<readonly Socket[]> {
   fixture.delay.inFlight = 48;
@@ -39,7 +39,7 @@
         hasPrompts: true,
       });
       using _looks = fixture.startLooks();
-      const sockets = await openWaiting(fixture);
+      const sockets = await openQueuedCalls(fixture);
       sockets.forEach(closes[kind]);
       block(turnMs);
       fixture.delay.inFlight = 0;
@@ -55,7 +55,7 @@
     hasPrompts: true,
   });
   using _looks = fixture.startLooks();
-  await openWaiting(fixture);
+  await openQueuedCalls(fixture);
   block(200);
   fixture.delay.inFlight = 0;
   await sleep(100);
@@ -63,7 +63,7 @@
 });
 
 /** Answers at once, and keeps the host from reading it for so long, in ms. */
-function createUnread(forMs: number, text: (id: string) => string): Behaviour {
+function respondAndBlock(forMs: number, text: (id: string) => string): Behaviour {
   return (socket, { id }) => {
     socket.write(text(id));
     block(forMs);
@@ -74,15 +74,15 @@
   return `HTTP/1.1 200 OK\r\nx-id: ${id}\r\nx-seal: s\r\n`;
 }
 
-const createWhole = (id: string) =>
+const createFullResponse = (id: string) =>
   `${createHead(id)}content-length: 4\r\n\r\ndone`;
-const createStream = (id: string) =>
+const createOpenStream = (id: string) =>
   `${createHead(id)}transfer-encoding: chunked\r\n\r\n` +
   "f\r\nid: 1\ndata: a\n\n\r\n";
 
 test("an idempotent call whose answer came in a long turn is not sent again", async () => {
   // Guards against a pause of this host that counts as an upstream's silence.
-  const answers = createUnread(2_300, createWhole);
+  const answers = respondAndBlock(2_300, createFullResponse);
   await using fixture = await createForwardFixture([answers, answers], {
     kind: "idempotent",
     isResumable: false,
@@ -94,7 +94,7 @@
 
 test("a stream whose first event came in a long turn is not sent again", async () => {
   // Guards against the same where a stream is begun.
-  const answers = createUnread(1_800, (id) => `${createStream(id)}0\r\n\r\n`);
+  const answers = respondAndBlock(1_800, (id) => `${createOpenStream(id)}0\r\n\r\n`);
   await using fixture = await createForwardFixture([answers, answers]);
   strictEqual((await fixture.call()).status, 200);
   strictEqual(fixture.arrivals.length, 1);
@@ -103,7 +103,7 @@
 test("a stream whose next event came in a long turn goes on where it is", async () => {
   // Guards against the same between two events.
   const answers: Behaviour = (socket, { id }) => {
-    socket.write(createStream(id));
+    socket.write(createOpenStream(id));
     // Timers that fall due meanwhile run next, as after any long turn.
     const sendNext = () => {
       socket.write("f\r\nid: 2\ndata: b\n\n\r\n0\r\n\r\n");
@@ -120,7 +120,7 @@
 test("an answer that came in a long turn is passed on at its time limit", async () => {
   // Guards against a finished booking that is answered 504.
   await using fixture = await createForwardFixture([
-    createUnread(700, createWhole),
+    respondAndBlock(700, createFullResponse),
   ], {
     kind: "at-most-once",
     isResumable: false,
@@ -151,7 +151,7 @@
 test("a connection that was made in a long turn is used", async () => {
   // Guards against an upstream that is called unreachable for the host's pause.
   await using fixture = await createForwardFixture([(socket, { id }) => {
-    socket.write(createWhole(id));
+    socket.write(createFullResponse(id));
   }], { kind: "at-most-once", isResumable: false, hasPrompts: false });
   blockAtAttempt(fixture, 700);
   strictEqual((await fixture.call()).status, 200);
