--- a/src/forwarding/attempt.ts
+++ b/src/forwarding/attempt.ts
@@ -11,7 +11,7 @@
 import { getForwardable } from "./headers.ts";
 import { recordSignals } from "./upstream_signals.ts";
 import { AttemptFailed } from "./types.ts";
-import { type UpstreamResponse, openCall } from "./upstream_call.ts";
+import { openCall, type UpstreamResponse } from "./upstream_call.ts";
 
 /** What an attempt is made with. */
 export interface AttemptOptions {
@@ -27,7 +27,7 @@
 export function attempt(
   host: ForwardHost,
   call: Call,
-  { upstream, headTimeoutMs: headLimitMs }: AttemptOptions,
+  { upstream, headTimeoutMs }: AttemptOptions,
 ): Effect.Effect<UpstreamResponse, AttemptFailed> {
   const { req, progress } = call;
   return Effect.suspend(() => {
@@ -47,7 +47,7 @@
       target: req.url ?? "/",
       headers,
       body: call.body,
-      headTimeoutMs: headLimitMs,
+      headTimeoutMs,
       mayStillSend: () =>
         host.directory.isReady(upstream) &&
         host.backoffs.getLeftMs(upstream) === 0,
@@ -57,7 +57,9 @@
       },
     });
   }).pipe(
-    Effect.flatMap((response) => validateResponse(host, call, upstream, response)),
+    Effect.flatMap((response) =>
+      validateResponse(host, call, upstream, response)
+    ),
   );
 }
 
@@ -79,7 +81,9 @@
   recordSignals(host, call, { upstream, status, headers });
   const isMismatched = requestId !== undefined &&
     requestId !== call.headers.requestId;
-  if (isMismatched) return abortAndFail(response, "broken", "Answer to another request");
+  if (isMismatched) {
+    return abortAndFail(response, "broken", "Answer to another request");
+  }
   if (isNotRun) {
     call.progress.possibleRuns--;
     // Read to its end, so that the connection can be used again.
@@ -88,13 +92,25 @@
   }
   const isSuccess = status >= 200 && status < 300;
   if (isSuccess && (!isSealed || requestId === undefined)) {
-    return abortAndFail(response, "broken", "Success that no upstream has sealed");
+    return abortAndFail(
+      response,
+      "broken",
+      "Success that no upstream has sealed",
+    );
   }
   if (isSuccess && res.headers["content-encoding"] !== undefined) {
-    return abortAndFail(response, "broken", "Body in an encoding nobody asked for");
+    return abortAndFail(
+      response,
+      "broken",
+      "Body in an encoding nobody asked for",
+    );
   }
   if (NOT_RUN_STATUSES.has(status)) {
-    return abortAndFail(response, "broken", `Status ${status} for what may have run`);
+    return abortAndFail(
+      response,
+      "broken",
+      `Status ${status} for what may have run`,
+    );
   }
   return Effect.succeed(response);
 }
--- a/src/forwarding/blocked_loop_test.ts
+++ b/src/forwarding/blocked_loop_test.ts
@@ -63,7 +63,10 @@
 });
 
 /** Answers at once, and keeps the host from reading it for so long, in ms. */
-function respondAndBlock(forMs: number, text: (id: string) => string): Behaviour {
+function respondAndBlock(
+  forMs: number,
+  text: (id: string) => string,
+): Behaviour {
   return (socket, { id }) => {
     socket.write(text(id));
     block(forMs);
@@ -94,7 +97,10 @@
 
 test("a stream whose first event came in a long turn is not sent again", async () => {
   // Guards against the same where a stream is begun.
-  const answers = respondAndBlock(1_800, (id) => `${createOpenStream(id)}0\r\n\r\n`);
+  const answers = respondAndBlock(
+    1_800,
+    (id) => `${createOpenStream(id)}0\r\n\r\n`,
+  );
   await using fixture = await createForwardFixture([answers, answers]);
   strictEqual((await fixture.call()).status, 200);
   strictEqual(fixture.arrivals.length, 1);
--- a/src/forwarding/crash_watch.ts
+++ b/src/forwarding/crash_watch.ts
@@ -113,7 +113,9 @@
       const crashed = new Set(
         brokenResponses.filter(isCrash).map((each) => each.fingerprint),
       );
-      brokenResponses = brokenResponses.filter((each) => each.upstream !== upstream);
+      brokenResponses = brokenResponses.filter((each) =>
+        each.upstream !== upstream
+      );
       for (const fingerprint of crashed) addCrash(fingerprint);
     },
     recordSuccess: (fingerprint) => void suspects.delete(fingerprint),
--- a/src/forwarding/forward.ts
+++ b/src/forwarding/forward.ts
@@ -22,7 +22,7 @@
 import { createNotRunRejection, Rejected } from "./rejections.ts";
 import { FAILED_RETRY_MS } from "./retry_after.ts";
 import { AttemptFailed } from "./types.ts";
-import { type UpstreamResponse, readResponseBody } from "./upstream_call.ts";
+import { readResponseBody, type UpstreamResponse } from "./upstream_call.ts";
 
 /** Whole answers up to this size are held; streams are not held. */
 const MAX_RESPONSE_BYTES = 8 * 1024 * 1024;
@@ -46,17 +46,18 @@
 ): Effect.Effect<void, Rejected | CallerLost> {
   let connectAttempts = 0;
 
-  const tryUpstream: Effect.Effect<void, Rejected | CallerLost> = Effect.suspend(
-    () =>
-      pickUpstream(host, call).pipe(
-        Effect.mapError((err) => correctRejection(call, err)),
-        Effect.flatMap((picked) => {
-          connectAttempts++;
-          return attemptAt(host, call, picked);
-        }),
-        Effect.catchTag("AttemptFailed", (err) => handleFailure(err)),
-      ),
-  );
+  const tryUpstream: Effect.Effect<void, Rejected | CallerLost> = Effect
+    .suspend(
+      () =>
+        pickUpstream(host, call).pipe(
+          Effect.mapError((err) => correctRejection(call, err)),
+          Effect.flatMap((picked) => {
+            connectAttempts++;
+            return attemptAt(host, call, picked);
+          }),
+          Effect.catchTag("AttemptFailed", (err) => handleFailure(err)),
+        ),
+    );
 
   function handleFailure(
     err: AttemptFailed,
@@ -69,7 +70,7 @@
       maxAttempts: route.maxAttempts,
       attempts: progress.attempts,
       possibleRuns: progress.possibleRuns,
-      connectAttempts: connectAttempts,
+      connectAttempts,
       hasSentEvents: call.res.headersSent,
       hasEventId: progress.lastEventId !== undefined,
       remainingMs: getRemainingMs(host, call),
@@ -101,7 +102,7 @@
   health.begin(upstream.id);
   host.load.begin(upstream.id);
   const headTimeoutMs = getHeadTimeoutMs(host, call);
-  return attempt(host, call, { upstream, headTimeoutMs: headTimeoutMs }).pipe(
+  return attempt(host, call, { upstream, headTimeoutMs }).pipe(
     Effect.tap(() =>
       Effect.sync(() => {
         health.noteLife(upstream.id);
@@ -137,7 +138,9 @@
     return;
   }
   host.health.noteFailed(id, "failed");
-  if (err.kind === "broken") host.crashes.recordBrokenResponse(id, call.fingerprint);
+  if (err.kind === "broken") {
+    host.crashes.recordBrokenResponse(id, call.fingerprint);
+  }
 }
 
 function relay(
@@ -239,7 +242,11 @@
   return new Rejected({ status, reason: err.reason });
 }
 
-function logAttempt(host: ForwardHost, call: Call, picked: PickedUpstream): void {
+function logAttempt(
+  host: ForwardHost,
+  call: Call,
+  picked: PickedUpstream,
+): void {
   const nowMs = host.clock.monotonicMs();
   const { queuedAtMs } = call.progress;
   host.log({
--- a/src/forwarding/next_step.ts
+++ b/src/forwarding/next_step.ts
@@ -63,12 +63,16 @@
 
 function tryGetGiveUpReason(input: StepInput): string | undefined {
   if (input.remainingMs < MIN_REMAINING_MS) return "No time is left";
-  if (input.connectAttempts >= MAX_CONNECT_ATTEMPTS) return "Too many connections failed";
+  if (input.connectAttempts >= MAX_CONNECT_ATTEMPTS) {
+    return "Too many connections failed";
+  }
   if (input.attempts >= MAX_ATTEMPTS) return "Too many upstreams refused it";
   if (!input.hasCandidate) return "No other upstream takes requests";
   if (input.possibleRuns === 0) return undefined;
   if (!mayRepeat(input)) return "It may have run and may not be repeated";
-  if (input.possibleRuns >= input.maxAttempts) return "The route allows no more runs";
+  if (input.possibleRuns >= input.maxAttempts) {
+    return "The route allows no more runs";
+  }
   if (input.hasSentEvents && !input.hasEventId) {
     return "The stream has no event ids to go on from";
   }
--- a/src/forwarding/next_step_test.ts
+++ b/src/forwarding/next_step_test.ts
@@ -78,6 +78,9 @@
 });
 
 test("connections and refusals have a limit", () => {
-  strictEqual(decide({ possibleRuns: 0, attempts: 0, connectAttempts: 4 }).step, "give-up");
+  strictEqual(
+    decide({ possibleRuns: 0, attempts: 0, connectAttempts: 4 }).step,
+    "give-up",
+  );
   strictEqual(decide({ possibleRuns: 0, attempts: 3 }).step, "give-up");
 });
--- a/src/forwarding/pause_sampler_test.ts
+++ b/src/forwarding/pause_sampler_test.ts
@@ -27,5 +27,9 @@
 test("a long answer counts each second until it is late", () => {
   const twoSeconds = Array.from({ length: 22 }, () => 100);
   deepStrictEqual(getSamples(twoSeconds), [false, false]);
-  deepStrictEqual(getSamples([...twoSeconds, 500, 100, 500]), [false, false, true]);
+  deepStrictEqual(getSamples([...twoSeconds, 500, 100, 500]), [
+    false,
+    false,
+    true,
+  ]);
 });
--- a/src/forwarding/pick_upstream.ts
+++ b/src/forwarding/pick_upstream.ts
@@ -64,7 +64,9 @@
   call: Call,
 ): readonly UpstreamEntry[] {
   const ready = host.directory.getReady(call.service);
-  const untried = ready.filter((each) => !call.progress.triedUpstreams.has(each.id));
+  const untried = ready.filter((each) =>
+    !call.progress.triedUpstreams.has(each.id)
+  );
   const open = host.backoffs.filterOpen(untried, host.health.getInFlight);
   return host.health.filterSound(open);
 }
@@ -123,7 +125,8 @@
         };
         resume(Effect.succeed({ upstream, readingTokens, queuedTokens }));
       },
-      refuse: (refusal) => resume(Effect.fail(createQueueRejection(host, call, refusal))),
+      refuse: (refusal) =>
+        resume(Effect.fail(createQueueRejection(host, call, refusal))),
     };
     host.queue.add(waiting);
     return Effect.sync(() => void host.queue.remove(waiting));
@@ -213,7 +216,8 @@
 
 /** What an upstream does for a prompt whose shared parts it keeps, in tokens. */
 export function getWorkTokens(prompt: Prompt): number {
-  return getUnsharedPrefillTokens(prompt) + prompt.maxOutputTokens * GENERATED_TOKEN_WEIGHT;
+  return getUnsharedPrefillTokens(prompt) +
+    prompt.maxOutputTokens * GENERATED_TOKEN_WEIGHT;
 }
 
 /** To read the last part, which is the request's own, in tokens. */
@@ -227,7 +231,9 @@
   call: Call,
   refusal: PromptRefusal,
 ): Rejected {
-  if (refusal.reason === "no-upstream") return createNoUpstreamRejection(host, call);
+  if (refusal.reason === "no-upstream") {
+    return createNoUpstreamRejection(host, call);
+  }
   return createBusyRejection(refusal);
 }
 
@@ -242,12 +248,18 @@
 }
 
 /** The answer to a request that no upstream takes now, which has not run. */
-export function createNoUpstreamRejection(host: ForwardHost, call: Call): Rejected {
+export function createNoUpstreamRejection(
+  host: ForwardHost,
+  call: Call,
+): Rejected {
   const ready = host.directory.getReady(call.service);
   const backoffMs = Math.min(...ready.map(host.backoffs.getLeftMs));
   if (backoffMs > 0 && backoffMs < Infinity) {
     const reason = `All upstreams of "${call.service}" have asked for a rest`;
-    return createNotRunRejection(reason, getBackoffRetryMs(backoffMs, host.random()));
+    return createNotRunRejection(
+      reason,
+      getBackoffRetryMs(backoffMs, host.random()),
+    );
   }
   const tried = call.progress.triedUpstreams.size;
   const reason = tried === 0
--- a/src/forwarding/refuse_early.ts
+++ b/src/forwarding/refuse_early.ts
@@ -10,7 +10,7 @@
 
 import type { Route } from "../routing/mod.ts";
 import type { ForwardHost } from "./call.ts";
-import { recordDemand, createBusyRejection } from "./pick_upstream.ts";
+import { createBusyRejection, recordDemand } from "./pick_upstream.ts";
 import type { Rejected } from "./rejections.ts";
 import type { CallHeaders } from "./types.ts";
 
--- a/src/forwarding/rejections.ts
+++ b/src/forwarding/rejections.ts
@@ -35,7 +35,10 @@
   | 504;
 
 /** A request that has not run, and when to come back. */
-export function createNotRunRejection(reason: string, retryAfterMs: number): Rejected {
+export function createNotRunRejection(
+  reason: string,
+  retryAfterMs: number,
+): Rejected {
   return new Rejected({ status: 503, reason, retryAfterMs });
 }
 
--- a/src/forwarding/relay_stream.ts
+++ b/src/forwarding/relay_stream.ts
@@ -21,7 +21,10 @@
 import { createPauseSampler, type PauseSampler } from "./pause_sampler.ts";
 import type { PickedUpstream } from "./pick_upstream.ts";
 import { AttemptFailed } from "./types.ts";
-import { createTruncatedError, type UpstreamResponse } from "./upstream_call.ts";
+import {
+  createTruncatedError,
+  type UpstreamResponse,
+} from "./upstream_call.ts";
 
 /**
  * A resumable stream that is silent for so long, in ms, goes on elsewhere: four
@@ -41,7 +44,8 @@
     const { res: caller, progress, route } = call;
     const { res: upstreamRes } = response;
     const splitter = createEventSplitter();
-    const canFailOver = route.isResumable && progress.possibleRuns < route.maxAttempts;
+    const canFailOver = route.isResumable &&
+      progress.possibleRuns < route.maxAttempts;
     const idleTimeout = canFailOver
       ? startTimeLimit(STREAM_IDLE_TIMEOUT_MS, onIdle)
       : undefined;
--- a/src/forwarding/retry_after.ts
+++ b/src/forwarding/retry_after.ts
@@ -39,7 +39,7 @@
  * been: of 355 requests in two such seconds 144 were lost, not 189 (one run each).
  */
 export function getNoConfigRetryMs(input: NoConfigInput): number {
-  const { sinceStartMs, callerTimeoutMs: callerTimeoutMs = Infinity, random } = input;
+  const { sinceStartMs, callerTimeoutMs = Infinity, random } = input;
   const expectedMs = Math.max(NO_CONFIG_RETRY_MS, sinceStartMs);
   const jitter = MIN_JITTER + (MAX_JITTER - MIN_JITTER) * random;
   return Math.min(
@@ -61,6 +61,9 @@
  * they all come in it.
  */
 export function getBackoffRetryMs(remainingMs: number, random: number): number {
-  const jitterMs = Math.max(MIN_BACKOFF_JITTER_MS, remainingMs * BACKOFF_JITTER_SHARE);
+  const jitterMs = Math.max(
+    MIN_BACKOFF_JITTER_MS,
+    remainingMs * BACKOFF_JITTER_SHARE,
+  );
   return remainingMs + jitterMs * random;
 }
--- a/src/forwarding/retry_after_test.ts
+++ b/src/forwarding/retry_after_test.ts
@@ -1,13 +1,13 @@
 import { ok, strictEqual } from "node:assert";
 import { test } from "node:test";
 import {
-  getNoConfigRetryMs,
   getBackoffRetryMs,
+  getNoConfigRetryMs,
   NO_CONFIG_RETRY_MS,
 } from "./retry_after.ts";
 
 test("after a usual start callers come back in half a second", () => {
-  const input = { sinceStartMs: 40, patienceMs: 15_000, random: 0.5 };
+  const input = { sinceStartMs: 40, callerTimeoutMs: 15_000, random: 0.5 };
   strictEqual(getNoConfigRetryMs(input), NO_CONFIG_RETRY_MS);
 });
 
@@ -18,7 +18,11 @@
   const outageEndsMs = 2_000;
   const callerTimeoutMs = 15_000;
   for (const sinceStartMs of [1_200, 1_600]) {
-    const waitMs = getNoConfigRetryMs({ sinceStartMs, callerTimeoutMs: callerTimeoutMs, random: 0 });
+    const waitMs = getNoConfigRetryMs({
+      sinceStartMs,
+      callerTimeoutMs,
+      random: 0,
+    });
     ok(sinceStartMs + waitMs > outageEndsMs, `${waitMs} at ${sinceStartMs}`);
   }
 });
@@ -31,7 +35,11 @@
 
 test("callers that are refused together come back one by one", () => {
   const times = [0, 0.5, 1].map((random) =>
-    getNoConfigRetryMs({ sinceStartMs: 1_000, callerTimeoutMs: undefined, random })
+    getNoConfigRetryMs({
+      sinceStartMs: 1_000,
+      callerTimeoutMs: undefined,
+      random,
+    })
   );
   strictEqual(new Set(times).size, times.length);
 });
--- a/src/forwarding/serve.ts
+++ b/src/forwarding/serve.ts
@@ -68,7 +68,9 @@
   };
   try {
     const identified = identify(host, state, req);
-    if (identified instanceof Rejected) return endRejected(host, state, res, identified);
+    if (identified instanceof Rejected) {
+      return endRejected(host, state, res, identified);
+    }
     const refused = tryRefuseEarly(host, identified);
     if (refused !== undefined) return endRejected(host, state, res, refused);
     Effect.runFork(serveIdentified(host, state, identified, { req, res }));
@@ -196,7 +198,9 @@
  * next turn, which has passed at the second callback; without the wait the
  * request would be sent on for nobody.
  */
-function awaitPendingClose(res: ServerResponse): Effect.Effect<void, CallerLost> {
+function awaitPendingClose(
+  res: ServerResponse,
+): Effect.Effect<void, CallerLost> {
   return Effect.callback<void, CallerLost>((resume) => {
     let turn = setImmediate(() => {
       turn = setImmediate(() => resume(checkCallerConnected(res)));
@@ -205,7 +209,9 @@
   });
 }
 
-function checkCallerConnected(res: ServerResponse): Effect.Effect<void, CallerLost> {
+function checkCallerConnected(
+  res: ServerResponse,
+): Effect.Effect<void, CallerLost> {
   return hasLeft(res) ? Effect.fail(createVanished()) : Effect.void;
 }
 
--- a/src/forwarding/types.ts
+++ b/src/forwarding/types.ts
@@ -72,7 +72,10 @@
     rawHeaders: readonly string[],
     forwarded: ForwardedHeaders,
   ): string[];
-  readResponseHeaders(status: number, headers: IncomingHttpHeaders): ResponseHeaders;
+  readResponseHeaders(
+    status: number,
+    headers: IncomingHttpHeaders,
+  ): ResponseHeaders;
   /** Headers of an answer of the system's own. */
   createRejectionHeaders(reply: RejectionHeaders): Record<string, string>;
 }
--- a/src/forwarding/upstream_call.ts
+++ b/src/forwarding/upstream_call.ts
@@ -71,7 +71,9 @@
     function fail(kind: AttemptFailed["kind"], reason: string): void {
       timeout[Symbol.dispose]();
       req.destroy();
-      if (!hasResponse) resume(Effect.fail(new AttemptFailed({ kind, reason })));
+      if (!hasResponse) {
+        resume(Effect.fail(new AttemptFailed({ kind, reason })));
+      }
     }
 
     let timeout = startTimeLimit(
@@ -98,7 +100,7 @@
       const isComplete = hasBodyLength(res)
         ? Effect.sync(() => res.complete)
         : watchForReset(res);
-      resume(Effect.succeed({ res, abort: () => req.destroy(), isWhole: isComplete }));
+      resume(Effect.succeed({ res, abort: () => req.destroy(), isComplete }));
     });
     req.on("error", (err) => {
       const reason = `${(err as NodeJS.ErrnoException).code ?? err.message}`;
@@ -140,7 +142,9 @@
       resume(
         response.isComplete.pipe(
           Effect.flatMap((isComplete) =>
-            isComplete ? Effect.succeed(chunks) : Effect.fail(createTruncatedError())
+            isComplete
+              ? Effect.succeed(chunks)
+              : Effect.fail(createTruncatedError())
           ),
         ),
       );
--- a/src/forwarding/upstream_signals.ts
+++ b/src/forwarding/upstream_signals.ts
@@ -7,37 +7,44 @@
 
 import type { UpstreamEntry } from "../discovery/mod.ts";
 import type { Call, ForwardHost } from "./call.ts";
-import type { ResponseHeaders, RequestedBackoff } from "./types.ts";
+import type { RequestedBackoff, ResponseHeaders } from "./types.ts";
 
 /** An answer whose head has been read. */
 export interface ResponseHead {
   readonly upstream: UpstreamEntry;
   readonly status: number;
-  readonly headers: Pick<ResponseHeaders, "isLeaving" | "rest">;
+  readonly headers: Pick<ResponseHeaders, "isLeaving" | "backoff">;
 }
 
 /** Takes in what the upstream says, whatever becomes of the answer. */
-export function recordSignals(host: ForwardHost, call: Call, head: ResponseHead): void {
-  const { isLeaving, backoff: rest } = head.headers;
+export function recordSignals(
+  host: ForwardHost,
+  call: Call,
+  head: ResponseHead,
+): void {
+  const { isLeaving, backoff } = head.headers;
   if (isLeaving) {
     logSignal(host, call, head, { said: "leaving" });
     host.markLeaving(head.upstream);
   }
-  if (rest !== undefined) recordBackoff(host, call, head, rest);
+  if (backoff !== undefined) recordBackoff(host, call, head, backoff);
 }
 
 function recordBackoff(
   host: ForwardHost,
   call: Call,
   head: ResponseHead,
-  rest: RequestedBackoff,
+  backoff: RequestedBackoff,
 ): void {
-  if (rest.kind === "unreadable") {
-    logSignal(host, call, head, { said: "unreadable-rest", text: rest.text });
+  if (backoff.kind === "unreadable") {
+    logSignal(host, call, head, {
+      said: "unreadable-rest",
+      text: backoff.text,
+    });
     return;
   }
-  logSignal(host, call, head, { said: "rest", restMs: Math.round(rest.ms) });
-  host.backoffs.note(head.upstream, rest.ms);
+  logSignal(host, call, head, { said: "rest", restMs: Math.round(backoff.ms) });
+  host.backoffs.note(head.upstream, backoff.ms);
 }
 
 /** What a line adds to the answer. */
--- a/src/measure/prompt_world.ts
+++ b/src/measure/prompt_world.ts
@@ -6,7 +6,10 @@
  * @module
  */
 
-import { getServiceTokens, getWorkTokens } from "../forwarding/pick_upstream.ts";
+import {
+  getServiceTokens,
+  getWorkTokens,
+} from "../forwarding/pick_upstream.ts";
 import type { Prompt } from "../forwarding/mod.ts";
 import {
   createLoadSums,
