--- a/src/forwarding/next_step_test.ts
+++ b/src/forwarding/next_step_test.ts
@@ -35,12 +35,16 @@
 });
 
 test("a booking that an upstream rejected is sent to another", () => {
-  const input = { kind: "at-most-once", failure: "not-run", runs: 0 } as const;
+  const input = {
+    kind: "at-most-once",
+    failure: "not-run",
+    possibleRuns: 0,
+  } as const;
   deepStrictEqual(decide(input), { step: "another-upstream", taken: 1 });
 });
 
 test("a failed connection attempt takes nothing from the retry budget", () => {
-  const input = { failure: "not-sent", attempts: 0, runs: 0 } as const;
+  const input = { failure: "not-sent", attempts: 0, possibleRuns: 0 } as const;
   deepStrictEqual(decide(input), { step: "another-upstream", taken: 0 });
 });
 
@@ -66,7 +70,11 @@
 test("a request that has not run takes no retry if no upstream accepts it", () => {
   // Guards against spending the fleet's retry budget on rejections while
   // upstreams have asked for a back-off.
-  const input = { failure: "not-run", runs: 0, hasCandidate: false } as const;
+  const input = {
+    failure: "not-run",
+    possibleRuns: 0,
+    hasCandidate: false,
+  } as const;
   deepStrictEqual(decide(input), { step: "give-up", taken: 0 });
 });
 
