--- a/src/fleet/placer.ts
+++ b/src/fleet/placer.ts
@@ -36,7 +36,7 @@
   return {
     getCandidates(service) {
       const deployment = host.getDeployment();
-      if (deployment === undefined) return { near: [], far: [] };
+      if (deployment === undefined) return { sameRegion: [], otherRegions: [] };
       const nowMs = host.clock.monotonicMs();
       const liveRegions = getLiveRegions();
       return getCandidates({
@@ -44,13 +44,13 @@
         service,
         ownDataCentre: host.dataCentre,
         isLeaving: host.isUpstreamLeaving,
-        isRegionLive: (region) => liveRegions.has(region),
-        getFreeHint(upstream) {
+        isRegionReachable: (region) => liveRegions.has(region),
+        getFreeSlotsHint(upstream) {
           const hint = hints.get(upstream);
           if (hint === undefined || nowMs - hint.heardMs > HINT_MS) return 0;
           return hint.free;
         },
-        getPreference: (upstream) =>
+        getTieBreaker: (upstream) =>
           getOrCreate(preferences, upstream, host.random),
       });
     },
--- a/src/placement/placement.ts
+++ b/src/placement/placement.ts
@@ -16,10 +16,10 @@
  * then each owner of the region has been asked for most of a second, so that a
  * slot free there would have been granted.
  */
-export const CROSS_REGION_WAIT_MS = 1_000;
+export const CROSS_REGION_START_WAIT_MS = 1_000;
 
 /** Once across, the other region is asked until waits are as short as this. */
-export const CROSS_REGION_END_MS = 500;
+export const CROSS_REGION_STOP_WAIT_MS = 500;
 
 /** What placement decides from. */
 export interface PlacementInput {
@@ -28,55 +28,55 @@
   readonly ownDataCentre: string;
   isLeaving(upstream: string): boolean;
   /** Whether a host of the upstream's region is live, as seen from here. */
-  isRegionLive(region: string): boolean;
+  isRegionReachable(region: string): boolean;
   /** Free slots by the owner's last hint; zero when unknown. */
-  getFreeHint(upstream: string): number;
+  getFreeSlotsHint(upstream: string): number;
   /** A number by which hosts differ, so that they don't ask all the same. */
-  getPreference(upstream: string): number;
+  getTieBreaker(upstream: string): number;
 }
 
 /** The upstreams that may be asked for a slot, the preferred first. */
 export interface Placement {
   /** Of the own region. */
-  readonly near: readonly Upstream[];
+  readonly sameRegion: readonly Upstream[];
   /** Of other regions that can be reached. */
-  readonly far: readonly Upstream[];
+  readonly otherRegions: readonly Upstream[];
 }
 
 /** The upstreams that may be asked, those with free slots and of the own data centre first. */
 export function getCandidates(input: PlacementInput): Placement {
   const { deployment } = input;
   const ownRegion = getRegion(deployment, input.ownDataCentre);
-  const near: Upstream[] = [];
-  const far: Upstream[] = [];
+  const sameRegion: Upstream[] = [];
+  const otherRegions: Upstream[] = [];
   for (const upstream of deployment.upstreams) {
     if (upstream.service !== input.service) continue;
     if (input.isLeaving(upstream.id)) continue;
     const region = getRegion(deployment, upstream.dataCentre);
-    if (region === ownRegion) near.push(upstream);
+    if (region === ownRegion) sameRegion.push(upstream);
     // Without a live host there, the link is cut: a request would hang on it.
-    else if (input.isRegionLive(region)) far.push(upstream);
+    else if (input.isRegionReachable(region)) otherRegions.push(upstream);
   }
   return {
-    near: sortByPreference(near, input),
-    far: sortByPreference(far, input),
+    sameRegion: sortByPreference(sameRegion, input),
+    otherRegions: sortByPreference(otherRegions, input),
   };
 }
 
 /** What crossing is decided from. */
-export interface CrossingInput {
+export interface CrossRegionInput {
   /** How long the team's oldest request has waited here, in ms. */
   readonly oldestWaitMs: number;
   /** Whether the other region was asked at the last decision. */
-  readonly wasCrossing: boolean;
+  readonly wasCrossRegion: boolean;
 }
 
 /** Whether the other region is asked, too. */
-export function decideCrossing(input: CrossingInput): boolean {
-  const leastMs = input.wasCrossing
-    ? CROSS_REGION_END_MS
-    : CROSS_REGION_WAIT_MS;
-  return input.oldestWaitMs >= leastMs;
+export function decideCrossRegion(input: CrossRegionInput): boolean {
+  const thresholdMs = input.wasCrossRegion
+    ? CROSS_REGION_STOP_WAIT_MS
+    : CROSS_REGION_START_WAIT_MS;
+  return input.oldestWaitMs >= thresholdMs;
 }
 
 /** The region of a data centre; empty for one that is not declared. */
@@ -94,12 +94,12 @@
 ): readonly Upstream[] {
   const ranked = upstreams.map((upstream) => ({
     upstream,
-    hasFree: Number(input.getFreeHint(upstream.id) > 0),
-    isOwn: Number(upstream.dataCentre === input.ownDataCentre),
-    preference: input.getPreference(upstream.id),
+    hasFreeSlots: Number(input.getFreeSlotsHint(upstream.id) > 0),
+    isOwnDataCentre: Number(upstream.dataCentre === input.ownDataCentre),
+    tieBreaker: input.getTieBreaker(upstream.id),
   }));
   ranked.sort((a, b) =>
-    b.hasFree - a.hasFree || b.isOwn - a.isOwn || a.preference - b.preference
+    b.hasFreeSlots - a.hasFreeSlots || b.isOwnDataCentre - a.isOwnDataCentre || a.tieBreaker - b.tieBreaker
   );
   return ranked.map((each) => each.upstream);
 }
--- a/src/slots/asking.ts
+++ b/src/slots/asking.ts
@@ -9,15 +9,15 @@
  * @module
  */
 
-import { decideCrossing } from "../placement/mod.ts";
+import { decideCrossRegion } from "../placement/mod.ts";
 import type { Upstream } from "../types.ts";
 
 /** Upstreams that a service's requests may use, the preferred first. */
 export interface Candidates {
   /** Of the own region. */
-  readonly near: readonly Upstream[];
+  readonly sameRegion: readonly Upstream[];
   /** Of other regions that can be reached. */
-  readonly far: readonly Upstream[];
+  readonly otherRegions: readonly Upstream[];
 }
 
 /**
@@ -46,18 +46,18 @@
 export function getAsked(input: AskingInput): ReadonlySet<string> {
   const { ageMs, candidates, before } = input;
   const asked = new Set<string>();
-  for (const { id } of candidates.near) {
+  for (const { id } of candidates.sameRegion) {
     if (before.has(id)) asked.add(id);
   }
   const width = getWidth(ageMs);
-  for (const { id } of candidates.near) {
+  for (const { id } of candidates.sameRegion) {
     if (asked.size >= width) break;
     asked.add(id);
   }
-  const wasCrossing = candidates.far.some((each) => before.has(each.id));
-  const crosses = candidates.near.length === 0 ||
-    decideCrossing({ oldestWaitMs: ageMs, wasCrossing });
-  if (crosses) candidates.far.forEach((each) => asked.add(each.id));
+  const wasCrossing = candidates.otherRegions.some((each) => before.has(each.id));
+  const crosses = candidates.sameRegion.length === 0 ||
+    decideCrossRegion({ oldestWaitMs: ageMs, wasCrossRegion: wasCrossing });
+  if (crosses) candidates.otherRegions.forEach((each) => asked.add(each.id));
   return asked;
 }
 
--- a/src/slots/service_asking.ts
+++ b/src/slots/service_asking.ts
@@ -58,7 +58,7 @@
     const { team, ageMs } = want;
     const before = teams.get(team)?.asked ?? new Set<string>();
     const asked = getAsked({ ageMs, candidates, before });
-    const isWide = asked.size >= candidates.near.length;
+    const isWide = asked.size >= candidates.sameRegion.length;
     const dueMs = host.nowMs() + getAskingPauseMs(ageMs, isWide);
     teams.set(team, { asked, dueMs });
     return [...before].filter((each) => !asked.has(each));
--- a/src/slots/slot_client_test.ts
+++ b/src/slots/slot_client_test.ts
@@ -32,7 +32,7 @@
   const time = { nowMs: 0 };
   const client = createSlotClient({
     nowMs: () => time.nowMs,
-    getCandidates: () => ({ near: upstreams, far: [] }),
+    getCandidates: () => ({ sameRegion: upstreams, otherRegions: [] }),
     tryGetUpstream: (id) => upstreams.find((each) => each.id === id),
     isLeaving: (id) => leaving.has(id),
     sendRequest: (req) => requests.push(req),
