--- a/src/placement/least_busy.ts
+++ b/src/placement/least_loaded.ts
@@ -11,7 +11,7 @@
  */
 
 /** An upstream as this host sees it. */
-export interface BusyUpstream {
+export interface UpstreamCandidate {
   readonly id: string;
   readonly slots: number;
   /** Requests that this host has in flight there. */
@@ -35,7 +35,7 @@
 
 /** The upstreams' ids, the one to ask first at the front. */
 export function rankByLoad(
-  upstreams: readonly BusyUpstream[],
+  upstreams: readonly UpstreamCandidate[],
 ): readonly string[] {
   const ranked = upstreams.map((each) => ({
     id: each.id,
--- a/src/placement/mod.ts
+++ b/src/placement/mod.ts
@@ -5,6 +5,6 @@
  */
 
 export * from "./placement.ts";
-export * from "./least_busy.ts";
+export * from "./least_loaded.ts";
 export * from "./prefix_affinity.ts";
 export * from "./reading_tokens.ts";
--- a/src/placement/placement_choices_test.ts
+++ b/src/placement/placement_choices_test.ts
@@ -1,6 +1,6 @@
 import { deepStrictEqual, ok, strictEqual } from "node:assert";
 import { test } from "node:test";
-import { rankByLoad } from "./least_busy.ts";
+import { rankByLoad } from "./least_loaded.ts";
 import {
   getAffinityKey,
   putNearFirst,
