--- a/src/forwarding/pick_upstream.ts
+++ b/src/forwarding/pick_upstream.ts
@@ -8,10 +8,10 @@
 import * as Effect from "effect/Effect";
 import type { UpstreamEntry } from "../discovery/mod.ts";
 import {
-  FREE_TOKENS,
+  NEGLIGIBLE_PREFILL_TOKENS,
   getAffinityKey,
-  getReadingTokens,
-  putNearFirst,
+  getPrefillTokens,
+  putSameRegionFirst,
   rankByAffinity,
   rankByLoad,
 } from "../placement/mod.ts";
@@ -198,12 +198,12 @@
   // All hosts send prompts with the same shared prefix to the same upstream,
   // which therefore has it cached for all but the first of them.
   const unsharedTokens = getUnsharedPrefillTokens(prompt);
-  const totalTokens = getReadingTokens(prompt.promptTokens, 0);
+  const totalTokens = getPrefillTokens(prompt.promptTokens, 0);
   // If the shared prefix is small, each region can cache a copy of its own:
   // most of the traffic between regions is responses, event by event.
-  const isSharedPrefixSmall = totalTokens - unsharedTokens <= FREE_TOKENS;
+  const isSharedPrefixSmall = totalTokens - unsharedTokens <= NEGLIGIBLE_PREFILL_TOKENS;
   const ordered = isSharedPrefixSmall
-    ? putNearFirst(ranked, createSameRegionTest(host, candidates))
+    ? putSameRegionFirst(ranked, createSameRegionTest(host, candidates))
     : ranked;
   return ordered.map((upstream, at) => ({
     upstream,
@@ -254,7 +254,7 @@
  */
 function getUnsharedPrefillTokens(prompt: Prompt): number {
   const ownTokens = prompt.parts.at(-1)?.tokens ?? prompt.promptTokens;
-  return getReadingTokens(ownTokens, prompt.promptTokens - ownTokens);
+  return getPrefillTokens(ownTokens, prompt.promptTokens - ownTokens);
 }
 
 function createQueueRejection(
--- a/src/measure/prompt_world.ts
+++ b/src/measure/prompt_world.ts
@@ -20,7 +20,7 @@
 import { createPacing, type Pacing } from "../pacing/mod.ts";
 import { rankByRendezvous } from "../membership/mod.ts";
 import { getNameDigest } from "../peers/mod.ts";
-import { getReadingTokens } from "../placement/mod.ts";
+import { getPrefillTokens } from "../placement/mod.ts";
 import {
   createPromptQueue,
   type PromptQueue,
@@ -57,7 +57,7 @@
   /** What an upstream may have to read at once, if it isn't learned. */
   readonly limitTokens?: number | undefined;
   /** What a prompt counts for; the program's own count where absent. */
-  readonly getReading?: typeof getReadingTokens | undefined;
+  readonly getReading?: typeof getPrefillTokens | undefined;
   readonly engine: EngineFigures;
   /** Longest pause between two events that is on time, in ms. */
   readonly pauseTargetMs: number;
@@ -110,7 +110,7 @@
 
 /** Plays twenty seconds. */
 export function playPrompts(options: PromptWorldOptions): PromptResult {
-  const { getReading = getReadingTokens } = options;
+  const { getReading = getPrefillTokens } = options;
   const random = createRandom(options.seed);
   const agenda = createAgenda();
   const { clock } = agenda;
--- a/src/placement/mod.ts
+++ b/src/placement/mod.ts
@@ -7,4 +7,4 @@
 export * from "./placement.ts";
 export * from "./least_loaded.ts";
 export * from "./prefix_affinity.ts";
-export * from "./reading_tokens.ts";
+export * from "./prefill_tokens.ts";
--- a/src/placement/placement_choices_test.ts
+++ b/src/placement/placement_choices_test.ts
@@ -3,7 +3,7 @@
 import { rankByLoad } from "./least_loaded.ts";
 import {
   getAffinityKey,
-  putNearFirst,
+  putSameRegionFirst,
   rankByAffinity,
 } from "./prefix_affinity.ts";
 
@@ -61,7 +61,7 @@
   // upstreams of the caller's region could have read the prompt as well.
   const isNear = (id: string) => id === "up-1" || id === "up-3";
   deepStrictEqual(
-    putNearFirst(["up-0", "up-1", "up-2", "up-3"], isNear),
+    putSameRegionFirst(["up-0", "up-1", "up-2", "up-3"], isNear),
     ["up-1", "up-3", "up-0", "up-2"],
   );
 });
--- a/src/placement/reading_tokens.ts
+++ b/src/placement/prefill_tokens.ts
@@ -10,10 +10,10 @@
  * 61,000 for the engines met. A count of tokens alone hides half of the work of
  * the longest prompts; how fast an engine reads is learned (`pacing/`).
  */
-const ATTENTION_TOKENS = 40_000;
+const ATTENTION_BREAK_EVEN_TOKENS = 40_000;
 
 /** Tokens to read, attention counted, behind those that are kept; whole. */
-export function getReadingTokens(tokens: number, keptTokens: number): number {
-  const meanContext = keptTokens + tokens / 2;
-  return Math.ceil(tokens * (1 + meanContext / ATTENTION_TOKENS));
+export function getPrefillTokens(tokens: number, cachedTokens: number): number {
+  const meanContext = cachedTokens + tokens / 2;
+  return Math.ceil(tokens * (1 + meanContext / ATTENTION_BREAK_EVEN_TOKENS));
 }
--- a/src/placement/prefix_affinity.ts
+++ b/src/placement/prefix_affinity.ts
@@ -16,7 +16,7 @@
 import { rankByRendezvous } from "../membership/mod.ts";
 
 /** A part of a prompt as placement sees it. */
-export interface PlacedPart {
+export interface AffinityPart {
   readonly id: string;
 }
 
@@ -29,7 +29,7 @@
  */
 export function getAffinityKey(
   model: string,
-  parts: readonly PlacedPart[],
+  parts: readonly AffinityPart[],
 ): string {
   const shared = parts.at(-2) ?? parts[0];
   return `${model}/${shared?.id ?? ""}`;
@@ -39,7 +39,7 @@
  * Reading so many tokens again costs less than a wait, or than an answer's way
  * over the link between regions.
  */
-export const FREE_TOKENS = 1_400;
+export const NEGLIGIBLE_PREFILL_TOKENS = 1_400;
 
 /** The upstreams' ids in the order in which they should be asked. */
 export function rankByAffinity(
@@ -50,9 +50,9 @@
 }
 
 /** The ids in the same order, but those that are near before all others. */
-export function putNearFirst(
+export function putSameRegionFirst(
   ids: readonly string[],
-  isNear: (id: string) => boolean,
+  isSameRegion: (id: string) => boolean,
 ): readonly string[] {
-  return [...ids.filter(isNear), ...ids.filter((id) => !isNear(id))];
+  return [...ids.filter(isSameRegion), ...ids.filter((id) => !isSameRegion(id))];
 }
--- a/src/queue/prompt_queue.ts
+++ b/src/queue/prompt_queue.ts
@@ -31,7 +31,7 @@
 
 import { getOrCreate } from "../core/mod.ts";
 import type { QueueInputs } from "../diagnostics/mod.ts";
-import { FREE_TOKENS } from "../placement/mod.ts";
+import { NEGLIGIBLE_PREFILL_TOKENS } from "../placement/mod.ts";
 import { createBacklogs, isInVain } from "./backlog.ts";
 import type {
   Choice,
@@ -73,7 +73,7 @@
   limit: { slotShare: 0.6, readingShare: 1 },
   yieldingLimit: { slotShare: 0.45, readingShare: 0.5 },
   overShareLimit: { slotShare: 0.45, readingShare: 0.5 },
-  freeTokens: FREE_TOKENS,
+  freeTokens: NEGLIGIBLE_PREFILL_TOKENS,
   largestShare: 0.75,
   spillShare: 0.55,
   refuseShare: 0.6,
