--- a/src/entry/entry.ts
+++ b/src/entry/entry.ts
@@ -125,7 +125,7 @@
       knowledge.tryGetRoutes()?.config.tokensPerSecond ?? 0,
     getLearned: () =>
       [...pacings].map(([service, pacing]) => ({
-        ...pacing.getEvidence(),
+        ...pacing.getStats(),
         service: getNameDigest(service),
       })),
   });
@@ -137,7 +137,7 @@
       () =>
         createPacing({
           nowMs: clock.monotonicMs,
-          getOthers: () => load.getOthersLearned(service),
+          getRemoteStats: () => load.getOthersLearned(service),
           onChanged: (change) => logLimit(service, change),
         }),
     );
--- a/src/load/load_view.ts
+++ b/src/load/load_view.ts
@@ -12,9 +12,9 @@
 
 import { type Clock, getOrCreate } from "../core/mod.ts";
 import {
-  addEvidence,
-  NO_EVIDENCE,
-  type PacingEvidence,
+  addPacingStats,
+  EMPTY_PACING_STATS,
+  type PacingStats,
 } from "../pacing/mod.ts";
 import { REPORT_KEEP_MS } from "./load_sums.ts";
 import { createRate, type Rate } from "./rate.ts";
@@ -59,7 +59,7 @@
   /** What is being read there for all hosts, in tokens. */
   getReadingTokens(upstream: string): number;
   /** What the other hosts have learned of the service's upstreams. */
-  getOthersLearned(service: string): PacingEvidence;
+  getOthersLearned(service: string): PacingStats;
   /** What the team was given over its share, as a ratio; 1 is the share. */
   getShareUsed(team: string): number;
   /** Whether the team is given more than an even part of what is short. */
@@ -116,7 +116,7 @@
   const teams = new Map<number, TeamRates>();
   const reports = new Map<string, HeardReport>();
   const othersUse = new Map<number, Use>();
-  const othersLearned = new Map<number, PacingEvidence>();
+  const othersLearned = new Map<number, PacingStats>();
   const sizes = createRate(HALF_LIFE_MS);
   const works = createRate(HALF_LIFE_MS);
   let forgotAtMs = -Infinity;
@@ -145,8 +145,8 @@
       addUse(getOrCreate(othersUse, each.upstream, createUse), each, sign);
     }
     for (const learned of report.learned) {
-      const known = othersLearned.get(learned.service) ?? NO_EVIDENCE;
-      const sum = addEvidence(known, learned, sign);
+      const known = othersLearned.get(learned.service) ?? EMPTY_PACING_STATS;
+      const sum = addPacingStats(known, learned, sign);
       // Without hosts only errors of rounding are left.
       if (sum.hosts > 0) othersLearned.set(learned.service, sum);
       else othersLearned.delete(learned.service);
@@ -245,7 +245,7 @@
       getUse(upstream).readingTokens + getOthers(upstream).readingTokens,
     getOthersLearned(service) {
       forgetOld();
-      return othersLearned.get(getDigest(service)) ?? NO_EVIDENCE;
+      return othersLearned.get(getDigest(service)) ?? EMPTY_PACING_STATS;
     },
     getShareUsed(team) {
       updateLevel();
--- a/src/load/report_sums.ts
+++ b/src/load/report_sums.ts
@@ -5,7 +5,7 @@
  */
 
 import { getOrCreate } from "../core/mod.ts";
-import { addEvidence, NO_EVIDENCE } from "../pacing/mod.ts";
+import { addPacingStats, EMPTY_PACING_STATS } from "../pacing/mod.ts";
 import { addUse, createUse, isUsed } from "./use.ts";
 import type {
   LearnedOfService,
@@ -56,8 +56,8 @@
       use.begun += sign * begun;
     }
     for (const each of report.learned) {
-      const known = learned.get(each.service) ?? NO_EVIDENCE;
-      const sum = addEvidence(known, each, sign);
+      const known = learned.get(each.service) ?? EMPTY_PACING_STATS;
+      const sum = addPacingStats(known, each, sign);
       learned.set(each.service, { ...sum, service: each.service });
     }
   }
--- a/src/load/types.ts
+++ b/src/load/types.ts
@@ -4,7 +4,7 @@
  * @module
  */
 
-import type { PacingEvidence } from "../pacing/mod.ts";
+import type { PacingStats } from "../pacing/mod.ts";
 
 /** What is used of an upstream now. */
 export interface UpstreamUse {
@@ -26,7 +26,7 @@
 }
 
 /** What hosts have learned of a service's upstreams. */
-export interface LearnedOfService extends PacingEvidence {
+export interface LearnedOfService extends PacingStats {
   /** Digest of the service's name. */
   readonly service: number;
 }
--- a/src/measure/prompt_world.ts
+++ b/src/measure/prompt_world.ts
@@ -130,11 +130,11 @@
       getDigest: getNameDigest,
       isAlive: () => true,
       getStatedCapacity: () => STATED_CAPACITY,
-      getLearned: () => [{ ...pacing.getEvidence(), service: SERVICE_DIGEST }],
+      getLearned: () => [{ ...pacing.getStats(), service: SERVICE_DIGEST }],
     });
     const pacing: Pacing = createPacing({
       nowMs,
-      getOthers: () => view.getOthersLearned(SERVICE),
+      getRemoteStats: () => view.getOthersLearned(SERVICE),
       onChanged: () => {},
     });
     const sums = createLoadSums({
--- a/src/pacing/first_event_model.ts
+++ b/src/pacing/first_event_model.ts
@@ -10,9 +10,9 @@
  */
 
 import {
-  addFirstEvents,
+  addFirstEventSums,
   type FirstEventSums,
-  NO_FIRST_EVENTS,
+  EMPTY_FIRST_EVENT_SUMS,
 } from "./types.ts";
 
 /** The line, as it is now. */
@@ -24,14 +24,14 @@
   /** Tokens behind which the first event comes in the time given. */
   getTokensWithin(ms: number): number;
   /** What this host alone has seen. */
-  getOwnSums(): FirstEventSums;
+  getLocalSums(): FirstEventSums;
 }
 
 /** What the model needs of the process. */
 export interface FirstEventModelHost {
   nowMs(): number;
   /** What the other hosts have seen. */
-  getOthers(): FirstEventSums;
+  getRemoteSums(): FirstEventSums;
 }
 
 /** Samples fade to a half in so long, in ms: some eighty of a busy host. */
@@ -64,27 +64,27 @@
   host: FirstEventModelHost,
 ): FirstEventModel {
   let atMs = host.nowMs();
-  let own = NO_FIRST_EVENTS;
+  let local = EMPTY_FIRST_EVENT_SUMS;
 
   function fade(): void {
     const factor = 0.5 ** ((host.nowMs() - atMs) / HALF_LIFE_MS);
     atMs = host.nowMs();
-    own = {
-      count: own.count * factor,
-      tokens: own.tokens * factor,
-      ms: own.ms * factor,
-      tokensSquared: own.tokensSquared * factor,
-      tokensMs: own.tokensMs * factor,
+    local = {
+      count: local.count * factor,
+      tokens: local.tokens * factor,
+      ms: local.ms * factor,
+      tokensSquared: local.tokensSquared * factor,
+      tokensMs: local.tokensMs * factor,
     };
   }
 
-  const getSums = () => addFirstEvents(own, host.getOthers());
+  const getSums = () => addFirstEventSums(local, host.getRemoteSums());
 
   return {
     note(readingTokens, tookMs) {
       fade();
       const ms = Math.min(tookMs, MAX_SAMPLE_MS);
-      own = addFirstEvents(own, {
+      local = addFirstEventSums(local, {
         count: 1,
         tokens: readingTokens,
         ms,
@@ -102,9 +102,9 @@
       const slope = getSlope(sums);
       return Math.max(0, (ms - getBaseMs(sums, slope)) / slope);
     },
-    getOwnSums() {
+    getLocalSums() {
       fade();
-      return own;
+      return local;
     },
   };
 }
--- a/src/pacing/pacing.ts
+++ b/src/pacing/pacing.ts
@@ -16,7 +16,7 @@
 
 import { createFirstEventModel } from "./first_event_model.ts";
 import { createPauseLimit } from "./pause_limit.ts";
-import type { PacingEvidence } from "./types.ts";
+import type { PacingStats } from "./types.ts";
 
 /** What has been seen of a service, and the limit that follows. */
 export interface Pacing {
@@ -30,14 +30,14 @@
    */
   getLimitTokens(targetMs: number): number;
   /** What this host has seen, for the others. */
-  getEvidence(): PacingEvidence;
+  getStats(): PacingStats;
 }
 
 /** What pacing needs of the process. */
 export interface PacingHost {
   nowMs(): number;
   /** What the other hosts have seen of the service. */
-  getOthers(): PacingEvidence;
+  getRemoteStats(): PacingStats;
   /** The limit is another than when it was last told. */
   onChanged(change: PacingChange): void;
 }
@@ -63,12 +63,12 @@
 
 /** Makes the pacing of a service of which nothing has been seen. */
 export function createPacing(host: PacingHost): Pacing {
-  const { nowMs, getOthers } = host;
+  const { nowMs, getRemoteStats: getOthers } = host;
   const firstEvents = createFirstEventModel({
     nowMs,
-    getOthers: () => getOthers().firstEvents,
+    getRemoteSums: () => getOthers().firstEvents,
   });
-  const pauses = createPauseLimit({ nowMs, getOthers });
+  const pauses = createPauseLimit({ nowMs, getRemoteStats: getOthers });
   let toldTokens = 0;
 
   function tell(limitTokens: number, inTimeTokens: number): void {
@@ -82,9 +82,9 @@
   return {
     noteFirstEvent: firstEvents.note,
     notePause: pauses.note,
-    getEvidence: () => ({
-      ...pauses.getOwn(),
-      firstEvents: firstEvents.getOwnSums(),
+    getStats: () => ({
+      ...pauses.getLocalStats(),
+      firstEvents: firstEvents.getLocalSums(),
     }),
     getLimitTokens(targetMs) {
       const inTimeTokens = firstEvents.getTokensWithin(targetMs * TARGET_SHARE);
--- a/src/pacing/pacing_test.ts
+++ b/src/pacing/pacing_test.ts
@@ -4,7 +4,7 @@
 import { createPacing } from "./pacing.ts";
 import { createFirstEventModel } from "./first_event_model.ts";
 import { MIN_TOKENS } from "./pause_limit.ts";
-import { NO_EVIDENCE, NO_FIRST_EVENTS } from "./types.ts";
+import { EMPTY_PACING_STATS, EMPTY_FIRST_EVENT_SUMS } from "./types.ts";
 
 const TARGET_MS = 800;
 
@@ -13,7 +13,7 @@
   const clock = createManualClock(1_000);
   const pacing = createPacing({
     nowMs: clock.monotonicMs,
-    getOthers: () => NO_EVIDENCE,
+    getRemoteStats: () => EMPTY_PACING_STATS,
     onChanged: () => {},
   });
   const getLimit = () => pacing.getLimitTokens(TARGET_MS);
@@ -74,7 +74,7 @@
   const clock = createManualClock(1_000);
   const model = createFirstEventModel({
     nowMs: clock.monotonicMs,
-    getOthers: () => NO_FIRST_EVENTS,
+    getRemoteSums: () => EMPTY_FIRST_EVENT_SUMS,
   });
   for (let at = 0; at < 200; at++) {
     const tokens = (at * 3_700) % 30_000;
--- a/src/pacing/pause_limit.ts
+++ b/src/pacing/pause_limit.ts
@@ -11,7 +11,7 @@
  * @module
  */
 
-import type { PacingEvidence } from "./types.ts";
+import type { PacingStats } from "./types.ts";
 
 /** The limit, as it is now. */
 export interface PauseLimit {
@@ -22,17 +22,17 @@
   /** Share of the answers of the last seconds that paused past their target. */
   getLateShare(): number;
   /** What this host alone has seen, and its limit. */
-  getOwn(): PauseEvidence;
+  getLocalStats(): PauseStats;
 }
 
 /** The part of the evidence that pauses give. */
-export type PauseEvidence = Omit<PacingEvidence, "firstEvents">;
+export type PauseStats = Omit<PacingStats, "firstEvents">;
 
 /** What the limit needs of the process. */
 export interface PauseLimitHost {
   nowMs(): number;
   /** What the other hosts have seen, and their limits. */
-  getOthers(): PauseEvidence;
+  getRemoteStats(): PauseStats;
 }
 
 /**
@@ -87,17 +87,17 @@
     fadedAtMs = host.nowMs();
   }
 
-  const getAnswers = () => all + host.getOthers().answers;
+  const getAnswers = () => all + host.getRemoteStats().answers;
 
   function getLateShare(): number {
     const answers = getAnswers();
-    const lateAnswers = late + host.getOthers().lateAnswers;
+    const lateAnswers = late + host.getRemoteStats().lateAnswers;
     return answers <= 0 ? 0 : lateAnswers / answers;
   }
 
   /** Hosts that learned at different times would keep different limits. */
   function approachOthers(): void {
-    const { answers, limitTokens } = host.getOthers();
+    const { answers, limitTokens } = host.getRemoteStats();
     if (answers > MIN_ANSWERS) tokens = (tokens + limitTokens / answers) / 2;
   }
 
@@ -128,7 +128,7 @@
       }
       return tokens;
     },
-    getOwn() {
+    getLocalStats() {
       fade();
       return {
         hosts: 1,
--- a/src/pacing/pause_limit_test.ts
+++ b/src/pacing/pause_limit_test.ts
@@ -1,16 +1,16 @@
 import { strictEqual } from "node:assert";
 import { test } from "node:test";
 import { createManualClock } from "../core/mod.ts";
-import { createPauseLimit, type PauseEvidence } from "./pause_limit.ts";
+import { createPauseLimit, type PauseStats } from "./pause_limit.ts";
 
 const CEILING_TOKENS = 100_000;
 
 /** A limit that has seen nothing, beside others that have seen what is given. */
-function createFixture(others: PauseEvidence) {
+function createFixture(others: PauseStats) {
   const clock = createManualClock(1_000);
   const limit = createPauseLimit({
     nowMs: clock.monotonicMs,
-    getOthers: () => others,
+    getRemoteStats: () => others,
   });
   clock.advance(500);
   return limit;
--- a/src/pacing/types.ts
+++ b/src/pacing/types.ts
@@ -6,7 +6,7 @@
  */
 
 /** Counts fade, so that each stands for the last seconds. */
-export interface PacingEvidence {
+export interface PacingStats {
   /** Hosts that it adds up. */
   readonly hosts: number;
   /**
@@ -30,7 +30,7 @@
 }
 
 /** Sums over no first event. */
-export const NO_FIRST_EVENTS: FirstEventSums = {
+export const EMPTY_FIRST_EVENT_SUMS: FirstEventSums = {
   count: 0,
   tokens: 0,
   ms: 0,
@@ -39,31 +39,31 @@
 };
 
 /** Evidence of no host. */
-export const NO_EVIDENCE: PacingEvidence = {
+export const EMPTY_PACING_STATS: PacingStats = {
   hosts: 0,
   limitTokens: 0,
   answers: 0,
   lateAnswers: 0,
-  firstEvents: NO_FIRST_EVENTS,
+  firstEvents: EMPTY_FIRST_EVENT_SUMS,
 };
 
 /** The first with the second added, or with a sign of -1 taken out. */
-export function addEvidence(
-  a: PacingEvidence,
-  b: PacingEvidence,
+export function addPacingStats(
+  a: PacingStats,
+  b: PacingStats,
   sign: 1 | -1 = 1,
-): PacingEvidence {
+): PacingStats {
   return {
     hosts: a.hosts + sign * b.hosts,
     limitTokens: a.limitTokens + sign * b.limitTokens,
     answers: a.answers + sign * b.answers,
     lateAnswers: a.lateAnswers + sign * b.lateAnswers,
-    firstEvents: addFirstEvents(a.firstEvents, b.firstEvents, sign),
+    firstEvents: addFirstEventSums(a.firstEvents, b.firstEvents, sign),
   };
 }
 
 /** The same for sums over first events. */
-export function addFirstEvents(
+export function addFirstEventSums(
   a: FirstEventSums,
   b: FirstEventSums,
   sign: 1 | -1 = 1,
--- a/src/peers/load_codec.ts
+++ b/src/peers/load_codec.ts
@@ -15,7 +15,7 @@
   LoadScope as WireScope,
 } from "../generated/peer_pb.ts";
 import type { LearnedOfService, LoadReport, LoadScope } from "../load/types.ts";
-import { NO_FIRST_EVENTS } from "../pacing/mod.ts";
+import { EMPTY_FIRST_EVENT_SUMS } from "../pacing/mod.ts";
 import { createSealedCodec, type DatagramCodec } from "./datagrams.ts";
 
 const toWireScope: Readonly<Record<LoadScope, WireScope>> = {
@@ -45,7 +45,7 @@
 }
 
 function fromWireLearned(wire: WireLearned): LearnedOfService {
-  return { ...wire, firstEvents: wire.firstEvents ?? NO_FIRST_EVENTS };
+  return { ...wire, firstEvents: wire.firstEvents ?? EMPTY_FIRST_EVENT_SUMS };
 }
 
 function toWire(report: LoadReport) {
--- a/src/queue/common_room_test.ts
+++ b/src/queue/common_room_test.ts
@@ -70,13 +70,13 @@
       getStatedCapacity: () =>
         TOKENS_PER_MS * UPSTREAMS.length * 1_000 * (options.statedFactor ?? 1),
       getLearned: () => [{
-        ...pacing.getEvidence(),
+        ...pacing.getStats(),
         service: getNameDigest(SERVICE),
       }],
     });
     const pacing = createPacing({
       nowMs: clock.monotonicMs,
-      getOthers: () => view.getOthersLearned(SERVICE),
+      getRemoteStats: () => view.getOthersLearned(SERVICE),
       onChanged: () => {},
     });
     const sums = createLoadSums({
--- a/src/testing/forward_fixture.ts
+++ b/src/testing/forward_fixture.ts
@@ -23,7 +23,7 @@
 } from "../forwarding/mod.ts";
 import { createLoadView } from "../load/mod.ts";
 import { getNameDigest } from "../peers/mod.ts";
-import { NO_EVIDENCE, type Pacing } from "../pacing/mod.ts";
+import { EMPTY_PACING_STATS, type Pacing } from "../pacing/mod.ts";
 import { createPromptQueue } from "../queue/mod.ts";
 import { createRouteTable, type Route } from "../routing/mod.ts";
 import { createHealthWatch, createRestWatch } from "../upstreams/mod.ts";
@@ -242,7 +242,7 @@
     noteFirstEvent: (tokens) => void parts.paced.firstEvents.push(tokens),
     notePause: (isLate) => void parts.paced.pauses.push(isLate),
     getLimitTokens: () => LIMIT_TOKENS,
-    getEvidence: () => NO_EVIDENCE,
+    getStats: () => EMPTY_PACING_STATS,
   };
   return {
     log: parts.log,
