--- a/src/forwarding/relay_stream.ts
+++ b/src/forwarding/relay_stream.ts
@@ -63,7 +63,7 @@
       if (picked.queuedTokens === undefined) return;
       const tookMs = nowMs - progress.attemptStartedMs - host.getUnreadMs();
       host.getPacing(call.service)
-        .noteFirstEvent(picked.queuedTokens, Math.max(0, tookMs));
+        .recordFirstEvent(picked.queuedTokens, Math.max(0, tookMs));
     }
 
     let lastChunkMs: number | undefined;
@@ -131,7 +131,7 @@
   if (pauseTargetMs === undefined) return undefined;
   return createPauseSampler({
     targetMs: pauseTargetMs,
-    onSample: host.getPacing(service).notePause,
+    onSample: host.getPacing(service).recordPause,
   });
 }
 
--- a/src/measure/prompt_world.ts
+++ b/src/measure/prompt_world.ts
@@ -254,7 +254,7 @@
       isPauseLate = pauseMs > options.pauseTargetMs;
       if (!isPauseLate && atMs - notedMs < PAUSE_NOTE_MS) return;
       notedMs = atMs;
-      pacing.notePause(isPauseLate);
+      pacing.recordPause(isPauseLate);
     }
 
     let lastMs: number | undefined;
@@ -269,7 +269,7 @@
         if (lastMs === undefined) {
           runAt(atMs + LINK_MS, () => {
             view.endReading(engine, readingTokens);
-            pacing.noteFirstEvent(queuedTokens, nowMs() - startedMs);
+            pacing.recordFirstEvent(queuedTokens, nowMs() - startedMs);
           });
         } else notePause(atMs - lastMs, atMs);
         const limitMs = lastMs === undefined
--- a/src/pacing/first_event_model.ts
+++ b/src/pacing/first_event_model.ts
@@ -18,7 +18,7 @@
 /** The line, as it is now. */
 export interface FirstEventModel {
   /** A first event came so long after its prompt was sent. */
-  note(readingTokens: number, tookMs: number): void;
+  addSample(readingTokens: number, tookMs: number): void;
   /** Time to the first event behind so many tokens, its own included, in ms. */
   predictMs(readingTokens: number): number;
   /** Tokens behind which the first event comes in the time given. */
@@ -81,7 +81,7 @@
   const getSums = () => addFirstEventSums(local, host.getRemoteSums());
 
   return {
-    note(readingTokens, tookMs) {
+    addSample(readingTokens, tookMs) {
       fade();
       const ms = Math.min(tookMs, MAX_SAMPLE_MS);
       local = addFirstEventSums(local, {
--- a/src/pacing/pacing.ts
+++ b/src/pacing/pacing.ts
@@ -21,9 +21,9 @@
 /** What has been seen of a service, and the limit that follows. */
 export interface Pacing {
   /** A first event came so long after the prompt was sent. */
-  noteFirstEvent(readingTokens: number, tookMs: number): void;
+  recordFirstEvent(readingTokens: number, tookMs: number): void;
   /** An answer has paused past its target, or gone on for a while without. */
-  notePause(isLate: boolean): void;
+  recordPause(isLate: boolean): void;
   /**
    * Tokens that an upstream may have to read at once, where the tightest target
    * of the service's first events is so long, in ms.
@@ -52,7 +52,7 @@
 }
 
 /** A change of the limit by this factor is told; smaller ones come twice a second. */
-const TOLD_FACTOR = 1.25;
+const REPORT_FACTOR = 1.25;
 
 /**
  * The share of the target in which a first event is expected behind a full
@@ -69,27 +69,27 @@
     getRemoteSums: () => getOthers().firstEvents,
   });
   const pauses = createPauseLimit({ nowMs, getRemoteStats: getOthers });
-  let toldTokens = 0;
+  let reportedTokens = 0;
 
-  function tell(limitTokens: number, inTimeTokens: number): void {
-    const ratio = limitTokens / toldTokens;
-    if (ratio < TOLD_FACTOR && ratio > 1 / TOLD_FACTOR) return;
-    toldTokens = limitTokens;
+  function reportChange(limitTokens: number, inTimeTokens: number): void {
+    const ratio = limitTokens / reportedTokens;
+    if (ratio < REPORT_FACTOR && ratio > 1 / REPORT_FACTOR) return;
+    reportedTokens = limitTokens;
     const lateShare = pauses.getLateShare();
     host.onChanged({ limitTokens, inTimeTokens, lateShare });
   }
 
   return {
-    noteFirstEvent: firstEvents.note,
-    notePause: pauses.note,
+    recordFirstEvent: firstEvents.addSample,
+    recordPause: pauses.addSample,
     getStats: () => ({
       ...pauses.getLocalStats(),
       firstEvents: firstEvents.getLocalSums(),
     }),
     getLimitTokens(targetMs) {
       const inTimeTokens = firstEvents.getTokensWithin(targetMs * TARGET_SHARE);
-      const limitTokens = pauses.getTokens(inTimeTokens);
-      tell(limitTokens, inTimeTokens);
+      const limitTokens = pauses.getLimitTokens(inTimeTokens);
+      reportChange(limitTokens, inTimeTokens);
       return limitTokens;
     },
   };
--- a/src/pacing/pacing_test.ts
+++ b/src/pacing/pacing_test.ts
@@ -23,8 +23,8 @@
     play(seconds: number, lateShare: number): void {
       for (let at = 0; at < seconds * 10; at++) {
         const tokens = 2_000 + (at * 1_700) % 20_000;
-        pacing.noteFirstEvent(tokens, 100 + tokens * msPerToken);
-        pacing.notePause((at * 7) % 100 < lateShare * 100);
+        pacing.recordFirstEvent(tokens, 100 + tokens * msPerToken);
+        pacing.recordPause((at * 7) % 100 < lateShare * 100);
         clock.advance(100);
         getLimit();
       }
@@ -79,7 +79,7 @@
   for (let at = 0; at < 200; at++) {
     const tokens = (at * 3_700) % 30_000;
     const noiseMs = ((at * 37) % 100) - 50;
-    model.note(tokens, 150 + tokens * 0.02 + noiseMs);
+    model.addSample(tokens, 150 + tokens * 0.02 + noiseMs);
     clock.advance(50);
   }
   for (const tokens of [5_000, 10_000, 30_000]) {
--- a/src/pacing/pause_limit.ts
+++ b/src/pacing/pause_limit.ts
@@ -16,9 +16,9 @@
 /** The limit, as it is now. */
 export interface PauseLimit {
   /** An answer has paused past its target, or gone on for a while without. */
-  note(isLate: boolean): void;
+  addSample(isLate: boolean): void;
   /** Tokens that may be read at an upstream at once; at most the ceiling. */
-  getTokens(ceilingTokens: number): number;
+  getLimitTokens(ceilingTokens: number): number;
   /** Share of the answers of the last seconds that paused past their target. */
   getLateShare(): number;
   /** What this host alone has seen, and its limit. */
@@ -116,12 +116,12 @@
 
   return {
     getLateShare,
-    note(isLate) {
+    addSample(isLate) {
       fade();
       all++;
       if (isLate) late++;
     },
-    getTokens(ceilingTokens) {
+    getLimitTokens(ceilingTokens) {
       if (host.nowMs() - changedAtMs >= CHANGE_MS) {
         changedAtMs = host.nowMs();
         change(ceilingTokens);
--- a/src/pacing/pause_limit_test.ts
+++ b/src/pacing/pause_limit_test.ts
@@ -22,7 +22,7 @@
   const others = { hosts: 2, limitTokens: 40_000 * answers, answers };
   // Late answers between narrowing and widening: no other change.
   const limit = createFixture({ ...others, lateAnswers: answers * 0.04 });
-  strictEqual(limit.getTokens(CEILING_TOKENS), 27_000);
+  strictEqual(limit.getLimitTokens(CEILING_TOKENS), 27_000);
 });
 
 test("hosts without answers don't hold the limit where it was", () => {
@@ -32,12 +32,12 @@
     limitTokens: 0,
     answers: 0,
     lateAnswers: 0,
-  }).getTokens(CEILING_TOKENS);
+  }).getLimitTokens(CEILING_TOKENS);
   const beside = createFixture({
     hosts: 60,
     limitTokens: 0,
     answers: 0,
     lateAnswers: 0,
-  }).getTokens(CEILING_TOKENS);
+  }).getLimitTokens(CEILING_TOKENS);
   strictEqual(beside, first);
 });
--- a/src/queue/common_room_test.ts
+++ b/src/queue/common_room_test.ts
@@ -117,8 +117,8 @@
       const isLate = answers % 100 < options.lateShares[hostAt]! * 100;
       agenda.after(endMs - startedMs + LINK_MS, () => {
         view.endReading(upstream, promptTokens);
-        pacing.noteFirstEvent(queuedTokens, clock.monotonicMs() - startedMs);
-        pacing.notePause(isLate);
+        pacing.recordFirstEvent(queuedTokens, clock.monotonicMs() - startedMs);
+        pacing.recordPause(isLate);
       });
     }
 
--- a/src/testing/forward_fixture.ts
+++ b/src/testing/forward_fixture.ts
@@ -239,8 +239,8 @@
     getLearned: () => [],
   });
   const pacing: Pacing = {
-    noteFirstEvent: (tokens) => void parts.paced.firstEvents.push(tokens),
-    notePause: (isLate) => void parts.paced.pauses.push(isLate),
+    recordFirstEvent: (tokens) => void parts.paced.firstEvents.push(tokens),
+    recordPause: (isLate) => void parts.paced.pauses.push(isLate),
     getLimitTokens: () => LIMIT_TOKENS,
     getStats: () => EMPTY_PACING_STATS,
   };
