--- a/src/pacing/first_event_model.ts
+++ b/src/pacing/first_event_model.ts
@@ -41,14 +41,14 @@
  * What is assumed before anything is known: 80 ms for the way and the first
  * steps, and engines as slow as the slowest that have been met.
  */
-const FIRST_BASE_MS = 80;
-const FIRST_MS_PER_TOKEN = 0.02;
+const PRIOR_BASE_MS = 80;
+const PRIOR_MS_PER_TOKEN = 0.02;
 
 /**
  * How much the assumption counts: as much as the spread of ten samples that lie
  * 5,000 tokens from their mean. The slope of a few samples alike would be noise.
  */
-const PRIOR_SPREAD = 10 * 5_000 ** 2;
+const PRIOR_SQUARED_DEVIATIONS = 10 * 5_000 ** 2;
 
 /** As many samples count for the assumed base. */
 const PRIOR_SAMPLES = 5;
@@ -63,12 +63,12 @@
 export function createFirstEventModel(
   host: FirstEventModelHost,
 ): FirstEventModel {
-  let atMs = host.nowMs();
+  let decayedAtMs = host.nowMs();
   let local = EMPTY_FIRST_EVENT_SUMS;
 
-  function fade(): void {
-    const factor = 0.5 ** ((host.nowMs() - atMs) / HALF_LIFE_MS);
-    atMs = host.nowMs();
+  function decay(): void {
+    const factor = 0.5 ** ((host.nowMs() - decayedAtMs) / HALF_LIFE_MS);
+    decayedAtMs = host.nowMs();
     local = {
       count: local.count * factor,
       tokens: local.tokens * factor,
@@ -82,7 +82,7 @@
 
   return {
     addSample(readingTokens, tookMs) {
-      fade();
+      decay();
       const ms = Math.min(tookMs, MAX_SAMPLE_MS);
       local = addFirstEventSums(local, {
         count: 1,
@@ -103,7 +103,7 @@
       return Math.max(0, (ms - getBaseMs(sums, slope)) / slope);
     },
     getLocalSums() {
-      fade();
+      decay();
       return local;
     },
   };
@@ -111,15 +111,15 @@
 
 function getSlope(sums: FirstEventSums): number {
   const { count, tokens, ms } = sums;
-  if (count === 0) return FIRST_MS_PER_TOKEN;
-  const spread = sums.tokensSquared - tokens ** 2 / count;
-  const common = sums.tokensMs - tokens * ms / count;
-  const slope = (common + FIRST_MS_PER_TOKEN * PRIOR_SPREAD) /
-    (spread + PRIOR_SPREAD);
+  if (count === 0) return PRIOR_MS_PER_TOKEN;
+  const squaredDeviations = sums.tokensSquared - tokens ** 2 / count;
+  const crossDeviations = sums.tokensMs - tokens * ms / count;
+  const slope = (crossDeviations + PRIOR_MS_PER_TOKEN * PRIOR_SQUARED_DEVIATIONS) /
+    (squaredDeviations + PRIOR_SQUARED_DEVIATIONS);
   return Math.max(MIN_MS_PER_TOKEN, slope);
 }
 
 function getBaseMs({ count, tokens, ms }: FirstEventSums, slope: number) {
-  const sum = ms - slope * tokens + FIRST_BASE_MS * PRIOR_SAMPLES;
+  const sum = ms - slope * tokens + PRIOR_BASE_MS * PRIOR_SAMPLES;
   return Math.max(0, sum / (count + PRIOR_SAMPLES));
 }
--- a/src/pacing/pause_limit.ts
+++ b/src/pacing/pause_limit.ts
@@ -39,77 +39,77 @@
  * Before anything is known: one long prompt. With twice as much, a third of the
  * answers beside it paused too long on the engines that read most in a step.
  */
-const FIRST_TOKENS = 14_000;
+const INITIAL_TOKENS = 14_000;
 
 /** Never less: two usual prompts of 2,800 tokens; a larger one goes alone. */
 export const MIN_TOKENS = 5_600;
 
 /** Between two changes, in ms: a change shows in the pauses of a few events. */
-const CHANGE_MS = 500;
+const ADJUST_PERIOD_MS = 500;
 
 /**
  * Over this share of late answers the limit narrows: below it more answers are
  * lost by waiting than by pausing.
  */
-const NARROW_SHARE = 0.05;
+const DECREASE_ABOVE_SHARE = 0.05;
 
 /** Under this share it widens; between the two it stays. */
-const WIDEN_SHARE = 0.025;
+const INCREASE_BELOW_SHARE = 0.025;
 
 /** At fewer answers than so many, faded, a single one would decide. */
 const MIN_ANSWERS = 3;
 
 /** Narrowing must be faster than widening, for late answers are lost at once. */
-const NARROW_FACTOR = 0.85;
-const WIDEN_FACTOR = 1.15;
+const DECREASE_FACTOR = 0.85;
+const INCREASE_FACTOR = 1.15;
 
 /** Counts fade to a half in so long, in ms. */
 const HALF_LIFE_MS = 2_000;
 
 /** What is left of the counts that a narrowing has answered. */
-const ANSWERED_FACTOR = 0.5;
+const COUNTS_AFTER_DECREASE_FACTOR = 0.5;
 
 /** Makes a limit that has seen nothing. */
 export function createPauseLimit(host: PauseLimitHost): PauseLimit {
-  let tokens = FIRST_TOKENS;
-  let changedAtMs = host.nowMs();
-  let fadedAtMs = host.nowMs();
-  let late = 0;
-  let all = 0;
+  let tokens = INITIAL_TOKENS;
+  let adjustedAtMs = host.nowMs();
+  let decayedAtMs = host.nowMs();
+  let localLateAnswers = 0;
+  let localAnswers = 0;
 
   function scale(factor: number): void {
-    late *= factor;
-    all *= factor;
+    localLateAnswers *= factor;
+    localAnswers *= factor;
   }
 
-  function fade(): void {
-    scale(0.5 ** ((host.nowMs() - fadedAtMs) / HALF_LIFE_MS));
-    fadedAtMs = host.nowMs();
+  function decay(): void {
+    scale(0.5 ** ((host.nowMs() - decayedAtMs) / HALF_LIFE_MS));
+    decayedAtMs = host.nowMs();
   }
 
-  const getAnswers = () => all + host.getRemoteStats().answers;
+  const getTotalAnswers = () => localAnswers + host.getRemoteStats().answers;
 
   function getLateShare(): number {
-    const answers = getAnswers();
-    const lateAnswers = late + host.getRemoteStats().lateAnswers;
+    const answers = getTotalAnswers();
+    const lateAnswers = localLateAnswers + host.getRemoteStats().lateAnswers;
     return answers <= 0 ? 0 : lateAnswers / answers;
   }
 
   /** Hosts that learned at different times would keep different limits. */
-  function approachOthers(): void {
+  function averageWithOtherHosts(): void {
     const { answers, limitTokens } = host.getRemoteStats();
     if (answers > MIN_ANSWERS) tokens = (tokens + limitTokens / answers) / 2;
   }
 
-  function change(ceilingTokens: number): void {
-    fade();
-    approachOthers();
-    if (getAnswers() > MIN_ANSWERS) {
+  function adjust(ceilingTokens: number): void {
+    decay();
+    averageWithOtherHosts();
+    if (getTotalAnswers() > MIN_ANSWERS) {
       const share = getLateShare();
-      if (share > NARROW_SHARE) {
-        tokens *= NARROW_FACTOR;
-        scale(ANSWERED_FACTOR);
-      } else if (share < WIDEN_SHARE) tokens *= WIDEN_FACTOR;
+      if (share > DECREASE_ABOVE_SHARE) {
+        tokens *= DECREASE_FACTOR;
+        scale(COUNTS_AFTER_DECREASE_FACTOR);
+      } else if (share < INCREASE_BELOW_SHARE) tokens *= INCREASE_FACTOR;
     }
     tokens = Math.max(MIN_TOKENS, Math.min(tokens, ceilingTokens));
   }
@@ -117,24 +117,24 @@
   return {
     getLateShare,
     addSample(isLate) {
-      fade();
-      all++;
-      if (isLate) late++;
+      decay();
+      localAnswers++;
+      if (isLate) localLateAnswers++;
     },
     getLimitTokens(ceilingTokens) {
-      if (host.nowMs() - changedAtMs >= CHANGE_MS) {
-        changedAtMs = host.nowMs();
-        change(ceilingTokens);
+      if (host.nowMs() - adjustedAtMs >= ADJUST_PERIOD_MS) {
+        adjustedAtMs = host.nowMs();
+        adjust(ceilingTokens);
       }
       return tokens;
     },
     getLocalStats() {
-      fade();
+      decay();
       return {
         hosts: 1,
-        limitTokens: tokens * all,
-        answers: all,
-        lateAnswers: late,
+        limitTokens: tokens * localAnswers,
+        answers: localAnswers,
+        lateAnswers: localLateAnswers,
       };
     },
   };
