--- a/src/forwarding/attempt.ts
+++ b/src/forwarding/attempt.ts
@@ -85,9 +85,9 @@
   const headers = host.codec.readResponseHeaders(status, res.headers);
   const { requestId, isSealed, isNotRun } = headers;
   recordSignals(host, call, { upstream, status, headers });
-  const isMismatched = requestId !== undefined &&
+  const isForeign = requestId !== undefined &&
     requestId !== call.headers.requestId;
-  if (isMismatched) {
+  if (isForeign) {
     return abortAndFail(
       response,
       "broken",
--- a/src/forwarding/crash_watch.ts
+++ b/src/forwarding/crash_watch.ts
@@ -33,7 +33,7 @@
  */
 export interface CrashWatch {
   /** Records that the upstream's response to the request broke off. */
-  recordBrokenResponse(upstream: string, fingerprint: string): void;
+  recordBroken(upstream: string, fingerprint: string): void;
   /**
    * Records that the upstream refuses connections, which means that it crashed
    * if a response broke off there just before.
@@ -111,7 +111,7 @@
   }
 
   return {
-    recordBrokenResponse(upstream, fingerprint) {
+    recordBroken(upstream, fingerprint) {
       const atMs = host.clock.monotonicMs();
       brokenResponses = brokenResponses.filter((each) =>
         atMs - each.atMs < CRASH_WINDOW_MS
--- a/src/forwarding/crash_watch_test.ts
+++ b/src/forwarding/crash_watch_test.ts
@@ -22,8 +22,8 @@
   const { watch } = createFixture();
   for (const upstream of ["a", "b", "c"]) {
     strictEqual(watch.isBlocked("poison"), false);
-    watch.recordBrokenResponse(upstream, "poison");
-    watch.recordBrokenResponse(upstream, `neighbour at ${upstream}`);
+    watch.recordBroken(upstream, "poison");
+    watch.recordBroken(upstream, `neighbour at ${upstream}`);
     watch.recordUnreachable(upstream);
   }
   strictEqual(watch.isBlocked("poison"), true);
@@ -34,18 +34,18 @@
   // Guards against blocking, for a minute, a read whose response is lost
   // several times although its upstream does not crash.
   const { watch } = createFixture();
-  for (let at = 0; at < 5; at++) watch.recordBrokenResponse("a", "read");
+  for (let at = 0; at < 5; at++) watch.recordBroken("a", "read");
   strictEqual(watch.isBlocked("read"), false);
 });
 
 test("a response clears the suspicion of a request", () => {
   const { watch } = createFixture();
   for (const upstream of ["a", "b"]) {
-    watch.recordBrokenResponse(upstream, "read");
+    watch.recordBroken(upstream, "read");
     watch.recordUnreachable(upstream);
   }
   watch.recordSuccess("read");
-  watch.recordBrokenResponse("c", "read");
+  watch.recordBroken("c", "read");
   watch.recordUnreachable("c");
   strictEqual(watch.isBlocked("read"), false);
 });
@@ -54,7 +54,7 @@
   const { watch, facts } = createFixture();
   const other = createFixture();
   for (const upstream of ["a", "b", "c"]) {
-    watch.recordBrokenResponse(upstream, "poison");
+    watch.recordBroken(upstream, "poison");
     watch.recordUnreachable(upstream);
   }
   deepStrictEqual(facts.map((fact) => fact.version), [2, 3]);
@@ -65,7 +65,7 @@
 test("a connection failure long after a broken response does not count as a crash", () => {
   const { clock, watch } = createFixture();
   for (const upstream of ["a", "b", "c"]) {
-    watch.recordBrokenResponse(upstream, "read");
+    watch.recordBroken(upstream, "read");
     clock.advance(3_000);
     watch.recordUnreachable(upstream);
   }
--- a/src/forwarding/forward.ts
+++ b/src/forwarding/forward.ts
@@ -14,7 +14,7 @@
 import { decideNextStep, type NextStep } from "./next_step.ts";
 import { relayStream } from "./relay_stream.ts";
 import {
-  createNoUpstreamRejection,
+  createUnavailable,
   getCandidates,
   type PickedUpstream,
   pickUpstream,
@@ -52,7 +52,7 @@
   host: ForwardHost,
   call: Call,
 ): Effect.Effect<void, Rejected | CallerLost> {
-  let connectAttempts = 0;
+  let connects = 0;
 
   const tryUpstream: Effect.Effect<void, Rejected | CallerLost> = Effect
     .suspend(
@@ -60,7 +60,7 @@
         pickUpstream(host, call).pipe(
           Effect.mapError((err) => correctRejection(call, err)),
           Effect.flatMap((picked) => {
-            connectAttempts++;
+            connects++;
             return attemptAt(host, call, picked);
           }),
           Effect.catchTag("AttemptFailed", (err) => handleFailure(err)),
@@ -78,7 +78,7 @@
       maxAttempts: route.maxAttempts,
       attempts: progress.attempts,
       possibleRuns: progress.possibleRuns,
-      connectAttempts,
+      connects: connects,
       hasSentEvents: call.res.headersSent,
       hasEventId: progress.lastEventId !== undefined,
       remainingMs: getRemainingMs(host, call),
@@ -150,7 +150,7 @@
   }
   host.health.noteFailed(id, "failed");
   if (err.kind === "broken") {
-    host.crashes.recordBrokenResponse(id, call.fingerprint);
+    host.crashes.recordBroken(id, call.fingerprint);
   }
 }
 
@@ -252,7 +252,7 @@
 ): Rejected {
   if (call.progress.possibleRuns === 0) {
     const hasCandidate = getCandidates(host, call).length > 0;
-    if (!hasCandidate) return createNoUpstreamRejection(host, call);
+    if (!hasCandidate) return createUnavailable(host, call);
     return createNotRunRejection(err.reason, FAILED_RETRY_MS);
   }
   const status = err.kind === "silent" ? 504 : 502;
--- a/src/forwarding/next_step.ts
+++ b/src/forwarding/next_step.ts
@@ -25,7 +25,7 @@
   /** Number of upstreams that may have run the request. */
   readonly possibleRuns: number;
   /** Number of connection attempts, including those that failed. */
-  readonly connectAttempts: number;
+  readonly connects: number;
   /** Whether events of the stream have been sent to the caller. */
   readonly hasSentEvents: boolean;
   /**
@@ -51,7 +51,7 @@
 /**
  * Limit on connection attempts for one request; each may take half a second.
  */
-const MAX_CONNECT_ATTEMPTS = 4;
+const MAX_CONNECTS = 4;
 
 /**
  * Limit on how often one request is sent. Without it, upstreams that reject
@@ -82,7 +82,7 @@
   if (input.remainingMs < MIN_REMAINING_MS) {
     return "Too little time remains before the deadline";
   }
-  if (input.connectAttempts >= MAX_CONNECT_ATTEMPTS) {
+  if (input.connects >= MAX_CONNECTS) {
     return "The limit on connection attempts is reached";
   }
   if (input.attempts >= MAX_ATTEMPTS) return "The limit on attempts is reached";
--- a/src/forwarding/next_step_test.ts
+++ b/src/forwarding/next_step_test.ts
@@ -11,7 +11,7 @@
     maxAttempts: 2,
     attempts: 1,
     possibleRuns: 1,
-    connectAttempts: 1,
+    connects: 1,
     hasSentEvents: false,
     hasEventId: false,
     remainingMs: 1_000,
@@ -89,7 +89,7 @@
 
 test("connection attempts and rejections are limited", () => {
   strictEqual(
-    decide({ possibleRuns: 0, attempts: 0, connectAttempts: 4 }).step,
+    decide({ possibleRuns: 0, attempts: 0, connects: 4 }).step,
     "give-up",
   );
   strictEqual(decide({ possibleRuns: 0, attempts: 3 }).step, "give-up");
--- a/src/forwarding/pick_upstream.ts
+++ b/src/forwarding/pick_upstream.ts
@@ -97,7 +97,7 @@
   })));
   const upstream = candidates.find((each) => each.id === first);
   if (upstream === undefined) {
-    return Effect.fail(createNoUpstreamRejection(host, call));
+    return Effect.fail(createUnavailable(host, call));
   }
   return Effect.succeed({
     upstream,
@@ -263,7 +263,7 @@
   refusal: PromptRefusal,
 ): Rejected {
   if (refusal.reason === "no-upstream") {
-    return createNoUpstreamRejection(host, call);
+    return createUnavailable(host, call);
   }
   return createBusyRejection(refusal);
 }
@@ -282,7 +282,7 @@
  * Creates the rejection for a request that no upstream accepts now and that has
  * not run.
  */
-export function createNoUpstreamRejection(
+export function createUnavailable(
   host: ForwardHost,
   call: Call,
 ): Rejected {
--- a/src/forwarding/serve.ts
+++ b/src/forwarding/serve.ts
@@ -75,13 +75,13 @@
     isHostOverloaded: host.isOverloaded(),
   };
   try {
-    const identified = identify(host, state, req);
-    if (identified instanceof Rejected) {
-      return endRejected(host, state, res, identified);
+    const found = identify(host, state, req);
+    if (found instanceof Rejected) {
+      return endRejected(host, state, res, found);
     }
-    const refused = tryRefuseEarly(host, identified);
+    const refused = tryRefuseEarly(host, found);
     if (refused !== undefined) return endRejected(host, state, res, refused);
-    Effect.runFork(serveIdentified(host, state, identified, { req, res }));
+    Effect.runFork(serveIdentified(host, state, found, { req, res }));
   } catch (err) {
     // An uncaught exception would end the process and all requests that it
     // serves.
--- a/src/forwarding/upstream_call.ts
+++ b/src/forwarding/upstream_call.ts
@@ -62,7 +62,7 @@
   return Effect.callback<UpstreamResponse, AttemptFailed>((resume) => {
     const [host, port] = call.address.split(":");
     let isSent = false;
-    let hasResponse = false;
+    let hasHead = false;
     const req = sendRequest({
       agent: call.agent,
       host,
@@ -76,7 +76,7 @@
     function fail(kind: AttemptFailed["kind"], reason: string): void {
       timeout[Symbol.dispose]();
       req.destroy();
-      if (!hasResponse) {
+      if (!hasHead) {
         resume(Effect.fail(new AttemptFailed({ kind, reason })));
       }
     }
@@ -99,7 +99,7 @@
     });
     req.on("response", (res) => {
       timeout[Symbol.dispose]();
-      hasResponse = true;
+      hasHead = true;
       // Without a listener, an error event of the body would end the process.
       res.on("error", () => {});
       const isComplete = hasBodyLength(res)
@@ -114,7 +114,7 @@
     req.end(call.body);
     return Effect.sync(() => {
       timeout[Symbol.dispose]();
-      if (!hasResponse) req.destroy();
+      if (!hasHead) req.destroy();
     });
   });
 }
