--- a/src/forwarding/attempt.ts
+++ b/src/forwarding/attempt.ts
@@ -87,13 +87,7 @@
   recordSignals(host, call, { upstream, status, headers });
   const isForeign = requestId !== undefined &&
     requestId !== call.headers.requestId;
-  if (isForeign) {
-    return abortAndFail(
-      response,
-      "broken",
-      "The response carries the id of another request",
-    );
-  }
+  if (isForeign) return abortAndFail(response, "broken", "Request id mismatch");
   if (isNotRun) {
     call.progress.possibleRuns--;
     // Drain the body so that the connection can be reused.
--- a/src/forwarding/forward.ts
+++ b/src/forwarding/forward.ts
@@ -78,7 +78,7 @@
       maxAttempts: route.maxAttempts,
       attempts: progress.attempts,
       possibleRuns: progress.possibleRuns,
-      connects: connects,
+      connects,
       hasSentEvents: call.res.headersSent,
       hasEventId: progress.lastEventId !== undefined,
       remainingMs: getRemainingMs(host, call),
@@ -149,9 +149,7 @@
     return;
   }
   host.health.noteFailed(id, "failed");
-  if (err.kind === "broken") {
-    host.crashes.recordBroken(id, call.fingerprint);
-  }
+  if (err.kind === "broken") host.crashes.recordBroken(id, call.fingerprint);
 }
 
 function relay(
--- a/src/forwarding/next_step.ts
+++ b/src/forwarding/next_step.ts
@@ -79,20 +79,14 @@
 }
 
 function tryGetGiveUpReason(input: StepInput): string | undefined {
-  if (input.remainingMs < MIN_REMAINING_MS) {
-    return "Too little time remains before the deadline";
-  }
-  if (input.connects >= MAX_CONNECTS) {
-    return "The limit on connection attempts is reached";
-  }
+  if (input.remainingMs < MIN_REMAINING_MS) return "Too little time remains";
+  if (input.connects >= MAX_CONNECTS) return "Too many connections failed";
   if (input.attempts >= MAX_ATTEMPTS) return "The limit on attempts is reached";
   if (!input.hasCandidate) return "No other upstream accepts requests";
   if (input.possibleRuns === 0) return undefined;
-  if (!mayRepeat(input)) {
-    return "The request may have run and must not be repeated";
-  }
+  if (!mayRepeat(input)) return "Request may have run and may not be repeated";
   if (input.possibleRuns >= input.maxAttempts) {
-    return "The route's limit on attempts is reached";
+    return "No more runs are allowed";
   }
   if (input.hasSentEvents && !input.hasEventId) {
     return "The stream has no event ids from which to resume";
--- a/src/forwarding/pick_upstream.ts
+++ b/src/forwarding/pick_upstream.ts
@@ -8,9 +8,9 @@
 import * as Effect from "effect/Effect";
 import type { UpstreamEntry } from "../discovery/mod.ts";
 import {
-  NEGLIGIBLE_PREFILL_TOKENS,
   getAffinityKey,
   getPrefillTokens,
+  NEGLIGIBLE_PREFILL_TOKENS,
   putSameRegionFirst,
   rankByAffinity,
   rankByLoad,
@@ -201,7 +201,8 @@
   const totalTokens = getPrefillTokens(prompt.promptTokens, 0);
   // If the shared prefix is small, each region can cache a copy of its own:
   // most of the traffic between regions is responses, event by event.
-  const isSharedPrefixSmall = totalTokens - unsharedTokens <= NEGLIGIBLE_PREFILL_TOKENS;
+  const isSharedPrefixSmall =
+    totalTokens - unsharedTokens <= NEGLIGIBLE_PREFILL_TOKENS;
   const ordered = isSharedPrefixSmall
     ? putSameRegionFirst(ranked, createSameRegionTest(host, candidates))
     : ranked;
@@ -262,9 +263,7 @@
   call: Call,
   refusal: PromptRefusal,
 ): Rejected {
-  if (refusal.reason === "no-upstream") {
-    return createUnavailable(host, call);
-  }
+  if (refusal.reason === "no-upstream") return createUnavailable(host, call);
   return createBusyRejection(refusal);
 }
 
--- a/src/forwarding/serve.ts
+++ b/src/forwarding/serve.ts
@@ -76,9 +76,7 @@
   };
   try {
     const found = identify(host, state, req);
-    if (found instanceof Rejected) {
-      return endRejected(host, state, res, found);
-    }
+    if (found instanceof Rejected) return endRejected(host, state, res, found);
     const refused = tryRefuseEarly(host, found);
     if (refused !== undefined) return endRejected(host, state, res, refused);
     Effect.runFork(serveIdentified(host, state, found, { req, res }));
@@ -143,12 +141,7 @@
     );
   }
   const route = routes.tryGetRoute(req.headers.host ?? "", req.url ?? "/");
-  if (route === undefined) {
-    return createRejected(
-      404,
-      "No route matches the request's host name and path",
-    );
-  }
+  if (route === undefined) return createRejected(404, "No route matches");
   state.route = route;
   const team = headers.key === undefined
     ? undefined
--- a/src/forwarding/upstream_call.ts
+++ b/src/forwarding/upstream_call.ts
@@ -76,9 +76,7 @@
     function fail(kind: AttemptFailed["kind"], reason: string): void {
       timeout[Symbol.dispose]();
       req.destroy();
-      if (!hasHead) {
-        resume(Effect.fail(new AttemptFailed({ kind, reason })));
-      }
+      if (!hasHead) resume(Effect.fail(new AttemptFailed({ kind, reason })));
     }
 
     let timeout = startTimeLimit(
@@ -145,9 +143,8 @@
     );
     res.on("data", (chunk: Buffer) => {
       size += chunk.length;
-      if (size > limits.maxBytes) {
-        fail("broken", "The response body is too large");
-      } else chunks.push(chunk);
+      if (size > limits.maxBytes) fail("broken", "The response is too large");
+      else chunks.push(chunk);
     });
     res.on("close", () => {
       timeout[Symbol.dispose]();
--- a/src/pacing/first_event_model.ts
+++ b/src/pacing/first_event_model.ts
@@ -11,8 +11,8 @@
 
 import {
   addFirstEventSums,
-  type FirstEventSums,
   EMPTY_FIRST_EVENT_SUMS,
+  type FirstEventSums,
 } from "./types.ts";
 
 /** The line, as it is now. */
@@ -114,7 +114,8 @@
   if (count === 0) return PRIOR_MS_PER_TOKEN;
   const squaredDeviations = sums.tokensSquared - tokens ** 2 / count;
   const crossDeviations = sums.tokensMs - tokens * ms / count;
-  const slope = (crossDeviations + PRIOR_MS_PER_TOKEN * PRIOR_SQUARED_DEVIATIONS) /
+  const slope =
+    (crossDeviations + PRIOR_MS_PER_TOKEN * PRIOR_SQUARED_DEVIATIONS) /
     (squaredDeviations + PRIOR_SQUARED_DEVIATIONS);
   return Math.max(MIN_MS_PER_TOKEN, slope);
 }
--- a/src/pacing/pacing_test.ts
+++ b/src/pacing/pacing_test.ts
@@ -4,7 +4,7 @@
 import { createPacing } from "./pacing.ts";
 import { createFirstEventModel } from "./first_event_model.ts";
 import { MIN_TOKENS } from "./pause_limit.ts";
-import { EMPTY_PACING_STATS, EMPTY_FIRST_EVENT_SUMS } from "./types.ts";
+import { EMPTY_FIRST_EVENT_SUMS, EMPTY_PACING_STATS } from "./types.ts";
 
 const TARGET_MS = 800;
 
--- a/src/placement/placement.ts
+++ b/src/placement/placement.ts
@@ -99,7 +99,8 @@
     tieBreaker: input.getTieBreaker(upstream.id),
   }));
   ranked.sort((a, b) =>
-    b.hasFreeSlots - a.hasFreeSlots || b.isOwnDataCentre - a.isOwnDataCentre || a.tieBreaker - b.tieBreaker
+    b.hasFreeSlots - a.hasFreeSlots || b.isOwnDataCentre - a.isOwnDataCentre ||
+    a.tieBreaker - b.tieBreaker
   );
   return ranked.map((each) => each.upstream);
 }
--- a/src/placement/prefix_affinity.ts
+++ b/src/placement/prefix_affinity.ts
@@ -54,5 +54,8 @@
   ids: readonly string[],
   isSameRegion: (id: string) => boolean,
 ): readonly string[] {
-  return [...ids.filter(isSameRegion), ...ids.filter((id) => !isSameRegion(id))];
+  return [
+    ...ids.filter(isSameRegion),
+    ...ids.filter((id) => !isSameRegion(id)),
+  ];
 }
--- a/src/slots/asking.ts
+++ b/src/slots/asking.ts
@@ -54,7 +54,9 @@
     if (asked.size >= width) break;
     asked.add(id);
   }
-  const wasCrossing = candidates.otherRegions.some((each) => before.has(each.id));
+  const wasCrossing = candidates.otherRegions.some((each) =>
+    before.has(each.id)
+  );
   const crosses = candidates.sameRegion.length === 0 ||
     decideCrossRegion({ oldestWaitMs: ageMs, wasCrossRegion: wasCrossing });
   if (crosses) candidates.otherRegions.forEach((each) => asked.add(each.id));
