--- a/src/forwarding/next_step.ts
+++ b/src/forwarding/next_step.ts
@@ -84,7 +84,7 @@
   if (input.attempts >= MAX_ATTEMPTS) return "The limit on attempts is reached";
   if (!input.hasCandidate) return "No other upstream accepts requests";
   if (input.possibleRuns === 0) return undefined;
-  if (!mayRepeat(input)) return "Request may have run and may not be repeated";
+  if (!mayRepeat(input)) return "Request may have run and is not repeated";
   if (input.possibleRuns >= input.maxAttempts) {
     return "No more runs are allowed";
   }
