--- a/src/forwarding/attempt.ts
+++ b/src/forwarding/attempt.ts
@@ -52,7 +52,7 @@
       headTimeoutMs,
       mayStillSend: () =>
         host.directory.isReady(upstream) &&
-        host.backoffs.getLeftMs(upstream) === 0,
+        host.backoffs.getRemainingMs(upstream) === 0,
       onSent() {
         progress.attempts++;
         progress.possibleRuns++;
--- a/src/forwarding/forward.ts
+++ b/src/forwarding/forward.ts
@@ -117,7 +117,7 @@
     Effect.tap(() =>
       Effect.sync(() => {
         health.noteLife(upstream.id);
-        host.backoffs.noteAnswered(upstream);
+        host.backoffs.recordSuccess(upstream);
       })
     ),
     Effect.flatMap((response) => relay(host, call, picked, response)),
--- a/src/forwarding/pick_upstream.ts
+++ b/src/forwarding/pick_upstream.ts
@@ -80,7 +80,7 @@
   const untried = ready.filter((each) =>
     !call.progress.triedUpstreams.has(each.id)
   );
-  const open = host.backoffs.filterOpen(untried, host.health.getInFlight);
+  const open = host.backoffs.filterAvailable(untried, host.health.getInFlight);
   return host.health.filterSound(open);
 }
 
@@ -286,7 +286,7 @@
   call: Call,
 ): Rejected {
   const ready = host.directory.getReady(call.service);
-  const backoffMs = Math.min(...ready.map(host.backoffs.getLeftMs));
+  const backoffMs = Math.min(...ready.map(host.backoffs.getRemainingMs));
   if (backoffMs > 0 && backoffMs < Infinity) {
     const reason =
       `All upstreams of "${call.service}" have asked clients to back off`;
--- a/src/forwarding/upstream_signals.ts
+++ b/src/forwarding/upstream_signals.ts
@@ -47,7 +47,7 @@
     return;
   }
   logSignal(host, call, head, { said: "rest", restMs: Math.round(backoff.ms) });
-  host.backoffs.note(head.upstream, backoff.ms);
+  host.backoffs.record(head.upstream, backoff.ms);
 }
 
 /** Fields of the log line that describe the signal. */
--- a/src/testing/forward_fixture.ts
+++ b/src/testing/forward_fixture.ts
@@ -26,7 +26,7 @@
 import { EMPTY_PACING_STATS, type Pacing } from "../pacing/mod.ts";
 import { createPromptQueue } from "../queue/mod.ts";
 import { createRouteTable, type Route } from "../routing/mod.ts";
-import { createHealthWatch, createRestWatch } from "../upstreams/mod.ts";
+import { createHealthWatch, createBackoffWatch } from "../upstreams/mod.ts";
 import {
   createRoute,
   createRoutingConfig,
@@ -274,7 +274,7 @@
         load.beginReading(upstream, readingTokens),
     }),
     health: createHealthWatch(clock),
-    backoffs: createRestWatch(clock),
+    backoffs: createBackoffWatch(clock),
     crashes: createCrashWatch({
       clock,
       broadcastFact: () => {},
--- a/src/upstreams/rest_watch.ts
+++ b/src/upstreams/backoff_watch.ts
@@ -16,88 +16,88 @@
 import type { UpstreamLife } from "../discovery/mod.ts";
 
 /** The rests that this host was asked for. */
-export interface RestWatch {
+export interface BackoffWatch {
   /** The upstream wants no request for so long, in ms. */
-  note(life: UpstreamLife, restMs: number): void;
+  record(life: UpstreamLife, backoffMs: number): void;
   /** What is left of the rest, in ms; 0 for none. */
-  getLeftMs(life: UpstreamLife): number;
+  getRemainingMs(life: UpstreamLife): number;
   /** An answer shows that the upstream takes requests again. */
-  noteAnswered(life: UpstreamLife): void;
+  recordSuccess(life: UpstreamLife): void;
   /**
    * Those that may get a request now. One that has just rested gets a few at a
    * time until it has answered some, unless there is no other.
    */
-  filterOpen<T extends UpstreamLife>(
+  filterAvailable<T extends UpstreamLife>(
     upstreams: readonly T[],
     getInFlight: (id: string) => number,
   ): readonly T[];
 }
 
 /** Requests in flight from this host that the first ones after a rest may be. */
-const FIRST_IN_FLIGHT = 1;
+const INITIAL_IN_FLIGHT = 1;
 
 /** Each answer allows so many times as many; at the most all are allowed. */
-const GROWTH = 2;
-const MOST_IN_FLIGHT = 16;
+const GROWTH_FACTOR = 2;
+const MAX_IN_FLIGHT = 16;
 
 /** A rest that ended so long ago, in ms, is forgotten. */
-const FORGET_MS = 60_000;
+const BACKOFF_TTL_MS = 60_000;
 
-interface Rest {
+interface Backoff {
   readonly incarnation: number;
   untilMs: number;
   /** In flight at once, from the end of the rest on. */
-  allowed: number;
+  maxInFlight: number;
 }
 
 /** Makes a watch that knows of no rest. */
-export function createRestWatch(clock: Clock): RestWatch {
-  const rests = new Map<string, Rest>();
+export function createBackoffWatch(clock: Clock): BackoffWatch {
+  const backoffs = new Map<string, Backoff>();
 
-  function tryGet({ id, incarnation }: UpstreamLife): Rest | undefined {
-    const rest = rests.get(id);
-    return rest?.incarnation === incarnation ? rest : undefined;
+  function tryGet({ id, incarnation }: UpstreamLife): Backoff | undefined {
+    const backoff = backoffs.get(id);
+    return backoff?.incarnation === incarnation ? backoff : undefined;
   }
 
-  function getLeftMs(life: UpstreamLife): number {
+  function getRemainingMs(life: UpstreamLife): number {
     const untilMs = tryGet(life)?.untilMs ?? -Infinity;
     return Math.max(0, untilMs - clock.monotonicMs());
   }
 
-  function forgetOld(nowMs: number): void {
-    for (const [id, { untilMs }] of rests) {
-      if (nowMs - untilMs > FORGET_MS) rests.delete(id);
+  function evictExpired(nowMs: number): void {
+    for (const [id, { untilMs }] of backoffs) {
+      if (nowMs - untilMs > BACKOFF_TTL_MS) backoffs.delete(id);
     }
   }
 
   return {
-    note(life, restMs) {
+    record(life, restMs) {
       const nowMs = clock.monotonicMs();
-      forgetOld(nowMs);
+      evictExpired(nowMs);
       const untilMs = nowMs + restMs;
       // Of several rests the one that ends last holds.
-      const knownMs = tryGet(life)?.untilMs ?? -Infinity;
-      rests.set(life.id, {
+      const earlierUntilMs = tryGet(life)?.untilMs ?? -Infinity;
+      backoffs.set(life.id, {
         incarnation: life.incarnation,
-        untilMs: Math.max(untilMs, knownMs),
-        allowed: FIRST_IN_FLIGHT,
+        untilMs: Math.max(untilMs, earlierUntilMs),
+        maxInFlight: INITIAL_IN_FLIGHT,
       });
     },
-    getLeftMs,
-    noteAnswered(life) {
-      const rest = tryGet(life);
+    getRemainingMs: getRemainingMs,
+    recordSuccess(life) {
+      const backoff = tryGet(life);
       // What was sent before the rest may still be answered in it.
-      if (rest === undefined || getLeftMs(life) > 0) return;
-      rest.allowed *= GROWTH;
-      if (rest.allowed > MOST_IN_FLIGHT) rests.delete(life.id);
+      if (backoff === undefined || getRemainingMs(life) > 0) return;
+      backoff.maxInFlight *= GROWTH_FACTOR;
+      if (backoff.maxInFlight > MAX_IN_FLIGHT) backoffs.delete(life.id);
     },
-    filterOpen(upstreams, getInFlight) {
-      if (rests.size === 0) return upstreams;
-      const open = upstreams.filter((each) => getLeftMs(each) === 0);
-      const eased = open.filter((each) =>
-        getInFlight(each.id) < (tryGet(each)?.allowed ?? Infinity)
+    filterAvailable(upstreams, getInFlight) {
+      if (backoffs.size === 0) return upstreams;
+      const available = upstreams.filter((each) => getRemainingMs(each) === 0);
+      const belowLimit = available.filter((each) =>
+        getInFlight(each.id) < (tryGet(each)?.maxInFlight ?? Infinity)
       );
-      return eased.length > 0 ? eased : open;
+      return belowLimit.length > 0 ? belowLimit : available;
     },
   };
 }
--- a/src/upstreams/mod.ts
+++ b/src/upstreams/mod.ts
@@ -10,4 +10,4 @@
 export * from "./occupancy.ts";
 export * from "./types.ts";
 export * from "./health_watch.ts";
-export * from "./rest_watch.ts";
+export * from "./backoff_watch.ts";
