--- a/src/forwarding/forward.ts
+++ b/src/forwarding/forward.ts
@@ -110,27 +110,27 @@
   call.progress.attemptStartedMs = host.clock.monotonicMs();
   call.progress.triedUpstreams.add(upstream.id);
   logAttempt(host, call, picked);
-  health.begin(upstream.id);
+  health.beginRequest(upstream.id);
   host.load.begin(upstream.id);
   const headTimeoutMs = getHeadTimeoutMs(host, call);
   return attempt(host, call, { upstream, headTimeoutMs }).pipe(
     Effect.tap(() =>
       Effect.sync(() => {
-        health.noteLife(upstream.id);
+        health.recordActivity(upstream.id);
         host.backoffs.recordSuccess(upstream);
       })
     ),
     Effect.flatMap((response) => relay(host, call, picked, response)),
     Effect.tap(() =>
       Effect.sync(() => {
-        health.noteAnswered(upstream.id);
+        health.recordSuccess(upstream.id);
         host.crashes.recordSuccess(call.fingerprint);
       })
     ),
     Effect.tapError((err) => Effect.sync(() => recordFailure(host, call, err))),
     Effect.ensuring(Effect.sync(() => {
       call.progress.endPrefill();
-      health.end(upstream.id);
+      health.endRequest(upstream.id);
       host.load.end(upstream.id);
     })),
   );
@@ -144,11 +144,11 @@
   if (err._tag === "CallerLost" || err.kind === "unwanted") return;
   const { id } = call.progress.upstream!;
   if (err.kind === "not-sent") {
-    host.health.noteFailed(id, "unreachable");
+    host.health.recordFailure(id, "unreachable");
     host.crashes.recordUnreachable(id);
     return;
   }
-  host.health.noteFailed(id, "failed");
+  host.health.recordFailure(id, "failed");
   if (err.kind === "broken") host.crashes.recordBroken(id, call.fingerprint);
 }
 
--- a/src/forwarding/pick_upstream.ts
+++ b/src/forwarding/pick_upstream.ts
@@ -81,7 +81,7 @@
     !call.progress.triedUpstreams.has(each.id)
   );
   const open = host.backoffs.filterAvailable(untried, host.health.getInFlight);
-  return host.health.filterSound(open);
+  return host.health.filterHealthy(open);
 }
 
 function pickLeastLoaded(
--- a/src/forwarding/relay_stream.ts
+++ b/src/forwarding/relay_stream.ts
@@ -86,7 +86,7 @@
 
     const pauseSampler = createSampler(host, call);
     upstreamRes.on("data", (bytes: Buffer) => {
-      host.health.noteLife(picked.upstream.id);
+      host.health.recordActivity(picked.upstream.id);
       idleTimeout?.restart();
       const chunk = splitter.push(bytes);
       if (chunk !== undefined) relayChunk(chunk);
--- a/src/requests/run_idempotent.ts
+++ b/src/requests/run_idempotent.ts
@@ -135,7 +135,7 @@
   err: { readonly _tag: string },
 ): void {
   if (err instanceof UpstreamError && err.failure === "refused") {
-    context.host.health.setDown(slot.upstream.id);
+    context.host.health.markDown(slot.upstream.id);
   }
 }
 
--- a/src/requests/run_once.ts
+++ b/src/requests/run_once.ts
@@ -245,7 +245,7 @@
     Effect.tapError((err) =>
       Effect.sync(() => {
         if (err.failure !== "refused") return;
-        context.host.health.setDown(slot.upstream.id);
+        context.host.health.markDown(slot.upstream.id);
       })
     ),
   );
--- a/src/testing/fake_request_host.ts
+++ b/src/testing/fake_request_host.ts
@@ -22,7 +22,7 @@
 import {
   createOccupancy,
   createUpstreamHealth,
-  DOWN_MS,
+  DOWN_PERIOD_MS,
   type UpstreamClient,
   UpstreamError,
   type UpstreamFailure,
@@ -114,7 +114,7 @@
   const clock = createManualClock(1_000_000);
   const slots = createFakeSlots(scheduler, io, () => {
     // Time passes with each slot, so that an upstream is not down for good.
-    clock.advance(DOWN_MS / 2);
+    clock.advance(DOWN_PERIOD_MS / 2);
   }, options.onRelease);
   const claims = options.claims ?? createClaims({
     id,
--- a/src/upstreams/health.ts
+++ b/src/upstreams/health.ts
@@ -10,7 +10,7 @@
 import type { Clock } from "../core/mod.ts";
 
 /** After a refused connection the upstream is avoided for so long, in ms. */
-export const DOWN_MS = 1_000;
+export const DOWN_PERIOD_MS = 1_000;
 
 /**
  * A slot of an upstream that is down is held for so long before it goes back,
@@ -20,7 +20,7 @@
 
 /** What this host saw of the upstreams' connections. */
 export interface UpstreamHealth {
-  setDown(upstream: string): void;
+  markDown(upstream: string): void;
   isDown(upstream: string): boolean;
 }
 
@@ -28,8 +28,8 @@
 export function createUpstreamHealth(clock: Clock): UpstreamHealth {
   const downUntilMs = new Map<string, number>();
   return {
-    setDown(upstream) {
-      downUntilMs.set(upstream, clock.monotonicMs() + DOWN_MS);
+    markDown(upstream) {
+      downUntilMs.set(upstream, clock.monotonicMs() + DOWN_PERIOD_MS);
     },
     isDown(upstream) {
       const untilMs = downUntilMs.get(upstream);
--- a/src/upstreams/health_watch.ts
+++ b/src/upstreams/health_watch.ts
@@ -13,17 +13,17 @@
 
 /** What this host knows of its upstreams by itself. */
 export interface HealthWatch {
-  begin(upstream: string): void;
-  end(upstream: string): void;
+  beginRequest(upstream: string): void;
+  endRequest(upstream: string): void;
   /** Bytes of an answer have come. */
-  noteLife(upstream: string): void;
-  noteAnswered(upstream: string): void;
-  noteFailed(upstream: string, failure: FailureKind): void;
+  recordActivity(upstream: string): void;
+  recordSuccess(upstream: string): void;
+  recordFailure(upstream: string, failure: FailureKind): void;
   getInFlight(upstream: string): number;
   /** Whether other upstreams should be asked first. */
-  isSuspect(upstream: string): boolean;
+  isUnhealthy(upstream: string): boolean;
   /** Those that should be asked, or all where none should. */
-  filterSound<T extends { readonly id: string }>(
+  filterHealthy<T extends { readonly id: string }>(
     upstreams: readonly T[],
   ): readonly T[];
 }
@@ -36,7 +36,7 @@
  * as long at each further failure up to the most: a restart takes seconds, and
  * each try costs its request up to half a second.
  */
-const UNREACHABLE_MS = 1_000;
+const INITIAL_UNREACHABLE_MS = 1_000;
 
 /** The most of it, in ms. */
 const MAX_UNREACHABLE_MS = 4_000;
@@ -45,7 +45,7 @@
  * With work in flight and no byte for so long, in ms, an upstream counts as
  * silent; a full one still sends an event each few hundred ms.
  */
-const SILENT_MS = 1_500;
+const SILENCE_TIMEOUT_MS = 1_500;
 
 /** Weight of the newest result in the share of failures. */
 const RESULT_WEIGHT = 0.2;
@@ -56,9 +56,9 @@
 /** The share of failures fades to a half in so long, in ms, to try again. */
 const FAILURE_HALF_LIFE_MS = 2_000;
 
-interface Seen {
+interface UpstreamRecord {
   inFlight: number;
-  lastLifeMs: number;
+  lastActivityMs: number;
   unreachableUntilMs: number;
   unreachableMs: number;
   failureShare: number;
@@ -67,70 +67,70 @@
 
 /** Makes a watch that has seen nothing. */
 export function createHealthWatch(clock: Clock): HealthWatch {
-  const upstreams = new Map<string, Seen>();
+  const upstreams = new Map<string, UpstreamRecord>();
 
-  function get(upstream: string): Seen {
+  function get(upstream: string): UpstreamRecord {
     return getOrCreate(upstreams, upstream, () => ({
       inFlight: 0,
       lastLifeMs: clock.monotonicMs(),
       unreachableUntilMs: 0,
-      unreachableMs: UNREACHABLE_MS,
+      unreachableMs: INITIAL_UNREACHABLE_MS,
       failureShare: 0,
       failureAtMs: 0,
     }));
   }
 
-  function getFailureShare(seen: Seen): number {
-    const sinceMs = clock.monotonicMs() - seen.failureAtMs;
-    return seen.failureShare * 0.5 ** (sinceMs / FAILURE_HALF_LIFE_MS);
+  function getFailureShare(record: UpstreamRecord): number {
+    const sinceMs = clock.monotonicMs() - record.failureAtMs;
+    return record.failureShare * 0.5 ** (sinceMs / FAILURE_HALF_LIFE_MS);
   }
 
-  function noteResult(seen: Seen, failure: 0 | 1): void {
-    const share = getFailureShare(seen);
-    seen.failureShare = share + (failure - share) * RESULT_WEIGHT;
-    seen.failureAtMs = clock.monotonicMs();
+  function recordResult(record: UpstreamRecord, failure: 0 | 1): void {
+    const share = getFailureShare(record);
+    record.failureShare = share + (failure - share) * RESULT_WEIGHT;
+    record.failureAtMs = clock.monotonicMs();
   }
 
-  function isSuspect(upstream: string): boolean {
-    const seen = upstreams.get(upstream);
-    if (seen === undefined) return false;
+  function isUnhealthy(upstream: string): boolean {
+    const record = upstreams.get(upstream);
+    if (record === undefined) return false;
     const nowMs = clock.monotonicMs();
-    if (nowMs < seen.unreachableUntilMs) return true;
-    const isSilent = seen.inFlight > 0 && nowMs - seen.lastLifeMs > SILENT_MS;
-    return isSilent || getFailureShare(seen) > MAX_FAILURE_SHARE;
+    if (nowMs < record.unreachableUntilMs) return true;
+    const isSilent = record.inFlight > 0 && nowMs - record.lastActivityMs > SILENCE_TIMEOUT_MS;
+    return isSilent || getFailureShare(record) > MAX_FAILURE_SHARE;
   }
 
   return {
-    begin(upstream) {
-      const seen = get(upstream);
-      if (seen.inFlight === 0) seen.lastLifeMs = clock.monotonicMs();
-      seen.inFlight++;
+    beginRequest(upstream) {
+      const record = get(upstream);
+      if (record.inFlight === 0) record.lastActivityMs = clock.monotonicMs();
+      record.inFlight++;
     },
-    end: (upstream) => void get(upstream).inFlight--,
-    noteLife(upstream) {
-      const seen = get(upstream);
-      seen.lastLifeMs = clock.monotonicMs();
-      seen.unreachableMs = UNREACHABLE_MS;
-      seen.unreachableUntilMs = 0;
+    endRequest: (upstream) => void get(upstream).inFlight--,
+    recordActivity(upstream) {
+      const record = get(upstream);
+      record.lastActivityMs = clock.monotonicMs();
+      record.unreachableMs = INITIAL_UNREACHABLE_MS;
+      record.unreachableUntilMs = 0;
     },
-    noteAnswered: (upstream) => noteResult(get(upstream), 0),
-    noteFailed(upstream, failure) {
-      const seen = get(upstream);
+    recordSuccess: (upstream) => recordResult(get(upstream), 0),
+    recordFailure(upstream, failure) {
+      const record = get(upstream);
       if (failure === "failed") {
-        noteResult(seen, 1);
+        recordResult(record, 1);
         return;
       }
-      seen.unreachableUntilMs = clock.monotonicMs() + seen.unreachableMs;
-      seen.unreachableMs = Math.min(
+      record.unreachableUntilMs = clock.monotonicMs() + record.unreachableMs;
+      record.unreachableMs = Math.min(
         MAX_UNREACHABLE_MS,
-        seen.unreachableMs * 2,
+        record.unreachableMs * 2,
       );
     },
     getInFlight: (upstream) => upstreams.get(upstream)?.inFlight ?? 0,
-    isSuspect,
-    filterSound(all) {
-      const sound = all.filter((each) => !isSuspect(each.id));
-      return sound.length > 0 ? sound : all;
+    isUnhealthy: isUnhealthy,
+    filterHealthy(all) {
+      const healthy = all.filter((each) => !isUnhealthy(each.id));
+      return healthy.length > 0 ? healthy : all;
     },
   };
 }
