--- a/src/router/leaving_test.ts
+++ b/src/router/leaving_test.ts
@@ -13,7 +13,7 @@
 import { checkHistory, type Observation, statedLimits } from "../proof/mod.ts";
 import { createOwnerFixture } from "../testing/slot_owner_fixture.ts";
 import type { Upstream } from "../types.ts";
-import { pollLoads, type UpstreamState } from "../upstreams/mod.ts";
+import { pollUpstreamStates, type UpstreamState } from "../upstreams/mod.ts";
 import { createLeavingUpstreams } from "./leaving.ts";
 
 function createFixture(wallMs = 1_000_000) {
@@ -96,7 +96,7 @@
     role: "",
     workingOn: "",
   };
-  const polled = Effect.runPromise(pollLoads({
+  const polled = Effect.runPromise(pollUpstreamStates({
     getOwned: () => upstreams,
     tryGetState: ({ id }) =>
       id === "engine-1" ? Effect.promise(() => silent) : Effect.succeed(state),
--- a/src/router/periodic.ts
+++ b/src/router/periodic.ts
@@ -13,7 +13,7 @@
 import type { Membership } from "../membership/mod.ts";
 import type { PlatformError } from "../platform/mod.ts";
 import type { Quarantine } from "../quarantine/mod.ts";
-import { LOAD_POLL_MS } from "../upstreams/mod.ts";
+import { STATE_POLL_PERIOD_MS } from "../upstreams/mod.ts";
 import type { Configuration } from "./configuration.ts";
 import type { TaskWatch } from "./task_watch.ts";
 import { every } from "./tasks.ts";
@@ -64,7 +64,7 @@
     ),
     every(getPollMs, watch("machine list", watchPlatform(parts.pollMachines))),
     every(CONFIG_RETRY_MS, watch("catch up", configuration.catchUp())),
-    every(LOAD_POLL_MS, watch("upstreams", parts.watchUpstreams)),
+    every(STATE_POLL_PERIOD_MS, watch("upstreams", parts.watchUpstreams)),
     every(
       MEMBERSHIP_PERIOD_MS,
       watch("heartbeat", doing(parts.membership.tick)),
--- a/src/router/upstream_watch.ts
+++ b/src/router/upstream_watch.ts
@@ -18,7 +18,7 @@
 import type { Platform, PlatformError } from "../platform/mod.ts";
 import type { Recorder } from "../timeline/mod.ts";
 import type { Upstream } from "../types.ts";
-import { pollLoads, tryGetUpstreamState } from "../upstreams/mod.ts";
+import { pollUpstreamStates, tryGetUpstreamState } from "../upstreams/mod.ts";
 
 /** What the watch needs of the process. */
 export interface UpstreamWatchHost {
@@ -69,7 +69,7 @@
     },
   });
 
-  return pollLoads({
+  return pollUpstreamStates({
     getOwned: host.getOwned,
     tryGetState: tryGetUpstreamState,
     onState(upstream, state) {
--- a/src/upstreams/mod.ts
+++ b/src/upstreams/mod.ts
@@ -6,7 +6,7 @@
 
 export * from "./health.ts";
 export * from "./http_upstreams.ts";
-export * from "./load_watch.ts";
+export * from "./state_poll.ts";
 export * from "./occupancy.ts";
 export * from "./types.ts";
 export * from "./health_watch.ts";
--- a/src/upstreams/load_watch.ts
+++ b/src/upstreams/state_poll.ts
@@ -21,7 +21,7 @@
 }
 
 /** What the watch needs of the process. */
-export interface LoadWatchHost {
+export interface StatePollHost {
   /** Upstreams whose slots this host owns. */
   getOwned(): readonly Upstream[];
   /** `undefined` when no answer came in time. */
@@ -30,13 +30,13 @@
 }
 
 /** Time between two questions to one upstream, in ms. */
-export const LOAD_POLL_MS = 1_000;
+export const STATE_POLL_PERIOD_MS = 1_000;
 
 /** Below the period, so that a silent upstream delays no question. */
-const LOAD_TIMEOUT_MS = 800;
+const STATE_TIMEOUT_MS = 800;
 
 /** Asks each owned upstream once; never fails. */
-export function pollLoads(host: LoadWatchHost): Effect.Effect<void> {
+export function pollUpstreamStates(host: StatePollHost): Effect.Effect<void> {
   return Effect.suspend(() =>
     Effect.forEach(
       host.getOwned(),
@@ -58,7 +58,7 @@
   return Effect.promise(async () => {
     try {
       const res = await fetch(`http://${upstream.address}/load`, {
-        signal: AbortSignal.timeout(LOAD_TIMEOUT_MS),
+        signal: AbortSignal.timeout(STATE_TIMEOUT_MS),
       });
       return res.ok ? toState(await res.json()) : undefined;
     } catch {
@@ -68,12 +68,12 @@
 }
 
 function toState(value: unknown): UpstreamState {
-  const load = value as Partial<UpstreamState>;
+  const state = value as Partial<UpstreamState>;
   return {
-    running: Number(load.running ?? 0),
-    leaving: load.leaving === true,
-    models: Array.isArray(load.models) ? load.models.map(String) : undefined,
-    role: String(load.role ?? ""),
-    workingOn: String(load.workingOn ?? ""),
+    running: Number(state.running ?? 0),
+    leaving: state.leaving === true,
+    models: Array.isArray(state.models) ? state.models.map(String) : undefined,
+    role: String(state.role ?? ""),
+    workingOn: String(state.workingOn ?? ""),
   };
 }
