--- a/src/requests/run_suspect.ts
+++ b/src/requests/run_suspect.ts
@@ -51,7 +51,7 @@
     if (quarantine.getCrashes(fingerprint) === 0) return yield* run;
     yield* waitForTrial(host, input);
     input.progress.hasTurn = true;
-    return yield* host.occupancy.inTurn(run).pipe(
+    return yield* host.occupancy.runSerialized(run).pipe(
       Effect.ensuring(
         Effect.sync(() => host.runDetached(quarantine.endTrial(fingerprint))),
       ),
@@ -102,11 +102,11 @@
     if (isSuspect && !progress.hasTurn) yield* holdBack();
     progress.isAlone = false;
     if (isSuspect) yield* enterAlone(host, upstream.id, progress);
-    else yield* host.occupancy.enter(upstream.id);
+    else yield* host.occupancy.acquireShared(upstream.id);
     return yield* checkDeadline(host, input).pipe(
       Effect.flatMap(() => run),
       Effect.ensuring(
-        Effect.sync(() => host.occupancy.leave(upstream.id, isSuspect)),
+        Effect.sync(() => host.occupancy.release(upstream.id, isSuspect)),
       ),
     );
   });
@@ -123,7 +123,7 @@
   progress: Progress,
 ): Effect.Effect<void, RequestRejected> {
   return Effect.gen(function* () {
-    progress.isAlone = yield* host.occupancy.enterAlone(upstream);
+    progress.isAlone = yield* host.occupancy.acquireExclusive(upstream);
     if (progress.isAlone) return;
     const options = { retryAfterMs: 5_000 };
     yield* reject(
--- a/src/requests/types.ts
+++ b/src/requests/types.ts
@@ -14,7 +14,7 @@
 import type { Recorder } from "../timeline/mod.ts";
 import type { AdmittedRequest, Deployment } from "../types.ts";
 import type {
-  Occupancy,
+  UpstreamLocks,
   UpstreamClient,
   UpstreamHealth,
 } from "../upstreams/mod.ts";
@@ -32,7 +32,7 @@
   readonly claims: Claims;
   readonly upstreams: UpstreamClient;
   readonly health: UpstreamHealth;
-  readonly occupancy: Occupancy;
+  readonly occupancy: UpstreamLocks;
   readonly quarantine: Quarantine;
   readonly recorder: Recorder;
   readonly backlog: Backlog;
--- a/src/router/serving.ts
+++ b/src/router/serving.ts
@@ -22,7 +22,7 @@
 import type { Deployment } from "../types.ts";
 import {
   createHttpUpstreams,
-  createOccupancy,
+  createUpstreamLocks,
   createUpstreamHealth,
 } from "../upstreams/mod.ts";
 import { createCrashFact } from "./crash_facts.ts";
@@ -114,7 +114,7 @@
       onRegionalBytes: metrics.addRegionalPayload,
     }),
     health: createUpstreamHealth(clock),
-    occupancy: createOccupancy(),
+    occupancy: createUpstreamLocks(),
     quarantine,
     recorder: parts.recorder,
     backlog,
--- a/src/testing/fake_request_host.ts
+++ b/src/testing/fake_request_host.ts
@@ -20,7 +20,7 @@
 import type { SlotClient, SlotHandle } from "../slots/mod.ts";
 import type { AdmittedRequest, Outcome, Upstream } from "../types.ts";
 import {
-  createOccupancy,
+  createUpstreamLocks,
   createUpstreamHealth,
   DOWN_PERIOD_MS,
   type UpstreamClient,
@@ -134,7 +134,7 @@
     upstreams: options.createUpstreams?.(io) ??
       createFakeUpstreams(world, io),
     health: createUpstreamHealth(clock),
-    occupancy: createOccupancy(),
+    occupancy: createUpstreamLocks(),
     quarantine: noCrashes,
     recorder: { record() {}, getSince: () => [] },
     backlog: createBacklog({ clock, random: () => 0 }),
--- a/src/upstreams/occupancy_test.ts
+++ b/src/upstreams/upstream_locks_test.ts
@@ -9,10 +9,10 @@
 import * as Effect from "effect/Effect";
 import fc from "fast-check";
 import { runScheduled } from "../testing/fake_io.ts";
-import { createOccupancy, type Occupancy } from "./occupancy.ts";
+import { createUpstreamLocks, type UpstreamLocks } from "./upstream_locks.ts";
 
-interface Use {
-  readonly alone: boolean;
+interface Run {
+  readonly isExclusive: boolean;
 }
 
 const uses = fc.array(fc.record({ alone: fc.boolean() }), {
@@ -23,39 +23,39 @@
 /** Runs all at once and tells what each saw of the others. */
 async function runAll(
   s: fc.Scheduler,
-  occupancy: Occupancy,
-  all: readonly Use[],
+  locks: UpstreamLocks,
+  all: readonly Run[],
 ) {
   let running = 0;
-  const broken: string[] = [];
+  const violations: string[] = [];
   let done = 0;
-  const run = ({ alone }: Use) =>
+  const run = ({ isExclusive: alone }: Run) =>
     Effect.gen(function* () {
       const entered = alone
-        ? yield* occupancy.enterAlone("engine-1")
-        : yield* Effect.as(occupancy.enter("engine-1"), true);
+        ? yield* locks.acquireExclusive("engine-1")
+        : yield* Effect.as(locks.acquireShared("engine-1"), true);
       done++;
       if (!entered) return;
       running++;
       for (let step = 0; step < 3; step++) {
         yield* Effect.promise(() => s.schedule(Promise.resolve(), "work"));
-        if (alone && running > 1) broken.push("A run was not alone");
+        if (alone && running > 1) violations.push("A run was not alone");
       }
       running--;
-      occupancy.leave("engine-1", alone);
+      locks.release("engine-1", alone);
     });
   const ended = Promise.all(
     all.map((use) => runScheduled(s, run(use), 15)),
   );
   await s.waitFor(ended);
   await ended;
-  return { broken, done, left: occupancy.getCount("engine-1") };
+  return { broken: violations, done, left: locks.getHolderCount("engine-1") };
 }
 
 test("a run that has its upstream alone sees no other, and none is stuck", async () => {
   await fc.assert(
     fc.asyncProperty(fc.scheduler(), uses, async (s, all) => {
-      const seen = await runAll(s, createOccupancy(), all);
+      const seen = await runAll(s, createUpstreamLocks(), all);
       assert.deepEqual(seen, { broken: [], done: all.length, left: 0 });
     }),
     { numRuns: 300, seed: 1 },
@@ -63,12 +63,12 @@
 });
 
 test("without the reservation a run is seen not to be alone", async () => {
-  const open: Occupancy = {
-    enter: () => Effect.void,
-    enterAlone: () => Effect.succeed(true),
-    leave() {},
-    getCount: () => 0,
-    inTurn: (run) => run,
+  const open: UpstreamLocks = {
+    acquireShared: () => Effect.void,
+    acquireExclusive: () => Effect.succeed(true),
+    release() {},
+    getHolderCount: () => 0,
+    runSerialized: (run) => run,
   };
   const found = await fc.check(
     fc.asyncProperty(fc.scheduler(), uses, async (s, all) => {
