--- a/src/requests/run_idempotent_test.ts
+++ b/src/requests/run_idempotent_test.ts
@@ -20,8 +20,8 @@
 } from "../testing/fake_request_host.ts";
 import type { AdmittedRequest } from "../types.ts";
 import {
-  type AnswerEvent,
-  type AnswerStream,
+  type StreamEvent,
+  type EventStream,
   type UpstreamClient,
   UpstreamError,
   type UpstreamFailure,
@@ -70,13 +70,13 @@
     });
   }
 
-  function attach(id: string, from: number): AnswerStream {
+  function attach(id: string, from: number): EventStream {
     const stream = streams.get(id);
     if (stream === undefined) throw fail("forgotten");
     let offset = from;
     let isOpen = true;
     stream.readers++;
-    const next = attempt(async (): Promise<AnswerEvent | undefined> => {
+    const next = attempt(async (): Promise<StreamEvent | undefined> => {
       await meet("event");
       if (!streams.has(id)) throw fail("broken");
       stream.produced = Math.max(stream.produced, Math.min(LENGTH, offset + 1));
--- a/src/requests/run_on_engine.ts
+++ b/src/requests/run_on_engine.ts
@@ -16,9 +16,9 @@
 } from "../streams/mod.ts";
 import type { Upstream } from "../types.ts";
 import {
-  type AnswerStream,
+  type EventStream,
   mayHaveRun,
-  type StreamPlace,
+  type StreamLocation,
   UpstreamError,
 } from "../upstreams/mod.ts";
 import { type CallerLost, writeToCaller } from "./caller.ts";
@@ -35,7 +35,7 @@
   /** Monotonic milliseconds after which nobody wants the answer. */
   readonly deadlineMs: number;
   /** Opens the stream for the first time. */
-  readonly open: Effect.Effect<AnswerStream, UpstreamError>;
+  readonly open: Effect.Effect<EventStream, UpstreamError>;
 }
 
 /** Streams the answer to the caller; gives its cost in tokens. */
@@ -44,7 +44,7 @@
   run: EngineRun,
 ): Effect.Effect<number, UpstreamError | CallerLost> {
   const { progress, upstream } = run;
-  const place: StreamPlace = {
+  const place: StreamLocation = {
     address: upstream.address,
     stream: run.name.stream,
   };
@@ -53,7 +53,7 @@
     progress.isSent = true;
     const stream = yield* openFirst(host, run, place);
     progress.mayHaveRun = true;
-    const time = (each: AnswerStream) => timeTokens(host, each, run, startMs);
+    const time = (each: EventStream) => timeTokens(host, each, run, startMs);
     return yield* followStream<CallerLost>(time(stream), progress, {
       resume: (offset) =>
         host.upstreams.resume(place, offset).pipe(Effect.map(time)),
@@ -93,10 +93,10 @@
  */
 function timeTokens(
   host: ServeHost,
-  stream: AnswerStream,
+  stream: EventStream,
   run: EngineRun,
   startMs: number,
-): AnswerStream {
+): EventStream {
   const { progress } = run;
   const next = Effect.suspend(() => {
     const askedMs = host.clock.monotonicMs();
@@ -123,8 +123,8 @@
 function openFirst(
   host: ServeHost,
   run: EngineRun,
-  place: StreamPlace,
-): Effect.Effect<AnswerStream, UpstreamError> {
+  place: StreamLocation,
+): Effect.Effect<EventStream, UpstreamError> {
   return run.open.pipe(
     Effect.catchTag("UpstreamError", (err) => {
       if (err.failure === "refused") run.progress.isSent = false;
--- a/src/requests/run_on_plain_service.ts
+++ b/src/requests/run_on_plain_service.ts
@@ -7,7 +7,7 @@
 import * as Effect from "effect/Effect";
 import type { SlotHandle } from "../slots/mod.ts";
 import type { AdmittedRequest } from "../types.ts";
-import type { PlainAnswer, UpstreamError } from "../upstreams/mod.ts";
+import type { PlainResponse, UpstreamError } from "../upstreams/mod.ts";
 import type { ParsedCall } from "./parse.ts";
 import { getRemainingMs, type Progress, type ServeHost } from "./types.ts";
 
@@ -26,7 +26,7 @@
 export function runOnPlainService(
   run: PlainRun,
   slot: SlotHandle,
-): Effect.Effect<PlainAnswer, UpstreamError> {
+): Effect.Effect<PlainResponse, UpstreamError> {
   const { host, admitted, call, progress } = run;
   return Effect.gen(function* () {
     const startMs = host.clock.monotonicMs();
@@ -37,7 +37,7 @@
       request: admitted.id,
       idempotencyKey: call.idempotencyKey,
       body: call.body,
-      limitMs: getRemainingMs(host, admitted),
+      timeoutMs: getRemainingMs(host, admitted),
     });
     progress.firstByteMs = host.clock.monotonicMs() - startMs;
     progress.cost = 1;
--- a/src/router/observed_upstreams.ts
+++ b/src/router/observed_upstreams.ts
@@ -8,7 +8,7 @@
 
 import { Buffer } from "node:buffer";
 import * as Effect from "effect/Effect";
-import type { AnswerStream, UpstreamClient } from "../upstreams/mod.ts";
+import type { EventStream, UpstreamClient } from "../upstreams/mod.ts";
 
 /** Which way the bytes went, as seen from this host. */
 export type PayloadDirection = "to-upstream" | "from-upstream";
@@ -29,7 +29,7 @@
     host.onRegionalBytes(direction, Buffer.byteLength(text));
   }
 
-  function observeStream(address: string, stream: AnswerStream): AnswerStream {
+  function observeStream(address: string, stream: EventStream): EventStream {
     if (!host.crossesRegion(address)) return stream;
     return {
       next: stream.next.pipe(
--- a/src/router/observed_upstreams_test.ts
+++ b/src/router/observed_upstreams_test.ts
@@ -1,13 +1,13 @@
 import { deepStrictEqual } from "node:assert/strict";
 import { test } from "node:test";
 import * as Effect from "effect/Effect";
-import type { AnswerStream, UpstreamClient } from "../upstreams/mod.ts";
+import type { EventStream, UpstreamClient } from "../upstreams/mod.ts";
 import { createObservedUpstreams } from "./observed_upstreams.ts";
 
 const FAR = "10.1.0.1:80";
 const NEAR = "10.0.0.1:80";
 
-function createStream(): AnswerStream {
+function createStream(): EventStream {
   const events = ["ä", "bc"].map((data, offset) => ({
     name: "token",
     offset,
@@ -31,7 +31,7 @@
   return { observed, bytes };
 }
 
-async function readAll(stream: AnswerStream): Promise<void> {
+async function readAll(stream: EventStream): Promise<void> {
   while (await Effect.runPromise(stream.next) !== undefined);
 }
 
--- a/src/streams/abandon_stream.ts
+++ b/src/streams/abandon_stream.ts
@@ -11,7 +11,7 @@
 import * as Effect from "effect/Effect";
 import type {
   CancelResult,
-  StreamPlace,
+  StreamLocation,
   UpstreamClient,
 } from "../upstreams/mod.ts";
 
@@ -35,7 +35,7 @@
  * `isOver`; gives the tokens that it made, 0 when not told.
  */
 export function abandonStream(
-  place: StreamPlace,
+  place: StreamLocation,
   host: AbandonHost,
 ): Effect.Effect<number> {
   const cancel = host.upstreams.cancelIfUnread(place).pipe(
--- a/src/streams/follow_stream.ts
+++ b/src/streams/follow_stream.ts
@@ -8,8 +8,8 @@
 
 import * as Effect from "effect/Effect";
 import {
-  type AnswerEvent,
-  type AnswerStream,
+  type StreamEvent,
+  type EventStream,
   UpstreamError,
 } from "../upstreams/mod.ts";
 
@@ -24,9 +24,9 @@
 /** What following needs. */
 export interface FollowHost<E> {
   /** Opens the stream from the offset on; "forgotten" when it is gone. */
-  resume(offset: number): Effect.Effect<AnswerStream, UpstreamError>;
+  resume(offset: number): Effect.Effect<EventStream, UpstreamError>;
   /** Passes a part on to the caller, at the caller's pace. */
-  deliver(event: AnswerEvent): Effect.Effect<void, E>;
+  deliver(event: StreamEvent): Effect.Effect<void, E>;
   onResumed(offset: number, reason: string): void;
 }
 
@@ -35,7 +35,7 @@
 
 /** Follows the stream; gives its cost in tokens. */
 export function followStream<E>(
-  first: AnswerStream,
+  first: EventStream,
   progress: StreamProgress,
   host: FollowHost<E>,
 ): Effect.Effect<number, UpstreamError | E> {
@@ -61,7 +61,7 @@
   | { readonly kind: "interrupted"; readonly err: UpstreamError };
 
 function readToEnd<E>(
-  stream: AnswerStream,
+  stream: EventStream,
   progress: StreamProgress,
   host: FollowHost<E>,
 ): Effect.Effect<ReadResult, E> {
@@ -89,7 +89,7 @@
 }
 
 function takeToken<E>(
-  event: AnswerEvent,
+  event: StreamEvent,
   progress: StreamProgress,
   host: FollowHost<E>,
 ): Effect.Effect<void, UpstreamError | E> {
@@ -106,7 +106,7 @@
 
 /** An engine that lost events before the last one must send them again. */
 function checkComplete(
-  end: AnswerEvent,
+  end: StreamEvent,
   progress: StreamProgress,
 ): Effect.Effect<void, UpstreamError> {
   if (end.offset < 0 || end.offset === progress.nextOffset) return Effect.void;
@@ -121,7 +121,7 @@
   return Effect.fail(new UpstreamError({ failure, reason }));
 }
 
-function getTokens(end: AnswerEvent): number {
+function getTokens(end: StreamEvent): number {
   const parsed = JSON.parse(end.data) as { tokens?: number };
   return parsed.tokens ?? 0;
 }
--- a/src/streams/follow_stream_test.ts
+++ b/src/streams/follow_stream_test.ts
@@ -12,8 +12,8 @@
 import fc from "fast-check";
 import { checkHistory, statedLimits } from "../proof/mod.ts";
 import {
-  type AnswerEvent,
-  type AnswerStream,
+  type StreamEvent,
+  type EventStream,
   UpstreamError,
 } from "../upstreams/mod.ts";
 import { followStream, type StreamProgress } from "./follow_stream.ts";
@@ -58,7 +58,7 @@
   const plans = [...options.connections];
   let resumes = 0;
 
-  function getEvents(offset: number): AnswerEvent[] {
+  function getEvents(offset: number): StreamEvent[] {
     const tokens = Array.from({ length: length - offset }, (_, index) => ({
       name: "token",
       offset: offset + index,
@@ -68,10 +68,10 @@
     return [...tokens, { name: "end", offset: length, data }];
   }
 
-  function open(offset: number): AnswerStream {
+  function open(offset: number): EventStream {
     const plan = [...plans.shift() ?? []];
     const left = getEvents(offset);
-    const next = (): AnswerEvent | undefined => {
+    const next = (): StreamEvent | undefined => {
       const event = left.shift();
       if (event === undefined) return undefined;
       switch (plan.shift() ?? "pass") {
--- a/src/upstreams/http_upstreams.ts
+++ b/src/upstreams/http_upstreams.ts
@@ -11,11 +11,11 @@
 import { createParser } from "eventsource-parser";
 import { startTimeLimit } from "../core/mod.ts";
 import {
-  type AnswerEvent,
-  type AnswerStream,
+  type StreamEvent,
+  type EventStream,
   type CancelResult,
-  type PlainAnswer,
-  type StreamPlace,
+  type PlainResponse,
+  type StreamLocation,
   type UpstreamClient,
   UpstreamError,
 } from "./types.ts";
@@ -24,7 +24,7 @@
  * An open stream that carries nothing for so long is lost, in ms. Engines send
  * a comment each second while they work, so three in a row are missing.
  */
-export const STREAM_SILENCE_MS = 3_000;
+export const STREAM_IDLE_TIMEOUT_MS = 3_000;
 
 /**
  * Tells an upstream how many milliseconds the answer is still of use: the time
@@ -40,7 +40,7 @@
   readonly headers?: Readonly<Record<string, string>>;
   readonly body?: string;
   /** Time until the head of the answer, in ms. */
-  readonly limitMs: number;
+  readonly timeoutMs: number;
 }
 
 /** Makes the client over Node's HTTP. */
@@ -56,23 +56,23 @@
           [DEADLINE_HEADER]: String(remainingMs),
         },
         body,
-        limitMs: STREAM_SILENCE_MS,
+        timeoutMs: STREAM_IDLE_TIMEOUT_MS,
       }),
-    resume: (place, offset) =>
+    resume: (location, offset) =>
       openStream({
-        address: place.address,
+        address: location.address,
         method: "GET",
-        path: `${getStreamPath(place)}?offset=${offset}`,
-        limitMs: STREAM_SILENCE_MS,
+        path: `${getStreamPath(location)}?offset=${offset}`,
+        timeoutMs: STREAM_IDLE_TIMEOUT_MS,
       }),
-    cancelIfUnread: (place) =>
+    cancelIfUnread: (location) =>
       Effect.tryPromise({
         try: async () => {
-          const res = await open({
-            address: place.address,
+          const res = await sendCall({
+            address: location.address,
             method: "DELETE",
-            path: `${getStreamPath(place)}?if=unread`,
-            limitMs: STREAM_SILENCE_MS,
+            path: `${getStreamPath(location)}?if=unread`,
+            timeoutMs: STREAM_IDLE_TIMEOUT_MS,
           });
           return toCancelResult(res.statusCode ?? 0, await readBody(res));
         },
@@ -81,31 +81,31 @@
     call: (call) =>
       Effect.uninterruptible(Effect.tryPromise({
         try: async () => {
-          const res = await open({
+          const res = await sendCall({
             address: call.address,
             method: "POST",
             path: `/calls/${call.operation}`,
             headers: {
               "azurestile-request": call.request,
               "idempotency-key": call.idempotencyKey,
-              [DEADLINE_HEADER]: String(call.limitMs),
+              [DEADLINE_HEADER]: String(call.timeoutMs),
             },
             body: call.body,
-            limitMs: call.limitMs,
+            timeoutMs: call.timeoutMs,
           });
           return { status: res.statusCode ?? 0, body: await readBody(res) };
         },
         catch: toUpstreamError,
-      })) as Effect.Effect<PlainAnswer, UpstreamError>,
+      })) as Effect.Effect<PlainResponse, UpstreamError>,
   };
 }
 
-function getStreamPath(place: StreamPlace): string {
-  return `/streams/${encodeURIComponent(place.stream)}`;
+function getStreamPath(location: StreamLocation): string {
+  return `/streams/${encodeURIComponent(location.stream)}`;
 }
 
 /** Opens a call; settles with the head of the answer. */
-function open(call: HttpCall): Promise<IncomingMessage> {
+function sendCall(call: HttpCall): Promise<IncomingMessage> {
   const [host, port] = call.address.split(":");
   return new Promise((resolve, reject) => {
     const req = sendRequest({
@@ -120,18 +120,18 @@
       },
     });
     // A connection can go silent for good without raising any error.
-    const limit = startTimeLimit(
-      call.limitMs,
-      () => req.destroy(createSilence(call.limitMs)),
+    const timeout = startTimeLimit(
+      call.timeoutMs,
+      () => req.destroy(createSilentError(call.timeoutMs)),
     );
     req.on("response", (res) => {
       if (call.path.startsWith("/calls/")) {
-        res.on("close", () => limit[Symbol.dispose]());
-      } else limit[Symbol.dispose]();
+        res.on("close", () => timeout[Symbol.dispose]());
+      } else timeout[Symbol.dispose]();
       resolve(res);
     });
     req.on("error", (err) => {
-      limit[Symbol.dispose]();
+      timeout[Symbol.dispose]();
       reject(toUpstreamError(err));
     });
     req.end(call.body);
@@ -140,10 +140,10 @@
 
 function openStream(
   call: HttpCall,
-): Effect.Effect<AnswerStream, UpstreamError> {
+): Effect.Effect<EventStream, UpstreamError> {
   return Effect.tryPromise({
     try: async (signal) => {
-      const res = await open(call);
+      const res = await sendCall(call);
       if (signal.aborted) res.destroy();
       const { statusCode = 0 } = res;
       if (statusCode === 200) return createStream(res);
@@ -163,11 +163,11 @@
   return status >= 400 && status < 500 ? "rejected" : "failed";
 }
 
-function createStream(res: IncomingMessage): AnswerStream {
-  const ready: AnswerEvent[] = [];
+function createStream(res: IncomingMessage): EventStream {
+  const events: StreamEvent[] = [];
   const parser = createParser({
     onEvent: (event) =>
-      ready.push({
+      events.push({
         name: event.event ?? "message",
         offset: Number(event.id ?? -1),
         data: event.data,
@@ -176,13 +176,13 @@
   res.setEncoding("utf8");
   const chunks = res[Symbol.asyncIterator]() as AsyncIterator<string>;
 
-  async function next(): Promise<AnswerEvent | undefined> {
-    while (ready.length === 0) {
+  async function next(): Promise<StreamEvent | undefined> {
+    while (events.length === 0) {
       const step = await readChunk(res, chunks);
       if (step.done) return undefined;
       parser.feed(step.value);
     }
-    return ready.shift();
+    return events.shift();
   }
 
   return {
@@ -200,8 +200,8 @@
   chunks: AsyncIterator<string>,
 ): Promise<IteratorResult<string>> {
   using _limit = startTimeLimit(
-    STREAM_SILENCE_MS,
-    () => res.destroy(createSilence(STREAM_SILENCE_MS)),
+    STREAM_IDLE_TIMEOUT_MS,
+    () => res.destroy(createSilentError(STREAM_IDLE_TIMEOUT_MS)),
   );
   return await chunks.next();
 }
@@ -219,10 +219,10 @@
   return { kind: "gone", tokens };
 }
 
-function createSilence(limitMs: number): UpstreamError {
+function createSilentError(timeoutMs: number): UpstreamError {
   return new UpstreamError({
     failure: "silent",
-    reason: `Silent for ${limitMs} ms`,
+    reason: `Silent for ${timeoutMs} ms`,
   });
 }
 
--- a/src/upstreams/http_upstreams_test.ts
+++ b/src/upstreams/http_upstreams_test.ts
@@ -4,7 +4,7 @@
 import * as Effect from "effect/Effect";
 import { listen, type Listening } from "../entry/servers.ts";
 import { block } from "../testing/block.ts";
-import { createHttpUpstreams, STREAM_SILENCE_MS } from "./http_upstreams.ts";
+import { createHttpUpstreams, STREAM_IDLE_TIMEOUT_MS } from "./http_upstreams.ts";
 
 const LOOPBACK = "127.0.0.1:0";
 
@@ -26,7 +26,7 @@
       request: "request-1",
       idempotencyKey: "key-1",
       body: "{}",
-      limitMs: 300,
+      timeoutMs: 300,
     }),
   );
   deepStrictEqual(answer, { status: 200, body: "done" });
@@ -39,7 +39,7 @@
     // Timers that fall due meanwhile run next, as after any long turn.
     const sendNext = () => {
       res.write("id: 2\ndata: b\n\n");
-      block(STREAM_SILENCE_MS + 200);
+      block(STREAM_IDLE_TIMEOUT_MS + 200);
     };
     setTimeout(() => setImmediate(sendNext), 50);
   });
--- a/src/upstreams/types.ts
+++ b/src/upstreams/types.ts
@@ -42,7 +42,7 @@
 }
 
 /** One event of an engine's stream. */
-export interface AnswerEvent {
+export interface StreamEvent {
   /** "token" for a part of the answer, "end" for the last event. */
   readonly name: string;
   /** Position in the stream; of the end, the number of parts. -1: not told. */
@@ -51,27 +51,27 @@
 }
 
 /** An open stream of an engine. */
-export interface AnswerStream {
+export interface EventStream {
   /** The next event; `undefined` when the stream closed. */
-  readonly next: Effect.Effect<AnswerEvent | undefined, UpstreamError>;
+  readonly next: Effect.Effect<StreamEvent | undefined, UpstreamError>;
   close(): void;
 }
 
 /** A plain service's answer. */
-export interface PlainAnswer {
+export interface PlainResponse {
   readonly status: number;
   readonly body: string;
 }
 
 /** A stream at an engine. */
-export interface StreamPlace {
+export interface StreamLocation {
   /** IP address and port. */
   readonly address: string;
   readonly stream: string;
 }
 
 /** Work for an engine. */
-export interface GenerateCall extends StreamPlace {
+export interface GenerateCall extends StreamLocation {
   readonly body: string;
   /** Time for which the answer is of use, in ms; told to the engine. */
   readonly remainingMs: number;
@@ -85,7 +85,7 @@
   readonly idempotencyKey: string;
   readonly body: string;
   /** Told to the service; the connection is closed after so many ms. */
-  readonly limitMs: number;
+  readonly timeoutMs: number;
 }
 
 /** What a cancellation came to. */
@@ -97,16 +97,16 @@
 
 /** Calls to upstreams. */
 export interface UpstreamClient {
-  generate(call: GenerateCall): Effect.Effect<AnswerStream, UpstreamError>;
+  generate(call: GenerateCall): Effect.Effect<EventStream, UpstreamError>;
   /** Fails with "forgotten" when the engine does not know the stream. */
   resume(
-    place: StreamPlace,
+    place: StreamLocation,
     offset: number,
-  ): Effect.Effect<AnswerStream, UpstreamError>;
+  ): Effect.Effect<EventStream, UpstreamError>;
   /** Cancels the stream unless someone reads it. */
   cancelIfUnread(
-    place: StreamPlace,
+    place: StreamLocation,
   ): Effect.Effect<CancelResult, UpstreamError>;
   /** Cannot be interrupted: the upstream would go on with it all the same. */
-  call(call: PlainCall): Effect.Effect<PlainAnswer, UpstreamError>;
+  call(call: PlainCall): Effect.Effect<PlainResponse, UpstreamError>;
 }
