--- a/src/entry/entry.ts
+++ b/src/entry/entry.ts
@@ -23,7 +23,7 @@
 import { createPacing, type Pacing, type PacingChange } from "../pacing/mod.ts";
 import type { Distance } from "../placement/mod.ts";
 import { createPromptQueue } from "../queue/mod.ts";
-import { createHealthWatch, createBackoffWatch } from "../upstreams/mod.ts";
+import { createBackoffWatch, createHealthWatch } from "../upstreams/mod.ts";
 import { chooseAddresses } from "./caller_addresses.ts";
 import { openLoadExchange } from "./load_exchange.ts";
 import { createFullHosts, FULL_KEY } from "./full_hosts.ts";
--- a/src/forwarding/call.ts
+++ b/src/forwarding/call.ts
@@ -20,7 +20,7 @@
 import type { Pacing } from "../pacing/mod.ts";
 import type { PromptQueue } from "../queue/mod.ts";
 import type { Route, RouteTable } from "../routing/mod.ts";
-import type { HealthWatch, BackoffWatch } from "../upstreams/mod.ts";
+import type { BackoffWatch, HealthWatch } from "../upstreams/mod.ts";
 import type { CrashWatch } from "./crash_watch.ts";
 import type { CallCodec, CallHeaders } from "./types.ts";
 
--- a/src/pacing/pacing.ts
+++ b/src/pacing/pacing.ts
@@ -63,12 +63,12 @@
 
 /** Makes the pacing of a service of which nothing has been seen. */
 export function createPacing(host: PacingHost): Pacing {
-  const { nowMs, getRemoteStats: getOthers } = host;
+  const { nowMs, getRemoteStats } = host;
   const firstEvents = createFirstEventModel({
     nowMs,
-    getRemoteSums: () => getOthers().firstEvents,
+    getRemoteSums: () => getRemoteStats().firstEvents,
   });
-  const pauses = createPauseLimit({ nowMs, getRemoteStats: getOthers });
+  const pauses = createPauseLimit({ nowMs, getRemoteStats });
   let reportedTokens = 0;
 
   function reportChange(limitTokens: number, inTimeTokens: number): void {
--- a/src/requests/run_idempotent_test.ts
+++ b/src/requests/run_idempotent_test.ts
@@ -20,8 +20,8 @@
 } from "../testing/fake_request_host.ts";
 import type { AdmittedRequest } from "../types.ts";
 import {
-  type StreamEvent,
   type EventStream,
+  type StreamEvent,
   type UpstreamClient,
   UpstreamError,
   type UpstreamFailure,
--- a/src/requests/types.ts
+++ b/src/requests/types.ts
@@ -14,9 +14,9 @@
 import type { Recorder } from "../timeline/mod.ts";
 import type { AdmittedRequest, Deployment } from "../types.ts";
 import type {
-  UpstreamLocks,
   UpstreamClient,
   UpstreamHealth,
+  UpstreamLocks,
 } from "../upstreams/mod.ts";
 
 /** What serving needs of the process. */
--- a/src/router/observed_upstreams_test.ts
+++ b/src/router/observed_upstreams_test.ts
@@ -43,7 +43,7 @@
     request: "r",
     idempotencyKey: "",
     body: "12345",
-    limitMs: 1,
+    timeoutMs: 1,
   };
   for (const address of [NEAR, FAR]) {
     const generated = observed.generate({ ...common, address });
--- a/src/router/serving.ts
+++ b/src/router/serving.ts
@@ -22,8 +22,8 @@
 import type { Deployment } from "../types.ts";
 import {
   createHttpUpstreams,
-  createUpstreamLocks,
   createUpstreamHealth,
+  createUpstreamLocks,
 } from "../upstreams/mod.ts";
 import { createCrashFact } from "./crash_facts.ts";
 import type { Drain } from "./drain.ts";
--- a/src/streams/follow_stream.ts
+++ b/src/streams/follow_stream.ts
@@ -8,8 +8,8 @@
 
 import * as Effect from "effect/Effect";
 import {
-  type StreamEvent,
   type EventStream,
+  type StreamEvent,
   UpstreamError,
 } from "../upstreams/mod.ts";
 
--- a/src/streams/follow_stream_test.ts
+++ b/src/streams/follow_stream_test.ts
@@ -12,8 +12,8 @@
 import fc from "fast-check";
 import { checkHistory, statedLimits } from "../proof/mod.ts";
 import {
-  type StreamEvent,
   type EventStream,
+  type StreamEvent,
   UpstreamError,
 } from "../upstreams/mod.ts";
 import { followStream, type StreamProgress } from "./follow_stream.ts";
--- a/src/testing/fake_request_host.ts
+++ b/src/testing/fake_request_host.ts
@@ -20,8 +20,8 @@
 import type { SlotClient, SlotHandle } from "../slots/mod.ts";
 import type { AdmittedRequest, Outcome, Upstream } from "../types.ts";
 import {
-  createUpstreamLocks,
   createUpstreamHealth,
+  createUpstreamLocks,
   DOWN_PERIOD_MS,
   type UpstreamClient,
   UpstreamError,
--- a/src/testing/forward_fixture.ts
+++ b/src/testing/forward_fixture.ts
@@ -26,7 +26,7 @@
 import { EMPTY_PACING_STATS, type Pacing } from "../pacing/mod.ts";
 import { createPromptQueue } from "../queue/mod.ts";
 import { createRouteTable, type Route } from "../routing/mod.ts";
-import { createHealthWatch, createBackoffWatch } from "../upstreams/mod.ts";
+import { createBackoffWatch, createHealthWatch } from "../upstreams/mod.ts";
 import {
   createRoute,
   createRoutingConfig,
--- a/src/upstreams/backoff_watch.ts
+++ b/src/upstreams/backoff_watch.ts
@@ -71,10 +71,10 @@
   }
 
   return {
-    record(life, restMs) {
+    record(life, backoffMs) {
       const nowMs = clock.monotonicMs();
       evictExpired(nowMs);
-      const untilMs = nowMs + restMs;
+      const untilMs = nowMs + backoffMs;
       // Of several rests the one that ends last holds.
       const earlierUntilMs = tryGet(life)?.untilMs ?? -Infinity;
       backoffs.set(life.id, {
@@ -83,7 +83,7 @@
         maxInFlight: INITIAL_IN_FLIGHT,
       });
     },
-    getRemainingMs: getRemainingMs,
+    getRemainingMs,
     recordSuccess(life) {
       const backoff = tryGet(life);
       // What was sent before the rest may still be answered in it.
--- a/src/upstreams/backoff_watch_test.ts
+++ b/src/upstreams/backoff_watch_test.ts
@@ -12,7 +12,7 @@
   const inFlight = new Map<string, number>();
   return {
     clock,
-    rests: backoffs,
+    backoffs,
     inFlight,
     getAvailable: (...lives: readonly (typeof one)[]) =>
       backoffs.filterAvailable(lives, (id) => inFlight.get(id) ?? 0)
@@ -21,49 +21,49 @@
 }
 
 test("an upstream that rests gets nothing, even where no other is left", () => {
-  const { clock, rests, getAvailable: getOpen } = createFixture();
-  rests.record(one, 3_000);
-  deepStrictEqual(getOpen(one, two), ["two"]);
-  deepStrictEqual(getOpen(one), []);
+  const { clock, backoffs, getAvailable } = createFixture();
+  backoffs.record(one, 3_000);
+  deepStrictEqual(getAvailable(one, two), ["two"]);
+  deepStrictEqual(getAvailable(one), []);
   clock.advance(2_999);
-  deepStrictEqual(getOpen(one), []);
-  strictEqual(rests.getRemainingMs(one), 1);
+  deepStrictEqual(getAvailable(one), []);
+  strictEqual(backoffs.getRemainingMs(one), 1);
   clock.advance(1);
-  deepStrictEqual(getOpen(one), ["one"]);
+  deepStrictEqual(getAvailable(one), ["one"]);
 });
 
 test("of several rests the one that ends last holds", () => {
-  const { clock, rests } = createFixture();
-  rests.record(one, 3_000);
+  const { clock, backoffs } = createFixture();
+  backoffs.record(one, 3_000);
   clock.advance(500);
-  rests.record(one, 1_000);
-  strictEqual(rests.getRemainingMs(one), 2_500);
-  rests.record(one, 4_000);
-  strictEqual(rests.getRemainingMs(one), 4_000);
+  backoffs.record(one, 1_000);
+  strictEqual(backoffs.getRemainingMs(one), 2_500);
+  backoffs.record(one, 4_000);
+  strictEqual(backoffs.getRemainingMs(one), 4_000);
 });
 
 test("a rest ends with the start of the upstream that asked for it", () => {
-  const { rests, getAvailable: getOpen } = createFixture();
-  rests.record(one, 3_000);
-  deepStrictEqual(getOpen({ ...one, incarnation: 2 }), ["one"]);
+  const { backoffs, getAvailable } = createFixture();
+  backoffs.record(one, 3_000);
+  deepStrictEqual(getAvailable({ ...one, incarnation: 2 }), ["one"]);
 });
 
 test("after a rest requests come back a few at a time, where others take the rest", () => {
   // Guards against a burst at an upstream that has shed its load a moment ago.
-  const { clock, rests, inFlight, getAvailable: getOpen } = createFixture();
-  rests.record(one, 1_000);
+  const { clock, backoffs, inFlight, getAvailable } = createFixture();
+  backoffs.record(one, 1_000);
   // Sent before the rest, answered in it: no sign that it takes more.
-  rests.recordSuccess(one);
+  backoffs.recordSuccess(one);
   clock.advance(1_000);
-  deepStrictEqual(getOpen(one, two), ["one", "two"]);
+  deepStrictEqual(getAvailable(one, two), ["one", "two"]);
   inFlight.set("one", 1);
-  deepStrictEqual(getOpen(one, two), ["two"]);
-  deepStrictEqual(getOpen(one), ["one"]);
-  rests.recordSuccess(one);
-  deepStrictEqual(getOpen(one, two), ["one", "two"]);
+  deepStrictEqual(getAvailable(one, two), ["two"]);
+  deepStrictEqual(getAvailable(one), ["one"]);
+  backoffs.recordSuccess(one);
+  deepStrictEqual(getAvailable(one, two), ["one", "two"]);
   inFlight.set("one", 2);
-  deepStrictEqual(getOpen(one, two), ["two"]);
-  for (let answered = 0; answered < 4; answered++) rests.recordSuccess(one);
+  deepStrictEqual(getAvailable(one, two), ["two"]);
+  for (let answered = 0; answered < 4; answered++) backoffs.recordSuccess(one);
   inFlight.set("one", 100);
-  deepStrictEqual(getOpen(one, two), ["one", "two"]);
+  deepStrictEqual(getAvailable(one, two), ["one", "two"]);
 });
--- a/src/upstreams/health_watch.ts
+++ b/src/upstreams/health_watch.ts
@@ -72,7 +72,7 @@
   function get(upstream: string): UpstreamRecord {
     return getOrCreate(upstreams, upstream, () => ({
       inFlight: 0,
-      lastLifeMs: clock.monotonicMs(),
+      lastActivityMs: clock.monotonicMs(),
       unreachableUntilMs: 0,
       unreachableMs: INITIAL_UNREACHABLE_MS,
       failureShare: 0,
@@ -96,7 +96,8 @@
     if (record === undefined) return false;
     const nowMs = clock.monotonicMs();
     if (nowMs < record.unreachableUntilMs) return true;
-    const isSilent = record.inFlight > 0 && nowMs - record.lastActivityMs > SILENCE_TIMEOUT_MS;
+    const isSilent = record.inFlight > 0 &&
+      nowMs - record.lastActivityMs > SILENCE_TIMEOUT_MS;
     return isSilent || getFailureShare(record) > MAX_FAILURE_SHARE;
   }
 
@@ -127,7 +128,7 @@
       );
     },
     getInFlight: (upstream) => upstreams.get(upstream)?.inFlight ?? 0,
-    isUnhealthy: isUnhealthy,
+    isUnhealthy,
     filterHealthy(all) {
       const healthy = all.filter((each) => !isUnhealthy(each.id));
       return healthy.length > 0 ? healthy : all;
--- a/src/upstreams/http_upstreams.ts
+++ b/src/upstreams/http_upstreams.ts
@@ -11,10 +11,10 @@
 import { createParser } from "eventsource-parser";
 import { startTimeLimit } from "../core/mod.ts";
 import {
-  type StreamEvent,
-  type EventStream,
   type CancelResult,
+  type EventStream,
   type PlainResponse,
+  type StreamEvent,
   type StreamLocation,
   type UpstreamClient,
   UpstreamError,
@@ -199,7 +199,7 @@
   res: IncomingMessage,
   chunks: AsyncIterator<string>,
 ): Promise<IteratorResult<string>> {
-  using _limit = startTimeLimit(
+  using _timeout = startTimeLimit(
     STREAM_IDLE_TIMEOUT_MS,
     () => res.destroy(createSilentError(STREAM_IDLE_TIMEOUT_MS)),
   );
--- a/src/upstreams/http_upstreams_test.ts
+++ b/src/upstreams/http_upstreams_test.ts
@@ -4,7 +4,10 @@
 import * as Effect from "effect/Effect";
 import { listen, type Listening } from "../entry/servers.ts";
 import { block } from "../testing/block.ts";
-import { createHttpUpstreams, STREAM_IDLE_TIMEOUT_MS } from "./http_upstreams.ts";
+import {
+  createHttpUpstreams,
+  STREAM_IDLE_TIMEOUT_MS,
+} from "./http_upstreams.ts";
 
 const LOOPBACK = "127.0.0.1:0";
 
--- a/src/upstreams/upstream_locks.ts
+++ b/src/upstreams/upstream_locks.ts
@@ -56,7 +56,10 @@
     for (const wake of waiting) wake();
   }
 
-  function waitUntil(lock: LockState, isReady: () => boolean): Effect.Effect<void> {
+  function waitUntil(
+    lock: LockState,
+    isReady: () => boolean,
+  ): Effect.Effect<void> {
     return Effect.callback<void>((resume) => {
       const check = () => {
         if (isReady()) resume(Effect.void);
@@ -81,14 +84,15 @@
         const lock = getLock(upstream);
         while (lock.isReserved) yield* waitUntil(lock, () => !lock.isReserved);
         lock.isReserved = true;
-        const isExclusive = yield* waitUntil(lock, () => lock.holders === 0).pipe(
-          Effect.as(true),
-          Effect.timeoutOrElse({
-            duration: EXCLUSIVE_WAIT_MS,
-            orElse: () => Effect.succeed(false),
-          }),
-          Effect.onInterrupt(() => Effect.sync(() => clearReservation(lock))),
-        );
+        const isExclusive = yield* waitUntil(lock, () => lock.holders === 0)
+          .pipe(
+            Effect.as(true),
+            Effect.timeoutOrElse({
+              duration: EXCLUSIVE_WAIT_MS,
+              orElse: () => Effect.succeed(false),
+            }),
+            Effect.onInterrupt(() => Effect.sync(() => clearReservation(lock))),
+          );
         if (isExclusive) lock.holders++;
         else clearReservation(lock);
         return isExclusive;
--- a/src/upstreams/upstream_locks_test.ts
+++ b/src/upstreams/upstream_locks_test.ts
@@ -15,7 +15,7 @@
   readonly isExclusive: boolean;
 }
 
-const uses = fc.array(fc.record({ alone: fc.boolean() }), {
+const runs = fc.array(fc.record({ isExclusive: fc.boolean() }), {
   minLength: 1,
   maxLength: 8,
 });
@@ -29,9 +29,9 @@
   let running = 0;
   const violations: string[] = [];
   let done = 0;
-  const run = ({ isExclusive: alone }: Run) =>
+  const run = ({ isExclusive }: Run) =>
     Effect.gen(function* () {
-      const entered = alone
+      const entered = isExclusive
         ? yield* locks.acquireExclusive("engine-1")
         : yield* Effect.as(locks.acquireShared("engine-1"), true);
       done++;
@@ -39,13 +39,13 @@
       running++;
       for (let step = 0; step < 3; step++) {
         yield* Effect.promise(() => s.schedule(Promise.resolve(), "work"));
-        if (alone && running > 1) violations.push("A run was not alone");
+        if (isExclusive && running > 1) violations.push("A run was not alone");
       }
       running--;
-      locks.release("engine-1", alone);
+      locks.release("engine-1", isExclusive);
     });
   const ended = Promise.all(
-    all.map((use) => runScheduled(s, run(use), 15)),
+    all.map((each) => runScheduled(s, run(each), 15)),
   );
   await s.waitFor(ended);
   await ended;
@@ -54,7 +54,7 @@
 
 test("a run that has its upstream alone sees no other, and none is stuck", async () => {
   await fc.assert(
-    fc.asyncProperty(fc.scheduler(), uses, async (s, all) => {
+    fc.asyncProperty(fc.scheduler(), runs, async (s, all) => {
       const seen = await runAll(s, createUpstreamLocks(), all);
       assert.deepEqual(seen, { broken: [], done: all.length, left: 0 });
     }),
@@ -71,7 +71,7 @@
     runSerialized: (run) => run,
   };
   const found = await fc.check(
-    fc.asyncProperty(fc.scheduler(), uses, async (s, all) => {
+    fc.asyncProperty(fc.scheduler(), runs, async (s, all) => {
       assert.deepEqual((await runAll(s, open, all)).broken, []);
     }),
     { numRuns: 100, seed: 1 },
