--- a/src/placement/least_loaded.ts
+++ b/src/placement/least_loaded.ts
@@ -1,20 +1,21 @@
 /**
- * Which upstream of a plain service a request goes to: the least busy one, as
- * far as this host knows, and of equals the nearest.
+ * Ranks the upstreams of a plain service for a request: the least loaded first,
+ * as far as this host knows, and among equally loaded ones the nearest.
  *
- * Load: short calls of some 20 ms at a few upstreams of 6 slots. Harm
- * prevented: calls queue at one upstream while another idles, or each crosses
- * the link between regions, which costs 40 ms of a target of 200 ms and is paid
- * by volume.
+ * Load: short calls of about 20 ms at a few upstreams with 6 slots each.
+ *
+ * Failures prevented: calls queue at one upstream while another is idle; or
+ * every call crosses the link between regions, which takes 40 ms of a target of
+ * 200 ms and is billed by volume.
  *
  * @module
  */
 
-/** An upstream as this host sees it. */
+/** An upstream as seen by this host. */
 export interface UpstreamCandidate {
   readonly id: string;
   readonly slots: number;
-  /** Requests that this host has in flight there. */
+  /** Requests from this host in flight at the upstream. */
   readonly inFlight: number;
   readonly distance: Distance;
 }
@@ -23,9 +24,9 @@
 export type Distance = "same-data-centre" | "same-region" | "other-region";
 
 /**
- * What a distance counts for, in requests in flight: within a region a queue of
- * one costs more than the way; the way between regions costs as much as two
- * calls take.
+ * Cost of a distance, in requests in flight. Within a region, a queue of one
+ * request costs more than the distance; the link between regions costs as much
+ * as two calls.
  */
 const DISTANCE_COST: Readonly<Record<Distance, number>> = {
   "same-data-centre": 0,
@@ -33,7 +34,7 @@
   "other-region": 2,
 };
 
-/** The upstreams' ids, the one to ask first at the front. */
+/** Returns the ids of the upstreams, the preferred one first. */
 export function rankByLoad(
   upstreams: readonly UpstreamCandidate[],
 ): readonly string[] {
--- a/src/placement/mod.ts
+++ b/src/placement/mod.ts
@@ -1,5 +1,5 @@
 /**
- * Where a request may run.
+ * Ranks the upstreams on which a request may run.
  *
  * @module
  */
--- a/src/placement/placement.ts
+++ b/src/placement/placement.ts
@@ -1,10 +1,12 @@
 /**
- * Which upstreams a request may use, seen from one host: those of its own
- * region first, and those across the regional link only after it has waited,
- * since that link is narrow and paid by volume.
+ * Determines which upstreams a host may use for a request: those of its own
+ * region, and those of other regions only after the request has waited, because
+ * the link between regions is narrow and billed by volume.
  *
- * Load: demand skewed to one region. Harm prevented: requests wait while the
- * other region has room, or cross the link while their own has.
+ * Load: demand that is concentrated in one region.
+ *
+ * Failures prevented: requests wait while another region has free slots, or
+ * cross the link while their own region has some.
  *
  * @module
  */
@@ -12,38 +14,47 @@
 import type { Deployment, Upstream } from "../types.ts";
 
 /**
- * Longest wait in the own region before the other region is asked, in ms. By
- * then each owner of the region has been asked for most of a second, so that a
- * slot free there would have been granted.
+ * Wait in the host's own region, in ms, after which other regions are asked,
+ * too. By then each owner of upstreams in the region has been asked for most of
+ * a second, so that a free slot there would have been granted.
  */
 export const CROSS_REGION_START_WAIT_MS = 1_000;
 
-/** Once across, the other region is asked until waits are as short as this. */
+/**
+ * Other regions are asked until waits are shorter than this, in ms. Less than
+ * the starting threshold, so that the decision does not flap.
+ */
 export const CROSS_REGION_STOP_WAIT_MS = 500;
 
-/** What placement decides from. */
+/** Inputs of the placement. */
 export interface PlacementInput {
   readonly deployment: Deployment;
   readonly service: string;
   readonly ownDataCentre: string;
   isLeaving(upstream: string): boolean;
-  /** Whether a host of the upstream's region is live, as seen from here. */
+  /** Whether this host sees a live host in the region. */
   isRegionReachable(region: string): boolean;
-  /** Free slots by the owner's last hint; zero when unknown. */
+  /** Free slots according to the owner's last hint; zero if unknown. */
   getFreeSlotsHint(upstream: string): number;
-  /** A number by which hosts differ, so that they don't ask all the same. */
+  /**
+   * Tie breaker that differs between hosts, so that they do not all ask the
+   * same upstream first.
+   */
   getTieBreaker(upstream: string): number;
 }
 
-/** The upstreams that may be asked for a slot, the preferred first. */
+/** The upstreams that may be asked for a slot, in order of preference. */
 export interface Placement {
-  /** Of the own region. */
+  /** Upstreams of this host's region. */
   readonly sameRegion: readonly Upstream[];
-  /** Of other regions that can be reached. */
+  /** Upstreams of other regions that are reachable. */
   readonly otherRegions: readonly Upstream[];
 }
 
-/** The upstreams that may be asked, those with free slots and of the own data centre first. */
+/**
+ * Returns the upstreams that may be asked. Those with free slots come first,
+ * then those in this host's data centre.
+ */
 export function getCandidates(input: PlacementInput): Placement {
   const { deployment } = input;
   const ownRegion = getRegion(deployment, input.ownDataCentre);
@@ -54,7 +65,8 @@
     if (input.isLeaving(upstream.id)) continue;
     const region = getRegion(deployment, upstream.dataCentre);
     if (region === ownRegion) sameRegion.push(upstream);
-    // Without a live host there, the link is cut: a request would hang on it.
+    // If no host of the region is live, the link is probably cut, and a request
+    // sent there would hang.
     else if (input.isRegionReachable(region)) otherRegions.push(upstream);
   }
   return {
@@ -63,15 +75,15 @@
   };
 }
 
-/** What crossing is decided from. */
+/** Inputs of the decision to ask other regions. */
 export interface CrossRegionInput {
-  /** How long the team's oldest request has waited here, in ms. */
+  /** Wait of the team's oldest request at this host, in ms. */
   readonly oldestWaitMs: number;
-  /** Whether the other region was asked at the last decision. */
+  /** Whether the last decision was to ask other regions. */
   readonly wasCrossRegion: boolean;
 }
 
-/** Whether the other region is asked, too. */
+/** Decides whether other regions are asked in addition to this host's own. */
 export function decideCrossRegion(input: CrossRegionInput): boolean {
   const thresholdMs = input.wasCrossRegion
     ? CROSS_REGION_STOP_WAIT_MS
@@ -79,7 +91,10 @@
   return input.oldestWaitMs >= thresholdMs;
 }
 
-/** The region of a data centre; empty for one that is not declared. */
+/**
+ * Returns the region of a data centre; empty if the data centre is not
+ * declared.
+ */
 export function getRegion(
   deployment: Deployment,
   dataCentre: string,
--- a/src/placement/placement_choices_test.ts
+++ b/src/placement/placement_choices_test.ts
@@ -9,7 +9,7 @@
 
 const upstreams = Array.from({ length: 8 }, (_, at) => ({ id: `up-${at}` }));
 
-test("prompts that share all but their own part go to the same upstream", () => {
+test("prompts that differ only in their last part go to the same upstream", () => {
   const first = getAffinityKey("m", [{ id: "site" }, { id: "own-1" }]);
   const second = getAffinityKey("m", [{ id: "site" }, { id: "own-2" }]);
   deepStrictEqual(
@@ -18,10 +18,10 @@
   );
 });
 
-test("a first part that everybody shares does not gather all at one upstream", () => {
-  // Four texts begin all summaries, behind them stands one of 47 sessions. Placed
-  // by the first part, all summaries were at four upstreams, two at times at one,
-  // while others idled.
+test("a first part that all prompts share does not send them all to one upstream", () => {
+  // All summaries begin with one of four texts, followed by one of 47 sessions.
+  // If the first part decided, all summaries would go to four upstreams, or to
+  // fewer when two texts map to the same one, while others are idle.
   const firsts = new Set<string>();
   for (let session = 0; session < 47; session++) {
     const parts = [{ id: "text" }, { id: `session-${session}` }, { id: "own" }];
@@ -31,7 +31,7 @@
   strictEqual(firsts.size, upstreams.length);
 });
 
-test("an upstream that goes moves its own prompts and no others", () => {
+test("removing an upstream moves its own prompts and no others", () => {
   let moved = 0;
   for (let part = 0; part < 400; part++) {
     const key = getAffinityKey("m", [{ id: `part-${part}` }]);
@@ -43,7 +43,7 @@
   ok(moved > 20 && moved < 90);
 });
 
-test("a call goes to the least busy upstream, and of equals to the nearest", () => {
+test("a call goes to the least loaded upstream, and among equals to the nearest", () => {
   const near = "same-data-centre" as const;
   const far = "other-region" as const;
   deepStrictEqual(
@@ -56,9 +56,10 @@
   );
 });
 
-test("with little to share an answer stays in its caller's region", () => {
-  // Answers of fifty events are sent back over the link between regions, though
-  // upstreams of the caller's region could have read the prompt as well.
+test("a prompt with a small shared prefix stays in its caller's region", () => {
+  // Responses of fifty events would be sent over the link between regions
+  // although upstreams in the caller's region could have prefilled the prompt
+  // as well.
   const isNear = (id: string) => id === "up-1" || id === "up-3";
   deepStrictEqual(
     putSameRegionFirst(["up-0", "up-1", "up-2", "up-3"], isNear),
--- a/src/placement/prefix_affinity.ts
+++ b/src/placement/prefix_affinity.ts
@@ -1,31 +1,34 @@
 /**
- * Which upstreams a prompt should go to, the best first: those that are likely
- * to keep its shared part.
+ * Ranks upstreams for a prompt by prefix affinity: first those that are likely
+ * to have its shared prefix cached.
  *
- * Load: prompts of 350 to 13,300 shared tokens before a few thousand of their
- * own. Harm prevented: reading a shared part again takes its upstream up to
- * 140 ms in which the answers beside it stand still; spread by load alone four
- * fifths of all reading was such, and only half of the requests were on time.
+ * Load: prompts with a shared prefix of 350 to 13,300 tokens, followed by a few
+ * thousand tokens of their own.
  *
- * Rendezvous hashing makes all hosts choose the same upstreams without a word
- * between them, and an upstream that goes moves only its own prompts.
+ * Failure prevented: prefilling a shared prefix again occupies an upstream for
+ * up to 140 ms, during which all other responses there pause. With placement by
+ * load alone, four fifths of all prefill work was repeated, and only half of
+ * the requests were on time.
+ *
+ * Rendezvous hashing makes all hosts choose the same upstreams without
+ * communication, and removing an upstream moves only its own prompts.
  *
  * @module
  */
 
 import { rankByRendezvous } from "../membership/mod.ts";
 
-/** A part of a prompt as placement sees it. */
+/** A part of a prompt. */
 export interface AffinityPart {
   readonly id: string;
 }
 
 /**
- * The part that decides: the last of those that are shared. The ones before it
- * are few and soon kept by every upstream; by the first one a kind of prompt
- * with four of them was at four upstreams of seven while others idled, and
- * fewer came in time. The last part is the request's own, and decides only where
- * it is the only one.
+ * Returns the key of the last shared part. The parts before it are few, and
+ * soon cached by every upstream: when the first part was the key, prompts of a
+ * kind with four first parts went to four of seven upstreams while the others
+ * were idle, and fewer were on time. The last part of a prompt is unique to the
+ * request, and is the key only if there is no other part.
  */
 export function getAffinityKey(
   model: string,
@@ -36,12 +39,12 @@
 }
 
 /**
- * Reading so many tokens again costs less than a wait, or than an answer's way
- * over the link between regions.
+ * Up to this number of tokens, prefilling again costs less than waiting, or
+ * than sending the response over the link between regions.
  */
 export const NEGLIGIBLE_PREFILL_TOKENS = 1_400;
 
-/** The upstreams' ids in the order in which they should be asked. */
+/** Returns the ids of the upstreams, the preferred one first. */
 export function rankByAffinity(
   key: string,
   upstreams: readonly { readonly id: string }[],
@@ -49,7 +52,7 @@
   return rankByRendezvous(key, upstreams.map((each) => each.id));
 }
 
-/** The ids in the same order, but those that are near before all others. */
+/** Moves the ids of the same region to the front; keeps the order otherwise. */
 export function putSameRegionFirst(
   ids: readonly string[],
   isSameRegion: (id: string) => boolean,
