--- a/src/pacing/first_event_model.ts
+++ b/src/pacing/first_event_model.ts
@@ -1,10 +1,13 @@
 /**
- * How long a prompt waits for its first event, by what its upstream has to read
- * before it: a line through the first events of the last seconds.
+ * Predicts the time to a prompt's first event from the tokens that its upstream
+ * has to prefill before it, by a linear regression over the first events of the
+ * last seconds.
  *
- * Load: engines that read 34 to 93 tokens a ms, alone or beside answers, on
- * deployments of any model. Harm prevented: with one deployment's speed written
- * down, engines that read more slowly were given more than they read in time.
+ * Load: engines that prefill 34 to 93 tokens per ms, alone or beside running
+ * responses, in deployments of any model.
+ *
+ * Failure prevented: with one fixed speed, slower engines were given more
+ * prompts than they could prefill in time.
  *
  * @module
  */
@@ -15,51 +18,68 @@
   type FirstEventSums,
 } from "./types.ts";
 
-/** The line, as it is now. */
+/** A regression line that is updated with each first event. */
 export interface FirstEventModel {
-  /** A first event came so long after its prompt was sent. */
+  /**
+   * Adds a sample: the first event arrived `tookMs` after its prompt was sent,
+   * with `readingTokens` to prefill before it.
+   */
   addSample(readingTokens: number, tookMs: number): void;
-  /** Time to the first event behind so many tokens, its own included, in ms. */
+  /**
+   * Predicts the time to the first event, in ms, when `readingTokens` have to
+   * be prefilled, including the prompt's own.
+   */
   predictMs(readingTokens: number): number;
-  /** Tokens behind which the first event comes in the time given. */
+  /**
+   * Returns the number of tokens that can be prefilled such that the first
+   * event arrives within the given time.
+   */
   getTokensWithin(ms: number): number;
-  /** What this host alone has seen. */
+  /** Returns the sums over the samples of this host. */
   getLocalSums(): FirstEventSums;
 }
 
-/** What the model needs of the process. */
+/** Dependencies of the model. */
 export interface FirstEventModelHost {
   nowMs(): number;
-  /** What the other hosts have seen. */
+  /** Returns the sums over the samples of all other hosts. */
   getRemoteSums(): FirstEventSums;
 }
 
-/** Samples fade to a half in so long, in ms: some eighty of a busy host. */
+/**
+ * Half-life of the samples' weight, in ms: about eighty samples at a busy host.
+ */
 const HALF_LIFE_MS = 5_000;
 
 /**
- * What is assumed before anything is known: 80 ms for the way and the first
- * steps, and engines as slow as the slowest that have been met.
+ * Prior of the regression line: 80 ms for the network and the first decoding
+ * steps, and the speed of the slowest engine encountered.
  */
 const PRIOR_BASE_MS = 80;
 const PRIOR_MS_PER_TOKEN = 0.02;
 
 /**
- * How much the assumption counts: as much as the spread of ten samples that lie
- * 5,000 tokens from their mean. The slope of a few samples alike would be noise.
+ * Weight of the prior slope: equals ten samples that lie 5,000 tokens from
+ * their mean. Without it, the slope of a few similar samples would be noise.
  */
 const PRIOR_SQUARED_DEVIATIONS = 10 * 5_000 ** 2;
 
-/** As many samples count for the assumed base. */
+/** Weight of the prior base time, in samples. */
 const PRIOR_SAMPLES = 5;
 
-/** No engine met reads faster by so much, in ms a token; bounds the limits. */
+/**
+ * Lower bound of the slope, in ms per token: less than for any engine
+ * encountered. Bounds the limits that follow from the slope.
+ */
 const MIN_MS_PER_TOKEN = 0.003;
 
-/** A first event that came later, in ms, says that its upstream has failed. */
+/**
+ * Samples are capped at this time, in ms: a later first event means that the
+ * upstream has failed.
+ */
 const MAX_SAMPLE_MS = 3_000;
 
-/** Makes a model that has seen nothing. */
+/** Creates a model without samples. */
 export function createFirstEventModel(
   host: FirstEventModelHost,
 ): FirstEventModel {
--- a/src/pacing/mod.ts
+++ b/src/pacing/mod.ts
@@ -1,5 +1,6 @@
 /**
- * How much upstreams may be given to read at once, learned while serving.
+ * Limits how many tokens an upstream may have to prefill at once; the limits
+ * are learned at run time.
  *
  * @module
  */
--- a/src/pacing/pacing.ts
+++ b/src/pacing/pacing.ts
@@ -1,15 +1,16 @@
 /**
- * The limit of what an upstream of a service may have to read at once: no more
- * than lets first events come in time, and no more than lets the answers beside
- * go on in time.
+ * Adapts the limit on the tokens that an upstream of a service may have to
+ * prefill at once. It is low enough that first events are on time and that the
+ * responses running beside them are not interrupted for too long.
  *
- * All hosts learn from what all have seen: the room at an upstream is common to
- * them, and where their limits differ the host with the widest takes all of it,
- * and the teams whose callers use another get nothing.
+ * Every host learns from the samples of all hosts, because they share the
+ * capacity of an upstream: if limits differed, the host with the highest limit
+ * would take the whole capacity, and teams whose callers use other hosts would
+ * get nothing.
  *
- * Load: heavy days of deployments whose engines, targets and prompts differ. Each
- * has its own best limit, and one that is learned comes near it on all
- * (docs/design/decisions.md).
+ * Load: heavy days of deployments that differ in engines, targets and prompts.
+ * Each has a different optimal limit, and the learned limit comes close to it
+ * in all of them (docs/design/decisions.md).
  *
  * @module
  */
@@ -18,50 +19,60 @@
 import { createPauseLimit } from "./pause_limit.ts";
 import type { PacingStats } from "./types.ts";
 
-/** What has been seen of a service, and the limit that follows. */
+/** The adaptive prefill limit of one service. */
 export interface Pacing {
-  /** A first event came so long after the prompt was sent. */
+  /**
+   * Records a first event that arrived `tookMs` after its prompt was sent, with
+   * `readingTokens` to prefill before it.
+   */
   recordFirstEvent(readingTokens: number, tookMs: number): void;
-  /** An answer has paused past its target, or gone on for a while without. */
+  /**
+   * Records a response that paused for longer than its target (`isLate`), or
+   * that ran for a sample period without such a pause.
+   */
   recordPause(isLate: boolean): void;
   /**
-   * Tokens that an upstream may have to read at once, where the tightest target
-   * of the service's first events is so long, in ms.
+   * Returns the limit, in tokens. `targetMs` is the shortest target of the
+   * service for the time to the first event.
    */
   getLimitTokens(targetMs: number): number;
-  /** What this host has seen, for the others. */
+  /** Returns the statistics of this host, for the other hosts. */
   getStats(): PacingStats;
 }
 
-/** What pacing needs of the process. */
+/** Dependencies of pacing, supplied by the process. */
 export interface PacingHost {
   nowMs(): number;
-  /** What the other hosts have seen of the service. */
+  /** Returns the statistics of all other hosts for the service. */
   getRemoteStats(): PacingStats;
-  /** The limit is another than when it was last told. */
+  /** Called when the limit has changed noticeably since the last report. */
   onChanged(change: PacingChange): void;
 }
 
-/** A limit with what it was found from. */
+/** A limit and the values from which it was computed. */
 export interface PacingChange {
   readonly limitTokens: number;
-  /** Tokens that are read within the service's target. */
+  /** Tokens that can be prefilled within the service's target. */
   readonly inTimeTokens: number;
-  /** Share of answers that paused past their target. */
+  /** Share of responses that paused for longer than their target. */
   readonly lateShare: number;
 }
 
-/** A change of the limit by this factor is told; smaller ones come twice a second. */
+/**
+ * Changes of the limit by at least this factor are reported; smaller ones occur
+ * twice a second.
+ */
 const REPORT_FACTOR = 1.25;
 
 /**
- * The share of the target in which a first event is expected behind a full
- * upstream. The rest is for the wait here and for what hosts send in the tenth
- * of a second before they know of each other.
+ * Share of the target within which a first event is expected at an upstream
+ * whose limit is used up. The rest covers the wait in the queue, and prompts
+ * that other hosts send in the tenth of a second before the hosts see each
+ * other's load.
  */
 const TARGET_SHARE = 0.75;
 
-/** Makes the pacing of a service of which nothing has been seen. */
+/** Creates the pacing of a service without samples. */
 export function createPacing(host: PacingHost): Pacing {
   const { nowMs, getRemoteStats } = host;
   const firstEvents = createFirstEventModel({
--- a/src/pacing/pacing_test.ts
+++ b/src/pacing/pacing_test.ts
@@ -8,7 +8,7 @@
 
 const TARGET_MS = 800;
 
-/** Pacing of a service whose engines read so fast, before any event. */
+/** Creates the pacing of a service whose engines prefill at the given speed. */
 function createFixture(msPerToken: number) {
   const clock = createManualClock(1_000);
   const pacing = createPacing({
@@ -19,7 +19,10 @@
   const getLimit = () => pacing.getLimitTokens(TARGET_MS);
   return {
     getLimit,
-    /** Ten prompts a second, of which a share of the answers pauses too long. */
+    /**
+     * Simulates ten prompts a second; `lateShare` of the responses pause too
+     * long.
+     */
     play(seconds: number, lateShare: number): void {
       for (let at = 0; at < seconds * 10; at++) {
         const tokens = 2_000 + (at * 1_700) % 20_000;
@@ -32,8 +35,9 @@
   };
 }
 
-test("the limit widens to what is read in time while no answer pauses", () => {
-  // Guards against long prompts refused while engines could read twice as much.
+test("the limit increases to what is prefilled in time while no response pauses", () => {
+  // Guards against refusing long prompts while engines could prefill twice as
+  // much.
   const fixture = createFixture(0.018);
   fixture.play(15, 0);
   const inTime = (TARGET_MS * 0.75 - 100) / 0.018;
@@ -41,7 +45,7 @@
   ok(limit > inTime * 0.9 && limit < inTime * 1.1, `${limit} of ${inTime}`);
 });
 
-test("engines that read half as fast are given half as much", () => {
+test("engines that prefill half as fast get half the limit", () => {
   const fast = createFixture(0.018);
   const slow = createFixture(0.036);
   fast.play(15, 0);
@@ -50,8 +54,9 @@
   ok(ratio > 0.45 && ratio < 0.55, `${ratio}`);
 });
 
-test("the limit narrows while answers pause too long, and recovers", () => {
-  // Guards against answers that pause while engines read long prompts beside them.
+test("the limit decreases while responses pause too long, and recovers", () => {
+  // Guards against responses that pause while engines prefill long prompts
+  // beside them.
   const fixture = createFixture(0.018);
   fixture.play(15, 0);
   const wide = fixture.getLimit();
@@ -63,8 +68,8 @@
   ok(fixture.getLimit() > wide * 0.9);
 });
 
-test("upstreams that never answer don't make the limit useless", () => {
-  // Half of the engines hang: their first events would come after minutes.
+test("upstreams that never respond do not push the limit below its minimum", () => {
+  // Half of the engines hang: their first events would arrive after minutes.
   const fixture = createFixture(1);
   fixture.play(15, 0);
   ok(fixture.getLimit() >= MIN_TOKENS);
--- a/src/pacing/pause_limit.ts
+++ b/src/pacing/pause_limit.ts
@@ -1,75 +1,106 @@
 /**
- * How much may be read at an upstream beside answers whose pauses must stay on
- * time: widened while they do, narrowed when too many don't.
+ * Limits the tokens that are prefilled at an upstream beside running responses,
+ * whose pauses between events must stay within their target. The limit
+ * increases while they do, and decreases when too many do not.
  *
- * Load: engines read prompts between two steps of their answers; how much in a
- * step is a matter of the engine, from 1,024 tokens of one prompt to 4,096 of
- * each. Harm prevented: with a limit that is right for one kind of engine a
- * fifth of the answers of another paused past their target, and with one that
- * is right for that, half of the reading of the first was left undone.
+ * Load: engines prefill prompts between two decoding steps of their running
+ * responses. How much they prefill in one step depends on the engine: from
+ * 1,024 tokens of one prompt to 4,096 tokens of each prompt.
+ *
+ * Failure prevented: with the limit that is right for one kind of engine, a
+ * fifth of the responses of another paused for longer than their target; with
+ * the limit that is right for the latter, half of the prefill capacity of the
+ * former was unused.
  *
  * @module
  */
 
 import type { PacingStats } from "./types.ts";
 
-/** The limit, as it is now. */
+/** A limit that adapts to the recorded pauses. */
 export interface PauseLimit {
-  /** An answer has paused past its target, or gone on for a while without. */
+  /**
+   * Adds a sample: a response that paused for longer than its target
+   * (`isLate`), or that ran for a sample period without such a pause.
+   */
   addSample(isLate: boolean): void;
-  /** Tokens that may be read at an upstream at once; at most the ceiling. */
+  /**
+   * Returns the tokens that may be prefilled at an upstream at once, at most
+   * `ceilingTokens`.
+   */
   getLimitTokens(ceilingTokens: number): number;
-  /** Share of the answers of the last seconds that paused past their target. */
+  /**
+   * Returns the share of the responses of the last seconds, over all hosts,
+   * that paused for longer than their target.
+   */
   getLateShare(): number;
-  /** What this host alone has seen, and its limit. */
+  /** Returns the statistics and the limit of this host. */
   getLocalStats(): PauseStats;
 }
 
-/** The part of the evidence that pauses give. */
+/** The part of the statistics that concerns pauses. */
 export type PauseStats = Omit<PacingStats, "firstEvents">;
 
-/** What the limit needs of the process. */
+/** Dependencies of the limit. */
 export interface PauseLimitHost {
   nowMs(): number;
-  /** What the other hosts have seen, and their limits. */
+  /** Returns the statistics and limits of all other hosts. */
   getRemoteStats(): PauseStats;
 }
 
 /**
- * Before anything is known: one long prompt. With twice as much, a third of the
- * answers beside it paused too long on the engines that read most in a step.
+ * Initial limit, in tokens: one long prompt. With twice as much, a third of the
+ * responses beside it paused too long on the engines that prefill most in one
+ * step.
  */
 const INITIAL_TOKENS = 14_000;
 
-/** Never less: two usual prompts of 2,800 tokens; a larger one goes alone. */
+/**
+ * Lower bound of the limit: two typical prompts of 2,800 tokens. A larger
+ * prompt is prefilled alone.
+ */
 export const MIN_TOKENS = 5_600;
 
-/** Between two changes, in ms: a change shows in the pauses of a few events. */
+/**
+ * Time between two adjustments, in ms: an adjustment shows in the pauses of a
+ * few events.
+ */
 const ADJUST_PERIOD_MS = 500;
 
 /**
- * Over this share of late answers the limit narrows: below it more answers are
- * lost by waiting than by pausing.
+ * The limit decreases above this share of late responses. Below it, more
+ * responses are lost by waiting in the queue than by pausing.
  */
 const DECREASE_ABOVE_SHARE = 0.05;
 
-/** Under this share it widens; between the two it stays. */
+/**
+ * The limit increases below this share, and is unchanged between the two
+ * shares.
+ */
 const INCREASE_BELOW_SHARE = 0.025;
 
-/** At fewer answers than so many, faded, a single one would decide. */
+/**
+ * Least number of responses, after decay, for an adjustment. With fewer, a
+ * single response would decide.
+ */
 const MIN_ANSWERS = 3;
 
-/** Narrowing must be faster than widening, for late answers are lost at once. */
+/**
+ * Decreases are larger than increases, because a late response is lost at once.
+ */
 const DECREASE_FACTOR = 0.85;
 const INCREASE_FACTOR = 1.15;
 
-/** Counts fade to a half in so long, in ms. */
+/** Half-life of the counts, in ms. */
 const HALF_LIFE_MS = 2_000;
 
-/** What is left of the counts that a narrowing has answered. */
+/**
+ * Factor applied to the counts after a decrease, since they describe the
+ * previous limit.
+ */
 const COUNTS_AFTER_DECREASE_FACTOR = 0.5;
 
-/** Makes a limit that has seen nothing. */
+/** Creates a limit without samples. */
 export function createPauseLimit(host: PauseLimitHost): PauseLimit {
   let tokens = INITIAL_TOKENS;
   let adjustedAtMs = host.nowMs();
@@ -95,7 +126,10 @@
     return answers <= 0 ? 0 : lateAnswers / answers;
   }
 
-  /** Hosts that learned at different times would keep different limits. */
+  /**
+   * Moves the limit halfway to the mean of the other hosts' limits. Without
+   * this, hosts that learned at different times would keep different limits.
+   */
   function averageWithOtherHosts(): void {
     const { answers, limitTokens } = host.getRemoteStats();
     if (answers > MIN_ANSWERS) tokens = (tokens + limitTokens / answers) / 2;
--- a/src/pacing/pause_limit_test.ts
+++ b/src/pacing/pause_limit_test.ts
@@ -5,7 +5,10 @@
 
 const CEILING_TOKENS = 100_000;
 
-/** A limit that has seen nothing, beside others that have seen what is given. */
+/**
+ * Creates a limit without samples, with the given statistics of the other
+ * hosts.
+ */
 function createFixture(others: PauseStats) {
   const clock = createManualClock(1_000);
   const limit = createPauseLimit({
@@ -16,17 +19,20 @@
   return limit;
 }
 
-test("a host that saw nothing comes halfway to the others at once", () => {
-  // Guards against a host that starts with a limit far under the others'.
+test("a host without samples moves halfway to the others' limit at once", () => {
+  // Guards against a restarted host whose limit is far below that of the
+  // others.
   const answers = 40;
   const others = { hosts: 2, limitTokens: 40_000 * answers, answers };
-  // Late answers between narrowing and widening: no other change.
+  // A late share between both thresholds, so that nothing else changes the
+  // limit.
   const limit = createFixture({ ...others, lateAnswers: answers * 0.04 });
   strictEqual(limit.getLimitTokens(CEILING_TOKENS), 27_000);
 });
 
-test("hosts without answers don't hold the limit where it was", () => {
-  // Guards against idle hosts whose first limit would pull all others to it.
+test("hosts without responses do not influence the limit", () => {
+  // Guards against idle hosts whose initial limit would attract the limits of
+  // all other hosts.
   const first = createFixture({
     hosts: 0,
     limitTokens: 0,
--- a/src/pacing/types.ts
+++ b/src/pacing/types.ts
@@ -1,26 +1,36 @@
 /**
- * What pacing has learned of a service's upstreams, in a form that adds up over
+ * The statistics of pacing for a service, in a form that can be added up over
  * hosts.
  *
  * @module
  */
 
-/** Counts fade, so that each stands for the last seconds. */
+/**
+ * Statistics of one or more hosts. Counts decay exponentially, so that they
+ * describe the last seconds.
+ */
 export interface PacingStats {
-  /** Hosts that it adds up. */
+  /** Number of hosts included. */
   readonly hosts: number;
   /**
-   * Sum of their limits by pauses, in tokens, each times the answers that it was
-   * found from: a host without answers says nothing of the limit.
+   * Sum of the hosts' limits by pauses, in tokens, each weighted by the number
+   * of responses behind it: the limit of a host without responses carries no
+   * information.
    */
   readonly limitTokens: number;
-  /** Answers, and those that paused past their target. */
+  /**
+   * Number of responses, and below it the number that paused for longer than
+   * their target.
+   */
   readonly answers: number;
   readonly lateAnswers: number;
   readonly firstEvents: FirstEventSums;
 }
 
-/** Sums over first events: tokens read before each, and its time in ms. */
+/**
+ * Sums over first events, from which a regression line is computed: the tokens
+ * prefilled before each one, and the time to it in ms.
+ */
 export interface FirstEventSums {
   readonly count: number;
   readonly tokens: number;
@@ -29,7 +39,7 @@
   readonly tokensMs: number;
 }
 
-/** Sums over no first event. */
+/** The sums over no first events. */
 export const EMPTY_FIRST_EVENT_SUMS: FirstEventSums = {
   count: 0,
   tokens: 0,
@@ -38,7 +48,7 @@
   tokensMs: 0,
 };
 
-/** Evidence of no host. */
+/** The statistics of no hosts. */
 export const EMPTY_PACING_STATS: PacingStats = {
   hosts: 0,
   limitTokens: 0,
@@ -47,7 +57,9 @@
   firstEvents: EMPTY_FIRST_EVENT_SUMS,
 };
 
-/** The first with the second added, or with a sign of -1 taken out. */
+/**
+ * Adds two statistics; with a sign of -1, subtracts the second from the first.
+ */
 export function addPacingStats(
   a: PacingStats,
   b: PacingStats,
@@ -62,7 +74,10 @@
   };
 }
 
-/** The same for sums over first events. */
+/**
+ * Adds two sums over first events; with a sign of -1, subtracts the second from
+ * the first.
+ */
 export function addFirstEventSums(
   a: FirstEventSums,
   b: FirstEventSums,
