--- a/src/upstreams/backoff_watch.ts
+++ b/src/upstreams/backoff_watch.ts
@@ -1,13 +1,15 @@
 /**
- * Upstreams that have asked this host for a rest.
+ * Tracks upstreams that have asked this host to back off.
  *
- * Load: an upstream that sheds its load refuses at once, and so has the least to
- * do of all. Harm prevented: it is chosen before all others, request after request
- * is refused there, and each takes from the retries that all hosts share.
+ * Load: an upstream that sheds load rejects requests at once, and so looks the
+ * least loaded of all.
  *
- * A rest holds for one start of the upstream and for this host alone. It counts
- * from when the answer was read, by a clock that no change of the time of day
- * moves, so that it ends here no sooner than at the upstream.
+ * Failure prevented: it is preferred to all others, request after request is
+ * rejected there, and each of them takes from the fleet's retry budget.
+ *
+ * A back-off applies to one instance of the upstream (until its restart) and to
+ * this host only. It starts when the response is read, and is measured by the
+ * monotonic clock, so that it never ends earlier here than at the upstream.
  *
  * @module
  */
@@ -15,17 +17,20 @@
 import type { Clock } from "../core/mod.ts";
 import type { UpstreamLife } from "../discovery/mod.ts";
 
-/** The rests that this host was asked for. */
+/** The back-offs that this host was asked for. */
 export interface BackoffWatch {
-  /** The upstream wants no request for so long, in ms. */
+  /** Records that the upstream wants no requests for the given time, in ms. */
   record(life: UpstreamLife, backoffMs: number): void;
-  /** What is left of the rest, in ms; 0 for none. */
+  /** Returns the remaining time of the back-off, in ms; 0 if there is none. */
   getRemainingMs(life: UpstreamLife): number;
-  /** An answer shows that the upstream takes requests again. */
+  /**
+   * Records a response, which shows that the upstream accepts requests again.
+   */
   recordSuccess(life: UpstreamLife): void;
   /**
-   * Those that may get a request now. One that has just rested gets a few at a
-   * time until it has answered some, unless there is no other.
+   * Returns the upstreams that may get a request now. After a back-off, an
+   * upstream gets few requests at a time until it has responded to some (slow
+   * start), unless there is no other upstream.
    */
   filterAvailable<T extends UpstreamLife>(
     upstreams: readonly T[],
@@ -33,24 +38,27 @@
   ): readonly T[];
 }
 
-/** Requests in flight from this host that the first ones after a rest may be. */
+/** Limit on requests in flight from this host right after a back-off. */
 const INITIAL_IN_FLIGHT = 1;
 
-/** Each answer allows so many times as many; at the most all are allowed. */
+/**
+ * Each response multiplies the limit by this factor. Above the maximum the
+ * limit is lifted.
+ */
 const GROWTH_FACTOR = 2;
 const MAX_IN_FLIGHT = 16;
 
-/** A rest that ended so long ago, in ms, is forgotten. */
+/** A back-off is forgotten this time after its end, in ms. */
 const BACKOFF_TTL_MS = 60_000;
 
 interface Backoff {
   readonly incarnation: number;
   untilMs: number;
-  /** In flight at once, from the end of the rest on. */
+  /** Limit on requests in flight after the end of the back-off. */
   maxInFlight: number;
 }
 
-/** Makes a watch that knows of no rest. */
+/** Creates a watch without back-offs. */
 export function createBackoffWatch(clock: Clock): BackoffWatch {
   const backoffs = new Map<string, Backoff>();
 
@@ -75,7 +83,7 @@
       const nowMs = clock.monotonicMs();
       evictExpired(nowMs);
       const untilMs = nowMs + backoffMs;
-      // Of several rests the one that ends last holds.
+      // Of several back-offs, the one that ends last applies.
       const earlierUntilMs = tryGet(life)?.untilMs ?? -Infinity;
       backoffs.set(life.id, {
         incarnation: life.incarnation,
@@ -86,7 +94,7 @@
     getRemainingMs,
     recordSuccess(life) {
       const backoff = tryGet(life);
-      // What was sent before the rest may still be answered in it.
+      // Requests sent before the back-off may still be answered during it.
       if (backoff === undefined || getRemainingMs(life) > 0) return;
       backoff.maxInFlight *= GROWTH_FACTOR;
       if (backoff.maxInFlight > MAX_IN_FLIGHT) backoffs.delete(life.id);
--- a/src/upstreams/backoff_watch_test.ts
+++ b/src/upstreams/backoff_watch_test.ts
@@ -20,7 +20,7 @@
   };
 }
 
-test("an upstream that rests gets nothing, even where no other is left", () => {
+test("an upstream gets no requests during a back-off, even if there is no other", () => {
   const { clock, backoffs, getAvailable } = createFixture();
   backoffs.record(one, 3_000);
   deepStrictEqual(getAvailable(one, two), ["two"]);
@@ -32,7 +32,7 @@
   deepStrictEqual(getAvailable(one), ["one"]);
 });
 
-test("of several rests the one that ends last holds", () => {
+test("of several back-offs the one that ends last applies", () => {
   const { clock, backoffs } = createFixture();
   backoffs.record(one, 3_000);
   clock.advance(500);
@@ -42,17 +42,18 @@
   strictEqual(backoffs.getRemainingMs(one), 4_000);
 });
 
-test("a rest ends with the start of the upstream that asked for it", () => {
+test("a back-off ends when the upstream that asked for it restarts", () => {
   const { backoffs, getAvailable } = createFixture();
   backoffs.record(one, 3_000);
   deepStrictEqual(getAvailable({ ...one, incarnation: 2 }), ["one"]);
 });
 
-test("after a rest requests come back a few at a time, where others take the rest", () => {
-  // Guards against a burst at an upstream that has shed its load a moment ago.
+test("after a back-off requests return a few at a time while other upstreams take the remainder", () => {
+  // Guards against a burst at an upstream that has just shed load.
   const { clock, backoffs, inFlight, getAvailable } = createFixture();
   backoffs.record(one, 1_000);
-  // Sent before the rest, answered in it: no sign that it takes more.
+  // A response during the back-off, to an earlier request: does not show that
+  // the upstream accepts requests again.
   backoffs.recordSuccess(one);
   clock.advance(1_000);
   deepStrictEqual(getAvailable(one, two), ["one", "two"]);
--- a/src/upstreams/health.ts
+++ b/src/upstreams/health.ts
@@ -1,30 +1,33 @@
 /**
- * Upstreams that refused a connection a moment ago.
+ * Remembers upstreams that have just refused a connection.
  *
- * Load: one upstream is down while many requests wait. Harm prevented: its slots
- * are always free, so it draws request after request, and each fails there.
+ * Load: one upstream is down while many requests wait.
+ *
+ * Failure prevented: its slots are always free, so that it attracts request
+ * after request, each of which fails there.
  *
  * @module
  */
 
 import type { Clock } from "../core/mod.ts";
 
-/** After a refused connection the upstream is avoided for so long, in ms. */
+/** Time for which an upstream is avoided after a refused connection, in ms. */
 export const DOWN_PERIOD_MS = 1_000;
 
 /**
- * A slot of an upstream that is down is held for so long before it goes back,
- * in ms: given back at once it would be granted again at once, over and over.
+ * Time for which a slot of an upstream that is down is held before it is
+ * returned, in ms. If returned at once, it would be granted again at once, over
+ * and over.
  */
 export const DOWN_SLOT_HOLD_MS = 100;
 
-/** What this host saw of the upstreams' connections. */
+/** Tracks which upstreams are down, as seen by this host. */
 export interface UpstreamHealth {
   markDown(upstream: string): void;
   isDown(upstream: string): boolean;
 }
 
-/** Makes health that knows of no trouble. */
+/** Creates a tracker for which no upstream is down. */
 export function createUpstreamHealth(clock: Clock): UpstreamHealth {
   const downUntilMs = new Map<string, number>();
   return {
--- a/src/upstreams/health_watch.ts
+++ b/src/upstreams/health_watch.ts
@@ -1,28 +1,31 @@
 /**
- * What this host has seen of each upstream: work in flight, signs of life and
- * failures. Placement passes over an upstream that fails, but never over all.
+ * Tracks the health of each upstream as seen by this host: requests in flight,
+ * last activity and failures. Placement avoids unhealthy upstreams as long as
+ * there are healthy ones.
  *
- * Load: an upstream crashes, goes silent, or fails half of its requests while
- * it calls itself healthy. Harm prevented: request after request is sent there,
- * since an upstream that fails at once looks the least busy of all.
+ * Load: an upstream crashes, stops responding, or fails half of its requests
+ * while it reports itself as healthy.
+ *
+ * Failure prevented: request after request is sent there, since an upstream
+ * that fails at once looks the least loaded of all.
  *
  * @module
  */
 
 import { type Clock, getOrCreate } from "../core/mod.ts";
 
-/** What this host knows of its upstreams by itself. */
+/** Health of upstreams as observed by this host. */
 export interface HealthWatch {
   beginRequest(upstream: string): void;
   endRequest(upstream: string): void;
-  /** Bytes of an answer have come. */
+  /** Records that bytes of a response have arrived. */
   recordActivity(upstream: string): void;
   recordSuccess(upstream: string): void;
   recordFailure(upstream: string, failure: FailureKind): void;
   getInFlight(upstream: string): number;
-  /** Whether other upstreams should be asked first. */
+  /** Whether other upstreams should be preferred. */
   isUnhealthy(upstream: string): boolean;
-  /** Those that should be asked, or all where none should. */
+  /** Returns the healthy upstreams, or all of them if none is healthy. */
   filterHealthy<T extends { readonly id: string }>(
     upstreams: readonly T[],
   ): readonly T[];
@@ -32,28 +35,34 @@
 export type FailureKind = "unreachable" | "failed";
 
 /**
- * An upstream that can't be reached is left alone for so long, in ms, and twice
- * as long at each further failure up to the most: a restart takes seconds, and
- * each try costs its request up to half a second.
+ * Time for which an unreachable upstream is avoided, in ms. Doubles with each
+ * further failure up to the maximum: a restart takes seconds, and each attempt
+ * costs its request up to half a second.
  */
 const INITIAL_UNREACHABLE_MS = 1_000;
 
-/** The most of it, in ms. */
+/**
+ * Upper bound of the time for which an unreachable upstream is avoided, in ms.
+ */
 const MAX_UNREACHABLE_MS = 4_000;
 
 /**
- * With work in flight and no byte for so long, in ms, an upstream counts as
- * silent; a full one still sends an event each few hundred ms.
+ * An upstream with requests in flight that has sent no byte for this time, in
+ * ms, counts as silent. Even a full upstream sends an event every few hundred
+ * ms.
  */
 const SILENCE_TIMEOUT_MS = 1_500;
 
-/** Weight of the newest result in the share of failures. */
+/** Weight of the latest result in the moving average of failures. */
 const RESULT_WEIGHT = 0.2;
 
-/** Above this share of failures other upstreams are asked first. */
+/** Share of failures above which other upstreams are preferred. */
 const MAX_FAILURE_SHARE = 0.35;
 
-/** The share of failures fades to a half in so long, in ms, to try again. */
+/**
+ * Half-life of the share of failures, in ms, after which the upstream is tried
+ * again.
+ */
 const FAILURE_HALF_LIFE_MS = 2_000;
 
 interface UpstreamRecord {
@@ -65,7 +74,7 @@
   failureAtMs: number;
 }
 
-/** Makes a watch that has seen nothing. */
+/** Creates a watch without observations. */
 export function createHealthWatch(clock: Clock): HealthWatch {
   const upstreams = new Map<string, UpstreamRecord>();
 
--- a/src/upstreams/http_upstreams.ts
+++ b/src/upstreams/http_upstreams.ts
@@ -1,6 +1,6 @@
 /**
- * Calls to upstreams over HTTP: an engine streams server-sent events, a plain
- * service answers with one JSON body.
+ * Calls upstreams over HTTP: an engine streams server-sent events, a plain
+ * service sends one JSON body.
  *
  * @module
  */
@@ -21,14 +21,15 @@
 } from "./types.ts";
 
 /**
- * An open stream that carries nothing for so long is lost, in ms. Engines send
- * a comment each second while they work, so three in a row are missing.
+ * An open stream on which nothing arrives for this time, in ms, counts as lost.
+ * A working engine sends a comment each second, so that three in a row are
+ * missing.
  */
 export const STREAM_IDLE_TIMEOUT_MS = 3_000;
 
 /**
- * Tells an upstream how many milliseconds the answer is still of use: the time
- * that is left and not a time of day, since clocks differ.
+ * Header that states for how many milliseconds the response is still useful: a
+ * remaining time rather than a time of day, since clocks differ.
  */
 const DEADLINE_HEADER = "azurestile-timeout-ms";
 
@@ -39,11 +40,11 @@
   readonly path: string;
   readonly headers?: Readonly<Record<string, string>>;
   readonly body?: string;
-  /** Time until the head of the answer, in ms. */
+  /** Time-out for the head of the response, in ms. */
   readonly timeoutMs: number;
 }
 
-/** Makes the client over Node's HTTP. */
+/** Creates a client that uses Node's HTTP module. */
 export function createHttpUpstreams(): UpstreamClient {
   return {
     generate: ({ address, stream, body, remainingMs }) =>
@@ -104,7 +105,7 @@
   return `/streams/${encodeURIComponent(location.stream)}`;
 }
 
-/** Opens a call; settles with the head of the answer. */
+/** Sends a call; settles with the head of the response. */
 function sendCall(call: HttpCall): Promise<IncomingMessage> {
   const [host, port] = call.address.split(":");
   return new Promise((resolve, reject) => {
@@ -119,7 +120,7 @@
         "content-length": Buffer.byteLength(call.body ?? ""),
       },
     });
-    // A connection can go silent for good without raising any error.
+    // A connection can stay silent forever without an error.
     const timeout = startTimeLimit(
       call.timeoutMs,
       () => req.destroy(createSilentError(call.timeoutMs)),
@@ -192,8 +193,8 @@
 }
 
 /**
- * The time runs only while this host waits for the upstream: a stream that
- * waits for a slow caller is not silent.
+ * Reads the next chunk. The time-out runs only while this host waits for the
+ * upstream: a stream that waits for a slow caller is not silent.
  */
 async function readChunk(
   res: IncomingMessage,
@@ -222,7 +223,7 @@
 function createSilentError(timeoutMs: number): UpstreamError {
   return new UpstreamError({
     failure: "silent",
-    reason: `Silent for ${timeoutMs} ms`,
+    reason: `The upstream sent nothing for ${timeoutMs} ms`,
   });
 }
 
--- a/src/upstreams/http_upstreams_test.ts
+++ b/src/upstreams/http_upstreams_test.ts
@@ -11,13 +11,13 @@
 
 const LOOPBACK = "127.0.0.1:0";
 
-/** Where the server listens, IP and port. */
+/** Returns the IP address and port on which the server listens. */
 function getAddress({ server }: Listening): string {
   return `127.0.0.1:${(server.address() as AddressInfo).port}`;
 }
 
-test("a call that was answered in a long turn of this host is not silent", async () => {
-  // Guards against work that has ended and is told to its caller as lost.
+test("a call whose response arrived while the event loop was blocked is not silent", async () => {
+  // Guards against reporting completed work to its caller as lost.
   await using upstream = await listen(LOOPBACK, (_req, res) => {
     res.end("done");
     res.on("finish", () => block(500));
@@ -35,11 +35,12 @@
   deepStrictEqual(answer, { status: 200, body: "done" });
 });
 
-test("a stream whose event came in a long turn of this host is not lost", async () => {
-  // Guards against streams that are broken off for the host's own pause.
+test("a stream whose event arrived while the event loop was blocked is not lost", async () => {
+  // Guards against streams that are closed because the host's own event loop
+  // was blocked.
   await using upstream = await listen(LOOPBACK, (_req, res) => {
     res.write("id: 1\ndata: a\n\n");
-    // Timers that fall due meanwhile run next, as after any long turn.
+    // Timers that fall due in the meantime run next, as after any blocked turn.
     const sendNext = () => {
       res.write("id: 2\ndata: b\n\n");
       block(STREAM_IDLE_TIMEOUT_MS + 200);
--- a/src/upstreams/mod.ts
+++ b/src/upstreams/mod.ts
@@ -1,5 +1,6 @@
 /**
- * Calls to model engines and plain services.
+ * Calls to model engines and plain services, and what this host observes of
+ * them.
  *
  * @module
  */
--- a/src/upstreams/state_poll.ts
+++ b/src/upstreams/state_poll.ts
@@ -1,7 +1,7 @@
 /**
- * Asks the upstreams that this host owns for their state, each second: whether
- * they are leaving, and which models and role they have. The answer lags and
- * may not come, so that no answer keeps what was known.
+ * Polls the state of the upstreams that this host owns once a second: whether
+ * they are leaving, and which models and role they have. A state may be
+ * outdated or missing; without a response the last known state is kept.
  *
  * @module
  */
@@ -9,33 +9,38 @@
 import * as Effect from "effect/Effect";
 import type { Upstream } from "../types.ts";
 
-/** An upstream's word about itself. */
+/** The state that an upstream reports. */
 export interface UpstreamState {
   readonly running: number;
   readonly leaving: boolean;
-  /** Models that it has loaded; `undefined` when it does not manage any. */
+  /**
+   * Models that are loaded; `undefined` if the upstream does not manage models.
+   */
   readonly models: readonly string[] | undefined;
   readonly role: string;
-  /** The order that it works on; empty for none. */
+  /** The order that the upstream is executing; empty if none. */
   readonly workingOn: string;
 }
 
-/** What the watch needs of the process. */
+/** Dependencies of the poll, supplied by the process. */
 export interface StatePollHost {
   /** Upstreams whose slots this host owns. */
   getOwned(): readonly Upstream[];
-  /** `undefined` when no answer came in time. */
+  /** Returns `undefined` if no response arrived in time. */
   tryGetState(upstream: Upstream): Effect.Effect<UpstreamState | undefined>;
   onState(upstream: Upstream, state: UpstreamState): void;
 }
 
-/** Time between two questions to one upstream, in ms. */
+/** Time between two polls of one upstream, in ms. */
 export const STATE_POLL_PERIOD_MS = 1_000;
 
-/** Below the period, so that a silent upstream delays no question. */
+/**
+ * Time-out of one poll, in ms: less than the period, so that a silent upstream
+ * does not delay the next poll.
+ */
 const STATE_TIMEOUT_MS = 800;
 
-/** Asks each owned upstream once; never fails. */
+/** Polls each owned upstream once; never fails. */
 export function pollUpstreamStates(host: StatePollHost): Effect.Effect<void> {
   return Effect.suspend(() =>
     Effect.forEach(
@@ -51,7 +56,7 @@
   );
 }
 
-/** Asks over HTTP, with a deadline. */
+/** Polls an upstream over HTTP. */
 export function tryGetUpstreamState(
   upstream: Upstream,
 ): Effect.Effect<UpstreamState | undefined> {
--- a/src/upstreams/upstream_locks.ts
+++ b/src/upstreams/upstream_locks.ts
@@ -1,10 +1,11 @@
 /**
- * Which upstreams this host uses now, and the right to use one alone. It sees
- * the runs of this host only: other hosts may use the same upstream.
+ * Shared/exclusive locks on the upstreams. They cover the runs of this host
+ * only: other hosts may use the same upstream.
  *
- * Load: a request that crashes its upstream is run again, beside others. Harm
- * prevented: its innocent neighbours crash with it again and come under the same
- * suspicion.
+ * Load: a request that crashes its upstream is run again, beside others.
+ *
+ * Failure prevented: the other runs crash together with it again, and become
+ * suspects as well.
  *
  * @module
  */
@@ -13,31 +14,39 @@
 import * as Semaphore from "effect/Semaphore";
 import { getOrCreate } from "../core/mod.ts";
 
-/** Longest wait for the others to end, in ms; meanwhile slots stand idle. */
+/**
+ * Time-out for acquiring an exclusive lock, in ms. While a run waits for it,
+ * slots of the upstream are idle.
+ */
 export const EXCLUSIVE_WAIT_MS = 10_000;
 
-/** Runs at the upstreams of this host. */
+/** Locks on upstreams for the runs of this host. */
 export interface UpstreamLocks {
-  /** Waits while another run has the upstream alone; then counts as a run. */
+  /**
+   * Acquires a shared lock; waits while an exclusive lock is held or awaited.
+   */
   acquireShared(upstream: string): Effect.Effect<void>;
-  /** Waits for all runs to end; false when they took too long. */
+  /**
+   * Acquires an exclusive lock; returns false if other runs did not end in
+   * time.
+   */
   acquireExclusive(upstream: string): Effect.Effect<boolean>;
-  /** Ends a run that entered, alone or not. */
+  /** Releases a lock that was acquired. */
   release(upstream: string, wasExclusive: boolean): void;
-  /** Runs at the upstream now. */
+  /** Returns the number of runs that hold a lock on the upstream. */
   getHolderCount(upstream: string): number;
-  /** Runs one after the other, whatever their upstreams. */
+  /** Runs the effects one after the other, regardless of their upstreams. */
   runSerialized<A, E>(run: Effect.Effect<A, E>): Effect.Effect<A, E>;
 }
 
 interface LockState {
   holders: number;
-  /** A run has the upstream alone, or waits for that. */
+  /** Whether an exclusive lock is held or awaited. */
   isReserved: boolean;
   waiting: (() => void)[];
 }
 
-/** Makes the state of a host that runs nothing. */
+/** Creates locks that nobody holds. */
 export function createUpstreamLocks(): UpstreamLocks {
   const locks = new Map<string, LockState>();
   const serialMutex = Semaphore.makeUnsafe(1);
--- a/src/upstreams/upstream_locks_test.ts
+++ b/src/upstreams/upstream_locks_test.ts
@@ -1,5 +1,5 @@
 /**
- * Tests of the right to use an upstream alone.
+ * Tests of shared and exclusive locks on an upstream.
  *
  * @module
  */
@@ -20,7 +20,10 @@
   maxLength: 8,
 });
 
-/** Runs all at once and tells what each saw of the others. */
+/**
+ * Starts all runs at once; returns violations of exclusiveness, the runs that
+ * ended, and the locks still held.
+ */
 async function runAll(
   s: fc.Scheduler,
   locks: UpstreamLocks,
@@ -39,7 +42,9 @@
       running++;
       for (let step = 0; step < 3; step++) {
         yield* Effect.promise(() => s.schedule(Promise.resolve(), "work"));
-        if (isExclusive && running > 1) violations.push("A run was not alone");
+        if (isExclusive && running > 1) {
+          violations.push("An exclusive run overlapped with another");
+        }
       }
       running--;
       locks.release("engine-1", isExclusive);
@@ -52,7 +57,7 @@
   return { broken: violations, done, left: locks.getHolderCount("engine-1") };
 }
 
-test("a run that has its upstream alone sees no other, and none is stuck", async () => {
+test("an exclusive run overlaps with no other, and every run ends", async () => {
   await fc.assert(
     fc.asyncProperty(fc.scheduler(), runs, async (s, all) => {
       const seen = await runAll(s, createUpstreamLocks(), all);
@@ -62,7 +67,7 @@
   );
 });
 
-test("without the reservation a run is seen not to be alone", async () => {
+test("without locks the test detects overlapping runs", async () => {
   const open: UpstreamLocks = {
     acquireShared: () => Effect.void,
     acquireExclusive: () => Effect.succeed(true),
