--- a/src/forwarding/next_step.ts
+++ b/src/forwarding/next_step.ts
@@ -85,9 +85,7 @@
   if (!input.hasCandidate) return "No other upstream accepts requests";
   if (input.possibleRuns === 0) return undefined;
   if (!mayRepeat(input)) return "Request may have run and is not repeated";
-  if (input.possibleRuns >= input.maxAttempts) {
-    return "No more runs are allowed";
-  }
+  if (input.possibleRuns >= input.maxAttempts) return "Run limit is reached";
   if (input.hasSentEvents && !input.hasEventId) {
     return "The stream has no event ids from which to resume";
   }
--- a/src/upstreams/upstream_locks_test.ts
+++ b/src/upstreams/upstream_locks_test.ts
@@ -42,9 +42,7 @@
       running++;
       for (let step = 0; step < 3; step++) {
         yield* Effect.promise(() => s.schedule(Promise.resolve(), "work"));
-        if (isExclusive && running > 1) {
-          violations.push("An exclusive run overlapped with another");
-        }
+        if (isExclusive && running > 1) violations.push("Runs overlapped");
       }
       running--;
       locks.release("engine-1", isExclusive);
