--- a/src/forwarding/attempt.ts
+++ b/src/forwarding/attempt.ts
@@ -7,7 +7,7 @@
 import * as Effect from "effect/Effect";
 import type { UpstreamEntry } from "../discovery/mod.ts";
 import { type Call, type ForwardHost, getRemainingMs } from "./call.ts";
-import { getForwardable } from "./headers.ts";
+import { getEndToEndHeaders } from "./headers.ts";
 import { recordSignals } from "./upstream_signals.ts";
 import { AttemptFailed } from "./types.ts";
 import { openCall, type UpstreamResponse } from "./upstream_call.ts";
@@ -34,7 +34,7 @@
   const { req, progress } = call;
   return Effect.suspend(() => {
     const headers = host.codec.createUpstreamHeaders(
-      getForwardable(req.rawHeaders),
+      getEndToEndHeaders(req.rawHeaders),
       {
         remainingMs: Math.max(1, Math.floor(getRemainingMs(host, call))),
         upstreamId: upstream.id,
--- a/src/forwarding/call.ts
+++ b/src/forwarding/call.ts
@@ -33,7 +33,7 @@
   readonly agent: Agent;
   readonly directory: UpstreamDirectory;
   /** Called when a response states that the upstream instance is leaving. */
-  markLeaving(life: UpstreamLife): void;
+  markLeaving(instance: UpstreamLife): void;
   readonly queue: PromptQueue;
   readonly load: LoadView;
   /**
--- a/src/forwarding/forward.ts
+++ b/src/forwarding/forward.ts
@@ -10,7 +10,7 @@
 import type { CallerLost } from "../requests/caller.ts";
 import { attempt } from "./attempt.ts";
 import { type Call, type ForwardHost, getRemainingMs } from "./call.ts";
-import { getForwardable } from "./headers.ts";
+import { getEndToEndHeaders } from "./headers.ts";
 import { decideNextStep, type NextStep } from "./next_step.ts";
 import { relayStream } from "./relay_stream.ts";
 import {
@@ -213,7 +213,7 @@
 ): void {
   const { rawHeaders, statusCode = 502 } = response.res;
   const length = chunks.reduce((sum, chunk) => sum + chunk.length, 0);
-  const headers = getForwardable(rawHeaders);
+  const headers = getEndToEndHeaders(rawHeaders);
   if (res.getHeader("connection") !== undefined) {
     headers.push("Connection", "close");
   }
--- a/src/forwarding/headers.ts
+++ b/src/forwarding/headers.ts
@@ -5,7 +5,7 @@
  */
 
 /** Headers that apply to one connection, or to the framing of a body on it. */
-const CONNECTION_HEADERS = new Set([
+const HOP_BY_HOP_HEADERS = new Set([
   "connection",
   "keep-alive",
   "proxy-authenticate",
@@ -24,11 +24,11 @@
  * hop-by-hop headers, the headers named by `Connection`, and `Content-Length`,
  * which the sender of the next hop sets to the length actually sent.
  */
-export function getForwardable(rawHeaders: readonly string[]): string[] {
-  const named = getNamedByConnection(rawHeaders);
+export function getEndToEndHeaders(rawHeaders: readonly string[]): string[] {
+  const named = getConnectionOptions(rawHeaders);
   return filterHeaders(
     rawHeaders,
-    (name) => !CONNECTION_HEADERS.has(name) && !named.has(name),
+    (name) => !HOP_BY_HOP_HEADERS.has(name) && !named.has(name),
   );
 }
 
@@ -45,7 +45,7 @@
   return kept;
 }
 
-function getNamedByConnection(
+function getConnectionOptions(
   rawHeaders: readonly string[],
 ): ReadonlySet<string> {
   const named = new Set<string>();
--- a/src/forwarding/relay_stream.ts
+++ b/src/forwarding/relay_stream.ts
@@ -18,7 +18,7 @@
 } from "../requests/caller.ts";
 import type { Call, ForwardHost } from "./call.ts";
 import { createEventSplitter, type EventChunk } from "./event_splitter.ts";
-import { getForwardable } from "./headers.ts";
+import { getEndToEndHeaders } from "./headers.ts";
 import { createPauseSampler, type PauseSampler } from "./pause_sampler.ts";
 import type { PickedUpstream } from "./pick_upstream.ts";
 import { AttemptFailed } from "./types.ts";
@@ -138,7 +138,7 @@
 function startStream(call: Call, response: UpstreamResponse): void {
   const { res } = call;
   const { rawHeaders, statusCode = 200 } = response.res;
-  const headers = getForwardable(rawHeaders);
+  const headers = getEndToEndHeaders(rawHeaders);
   if (mustClose(res)) headers.push("Connection", "close");
   call.progress.status = statusCode;
   res.writeHead(statusCode, headers);
--- a/src/forwarding/types.ts
+++ b/src/forwarding/types.ts
@@ -98,7 +98,7 @@
     headers: IncomingHttpHeaders,
   ): ResponseHeaders;
   /** Headers of a rejection, which the system itself generates. */
-  createRejectionHeaders(reply: RejectionHeaders): Record<string, string>;
+  createRejectionHeaders(rejection: RejectionHeaders): Record<string, string>;
 }
 
 /** The values that the headers of a rejection carry. */
--- a/src/pacing/first_event_model.ts
+++ b/src/pacing/first_event_model.ts
@@ -24,12 +24,12 @@
    * Adds a sample: the first event arrived `tookMs` after its prompt was sent,
    * with `readingTokens` to prefill before it.
    */
-  addSample(readingTokens: number, tookMs: number): void;
+  addSample(prefillTokens: number, tookMs: number): void;
   /**
    * Predicts the time to the first event, in ms, when `readingTokens` have to
    * be prefilled, including the prompt's own.
    */
-  predictMs(readingTokens: number): number;
+  predictMs(prefillTokens: number): number;
   /**
    * Returns the number of tokens that can be prefilled such that the first
    * event arrives within the given time.
@@ -101,21 +101,21 @@
   const getSums = () => addFirstEventSums(local, host.getRemoteSums());
 
   return {
-    addSample(readingTokens, tookMs) {
+    addSample(prefillTokens, tookMs) {
       decay();
       const ms = Math.min(tookMs, MAX_SAMPLE_MS);
       local = addFirstEventSums(local, {
         count: 1,
-        tokens: readingTokens,
+        tokens: prefillTokens,
         ms,
-        tokensSquared: readingTokens ** 2,
-        tokensMs: readingTokens * ms,
+        tokensSquared: prefillTokens ** 2,
+        tokensMs: prefillTokens * ms,
       });
     },
-    predictMs(readingTokens) {
+    predictMs(prefillTokens) {
       const sums = getSums();
       const slope = getSlope(sums);
-      return getBaseMs(sums, slope) + slope * readingTokens;
+      return getBaseMs(sums, slope) + slope * prefillTokens;
     },
     getTokensWithin(ms) {
       const sums = getSums();
--- a/src/pacing/pacing.ts
+++ b/src/pacing/pacing.ts
@@ -25,7 +25,7 @@
    * Records a first event that arrived `tookMs` after its prompt was sent, with
    * `readingTokens` to prefill before it.
    */
-  recordFirstEvent(readingTokens: number, tookMs: number): void;
+  recordFirstEvent(prefillTokens: number, tookMs: number): void;
   /**
    * Records a response that paused for longer than its target (`isLate`), or
    * that ran for a sample period without such a pause.
--- a/src/upstreams/backoff_watch.ts
+++ b/src/upstreams/backoff_watch.ts
@@ -20,13 +20,13 @@
 /** The back-offs that this host was asked for. */
 export interface BackoffWatch {
   /** Records that the upstream wants no requests for the given time, in ms. */
-  record(life: UpstreamLife, backoffMs: number): void;
+  record(instance: UpstreamLife, backoffMs: number): void;
   /** Returns the remaining time of the back-off, in ms; 0 if there is none. */
-  getRemainingMs(life: UpstreamLife): number;
+  getRemainingMs(instance: UpstreamLife): number;
   /**
    * Records a response, which shows that the upstream accepts requests again.
    */
-  recordSuccess(life: UpstreamLife): void;
+  recordSuccess(instance: UpstreamLife): void;
   /**
    * Returns the upstreams that may get a request now. After a back-off, an
    * upstream gets few requests at a time until it has responded to some (slow
@@ -67,8 +67,8 @@
     return backoff?.incarnation === incarnation ? backoff : undefined;
   }
 
-  function getRemainingMs(life: UpstreamLife): number {
-    const untilMs = tryGet(life)?.untilMs ?? -Infinity;
+  function getRemainingMs(instance: UpstreamLife): number {
+    const untilMs = tryGet(instance)?.untilMs ?? -Infinity;
     return Math.max(0, untilMs - clock.monotonicMs());
   }
 
@@ -79,25 +79,25 @@
   }
 
   return {
-    record(life, backoffMs) {
+    record(instance, backoffMs) {
       const nowMs = clock.monotonicMs();
       evictExpired(nowMs);
       const untilMs = nowMs + backoffMs;
       // Of several back-offs, the one that ends last applies.
-      const earlierUntilMs = tryGet(life)?.untilMs ?? -Infinity;
-      backoffs.set(life.id, {
-        incarnation: life.incarnation,
+      const earlierUntilMs = tryGet(instance)?.untilMs ?? -Infinity;
+      backoffs.set(instance.id, {
+        incarnation: instance.incarnation,
         untilMs: Math.max(untilMs, earlierUntilMs),
         maxInFlight: INITIAL_IN_FLIGHT,
       });
     },
     getRemainingMs,
-    recordSuccess(life) {
-      const backoff = tryGet(life);
+    recordSuccess(instance) {
+      const backoff = tryGet(instance);
       // Requests sent before the back-off may still be answered during it.
-      if (backoff === undefined || getRemainingMs(life) > 0) return;
+      if (backoff === undefined || getRemainingMs(instance) > 0) return;
       backoff.maxInFlight *= GROWTH_FACTOR;
-      if (backoff.maxInFlight > MAX_IN_FLIGHT) backoffs.delete(life.id);
+      if (backoff.maxInFlight > MAX_IN_FLIGHT) backoffs.delete(instance.id);
     },
     filterAvailable(upstreams, getInFlight) {
       if (backoffs.size === 0) return upstreams;
