--- a/src/forwarding/headers.ts
+++ b/src/forwarding/headers.ts
@@ -1,5 +1,6 @@
 /**
- * Filters out hop-by-hop headers, which by the HTTP standard are not forwarded.
+ * Removes hop-by-hop headers, which by the HTTP standard apply to one
+ * connection and are not forwarded.
  *
  * @module
  */
@@ -20,9 +21,9 @@
 ]);
 
 /**
- * Returns the headers to forward, as alternating names and values. Removes
+ * Returns the end-to-end headers, as alternating names and values. Removes
  * hop-by-hop headers, the headers named by `Connection`, and `Content-Length`,
- * which the sender of the next hop sets to the length actually sent.
+ * which the sender on the next hop sets to the length actually sent.
  */
 export function getEndToEndHeaders(rawHeaders: readonly string[]): string[] {
   const named = getConnectionOptions(rawHeaders);
--- a/src/forwarding/relay_stream.ts
+++ b/src/forwarding/relay_stream.ts
@@ -74,7 +74,7 @@
       progress.longestPauseMs = Math.max(progress.longestPauseMs, pauseMs);
       progress.chunks++;
       lastChunkMs = nowMs;
-      // Time for which events waited unread in a long event-loop turn is a
+      // The time for which events waited unread in a long event-loop turn is a
       // pause of this host and not of the upstream.
       pauseSampler?.addPause(pauseMs - host.getUnreadMs(), nowMs);
       if (!caller.headersSent) startStream(call, response);
--- a/src/pacing/first_event_model.ts
+++ b/src/pacing/first_event_model.ts
@@ -22,11 +22,11 @@
 export interface FirstEventModel {
   /**
    * Adds a sample: the first event arrived `tookMs` after its prompt was sent,
-   * with `readingTokens` to prefill before it.
+   * with `prefillTokens` to prefill before it.
    */
   addSample(prefillTokens: number, tookMs: number): void;
   /**
-   * Predicts the time to the first event, in ms, when `readingTokens` have to
+   * Predicts the time to the first event, in ms, when `prefillTokens` have to
    * be prefilled, including the prompt's own.
    */
   predictMs(prefillTokens: number): number;
--- a/src/pacing/pacing.ts
+++ b/src/pacing/pacing.ts
@@ -23,7 +23,7 @@
 export interface Pacing {
   /**
    * Records a first event that arrived `tookMs` after its prompt was sent, with
-   * `readingTokens` to prefill before it.
+   * `prefillTokens` to prefill before it.
    */
   recordFirstEvent(prefillTokens: number, tookMs: number): void;
   /**
--- a/src/pacing/pause_limit.ts
+++ b/src/pacing/pause_limit.ts
@@ -80,8 +80,8 @@
 const INCREASE_BELOW_SHARE = 0.025;
 
 /**
- * Least number of responses, after decay, for an adjustment. With fewer, a
- * single response would decide.
+ * An adjustment needs more than this number of responses, after decay. With
+ * fewer, a single response would decide.
  */
 const MIN_ANSWERS = 3;
 
