--- a/src/forwarding/call.ts
+++ b/src/forwarding/call.ts
@@ -13,7 +13,7 @@
 import type {
   UpstreamDirectory,
   UpstreamEntry,
-  UpstreamLife,
+  UpstreamInstance,
 } from "../discovery/mod.ts";
 import type { LoadView } from "../load/mod.ts";
 import type { Distance } from "../placement/mod.ts";
@@ -33,7 +33,7 @@
   readonly agent: Agent;
   readonly directory: UpstreamDirectory;
   /** Called when a response states that the upstream instance is leaving. */
-  markLeaving(instance: UpstreamLife): void;
+  markLeaving(instance: UpstreamInstance): void;
   readonly queue: PromptQueue;
   readonly load: LoadView;
   /**
--- a/src/forwarding/pick_upstream.ts
+++ b/src/forwarding/pick_upstream.ts
@@ -16,7 +16,7 @@
   rankByLoad,
 } from "../placement/mod.ts";
 import type { Choice, PromptRefusal, WaitingPrompt } from "../queue/mod.ts";
-import { hasLeft } from "../requests/caller.ts";
+import { hasDisconnected } from "../requests/caller.ts";
 import { type Call, type ForwardHost, getRemainingMs } from "./call.ts";
 import { createNotRunRejection, Rejected } from "./rejections.ts";
 import { getBackoffRetryMs } from "./retry_after.ts";
@@ -127,7 +127,7 @@
       size,
       workTokens,
       getChoices: createRankingCache(host, call, prompt),
-      isWanted: () => !hasLeft(call.res),
+      isWanted: () => !hasDisconnected(call.res),
       start(id, { readingTokens, queuedTokens }) {
         const upstream = host.directory.getReady(call.service)
           .find((each) => each.id === id)!;
--- a/src/forwarding/read_body.ts
+++ b/src/forwarding/read_body.ts
@@ -12,8 +12,8 @@
 import { startTimeLimit } from "../core/mod.ts";
 import {
   type CallerLost,
-  createVanished,
-  onCallerLeft,
+  createDisconnected,
+  onCallerDisconnected,
 } from "../requests/caller.ts";
 import { Rejected } from "./rejections.ts";
 
@@ -71,9 +71,9 @@
     );
     req.on("data", onData);
     req.on("end", onEnd);
-    const caller = onCallerLeft(
+    const caller = onCallerDisconnected(
       res,
-      () => finish(Effect.fail(createVanished())),
+      () => finish(Effect.fail(createDisconnected())),
     );
     return Effect.sync(stop);
   });
--- a/src/forwarding/relay_stream.ts
+++ b/src/forwarding/relay_stream.ts
@@ -13,8 +13,8 @@
 import { startTimeLimit } from "../core/mod.ts";
 import {
   type CallerLost,
-  createVanished,
-  onCallerLeft,
+  createDisconnected,
+  onCallerDisconnected,
 } from "../requests/caller.ts";
 import type { Call, ForwardHost } from "./call.ts";
 import { createEventSplitter, type EventChunk } from "./event_splitter.ts";
@@ -107,9 +107,9 @@
       idleTimeout?.[Symbol.dispose]();
       resume(response.isComplete.pipe(Effect.flatMap(finish)));
     });
-    const callerWatch = onCallerLeft(
+    const callerWatch = onCallerDisconnected(
       caller,
-      () => resume(Effect.fail(createVanished())),
+      () => resume(Effect.fail(createDisconnected())),
     );
     return Effect.sync(() => {
       callerWatch[Symbol.dispose]();
--- a/src/peers/mod.ts
+++ b/src/peers/mod.ts
@@ -1,13 +1,13 @@
 /**
- * Links between routers: gRPC streams for slots and counters, datagrams for
- * membership.
+ * Communication between hosts: gRPC links for slots and counters, UDP datagrams
+ * for membership and load reports, and fetches of configurations and tables.
  *
  * @module
  */
 
 export * from "./datagrams.ts";
 export * from "./fetch.ts";
-export * from "./frames.ts";
+export * from "./peer_service.ts";
 export * from "./peer_link.ts";
 export * from "./peer_server.ts";
 export * from "./load_codec.ts";
--- a/src/quarantine/quarantine.ts
+++ b/src/quarantine/quarantine.ts
@@ -1,73 +1,85 @@
 /**
- * Counts crashes by content over the whole fleet and refuses what reaches the
- * limit.
+ * Counts crashes by content over the whole fleet, and refuses content that
+ * reaches the limit.
  *
- * Load: one request crashes each upstream that runs it, and its caller sends it
- * again, at another host each time. Harm prevented: upstream after upstream
- * goes down, with all that runs beside it.
+ * Load: one request crashes each upstream that runs it, and its caller resends
+ * it, each time to another host. Failure prevented: one upstream after another
+ * crashes, with all requests that run beside it.
  *
- * The count is a row of the table service, so that it survives every host, and
- * a fact that spreads from host to host, so that no request waits for the store.
+ * The count is stored in a row of the table service, so that it survives the
+ * loss of any host, and is gossiped as a fact between hosts, so that no request
+ * waits for the table service.
  *
  * @module
  */
 
 import * as Effect from "effect/Effect";
 import type { PlatformError, Row } from "../platform/mod.ts";
-import { type CatchUpHost, createCatchUp } from "./catch_up.ts";
+import {
+  createPartitionRefresh,
+  type PartitionRefreshHost,
+} from "./partition_refresh.ts";
 import {
   CRASH_TABLE,
   createCrashRecords,
   type RecordsHost,
-  tryGetLive,
+  tryGetUnexpired,
 } from "./records.ts";
 import { createTrials, type TrialHost } from "./trial.ts";
 import {
   CRASH_LIMIT,
-  type CrashOptions,
+  type CrashCircumstances,
   type CrashRecord,
   type Quarantine,
 } from "./types.ts";
 
-/** What the quarantine needs of the process. */
+/** Dependencies of the quarantine, supplied by the process. */
 export interface QuarantineHost
-  extends RecordsHost, TrialHost, Omit<CatchUpHost, "refresh"> {
-  /** Tells all hosts by gossip, within seconds. */
-  spread(record: CrashRecord): void;
-  /** Tells all hosts within one network delay, unless a datagram is lost. */
-  push(record: CrashRecord): void;
+  extends RecordsHost, TrialHost, Omit<PartitionRefreshHost, "refresh"> {
+  /** Sends the record to all hosts by gossip, which takes seconds. */
+  gossip(record: CrashRecord): void;
+  /**
+   * Sends the record to all hosts directly, within one network latency;
+   * datagrams may be lost.
+   */
+  broadcast(record: CrashRecord): void;
 }
 
-/** Time for the store to count, in ms; then this host's count stands alone. */
-const COUNT_LIMIT_MS = 2_000;
+/**
+ * Time-out for counting in the table service, in ms; after it, only this host's
+ * own count is used.
+ */
+const COUNT_TIMEOUT_MS = 2_000;
 
 /**
- * Wait for a pushed record to reach all hosts, in ms: two and a half times the
- * one-way latency between regions. It is pushed twice, since a datagram can be
- * lost. Without the wait the caller's resend to another host gets there first.
+ * Time for a broadcast record to reach all hosts, in ms: two and a half times
+ * the one-way latency between regions. The record is sent twice, since a
+ * datagram can be lost. Without the wait, the caller's resend would reach
+ * another host before the record.
  */
-const PUSH_WAIT_MS = 50;
+const BROADCAST_WAIT_MS = 50;
 
 /**
- * Up to so many hosts a first crash is pushed too. It is one datagram for each
- * host and each request that ran there: in larger fleets gossip must do.
+ * Largest fleet in which a first crash is broadcast, too. The broadcast costs
+ * one datagram for each host and each request that ran on the crashed upstream,
+ * so larger fleets rely on gossip.
  */
-const PUSH_ALL_HOSTS = 50;
+const MAX_BROADCAST_HOSTS = 50;
 
-/** Makes a quarantine that knows of no crash. */
+/** Creates a quarantine without crash records. */
 export function createQuarantine(host: QuarantineHost): Quarantine {
   const records = createCrashRecords(host);
   const trials = createTrials(host, records);
 
-  function countInStore(
+  function countInTable(
     fingerprint: string,
-    isAlone: boolean,
+    isExclusive: boolean,
     row: Row,
   ): Effect.Effect<CrashRecord | undefined> {
-    const stored = tryGetLive(row, host.clock.wallMs());
+    const stored = tryGetUnexpired(row, host.clock.wallMs());
     const own = records.getCrashes(fingerprint);
     const known = Math.max(stored?.crashes ?? 0, own);
-    const record = records.create(fingerprint, addCrash(known, isAlone));
+    const record = records.create(fingerprint, getNewCount(known, isExclusive));
     return host.commit.write({
       table: CRASH_TABLE,
       key: fingerprint,
@@ -78,7 +90,7 @@
         case "committed":
           return Effect.succeed(record);
         case "conflict":
-          return countInStore(fingerprint, isAlone, result.row);
+          return countInTable(fingerprint, isExclusive, result.row);
         case "failed":
           return Effect.succeed(undefined);
       }
@@ -87,35 +99,35 @@
 
   function recordCrash(
     fingerprint: string,
-    options: CrashOptions,
+    options: CrashCircumstances,
   ): Effect.Effect<number> {
-    const { isAlone, isFinal } = options;
+    const { isExclusive, isFinal } = options;
     return Effect.gen(function* () {
       const counted = yield* host.tables.get(CRASH_TABLE, fingerprint).pipe(
-        Effect.flatMap((row) => countInStore(fingerprint, isAlone, row)),
+        Effect.flatMap((row) => countInTable(fingerprint, isExclusive, row)),
         Effect.catchTag("PlatformError", () => Effect.succeed(undefined)),
         Effect.timeoutOrElse({
-          duration: COUNT_LIMIT_MS,
+          duration: COUNT_TIMEOUT_MS,
           orElse: () => Effect.succeed(undefined),
         }),
       );
-      const own = addCrash(records.getCrashes(fingerprint), isAlone);
+      const own = getNewCount(records.getCrashes(fingerprint), isExclusive);
       const record = counted ?? records.create(fingerprint, own);
-      records.learn(record);
+      records.merge(record);
       const isUrgent = isFinal || record.crashes >= CRASH_LIMIT ||
-        host.countHosts() <= PUSH_ALL_HOSTS;
-      if (isUrgent) yield* pushTwice(record);
-      else host.spread(record);
+        host.countHosts() <= MAX_BROADCAST_HOSTS;
+      if (isUrgent) yield* broadcastTwice(record);
+      else host.gossip(record);
       return record.crashes;
     });
   }
 
-  function pushTwice(record: CrashRecord): Effect.Effect<void> {
+  function broadcastTwice(record: CrashRecord): Effect.Effect<void> {
     return Effect.gen(function* () {
-      host.push(record);
-      yield* Effect.sleep(PUSH_WAIT_MS);
-      host.push(record);
-      yield* Effect.sleep(PUSH_WAIT_MS);
+      host.broadcast(record);
+      yield* Effect.sleep(BROADCAST_WAIT_MS);
+      host.broadcast(record);
+      yield* Effect.sleep(BROADCAST_WAIT_MS);
     });
   }
 
@@ -123,10 +135,10 @@
     return Effect.gen(function* () {
       if (records.getCrashes(fingerprint) >= CRASH_LIMIT) return;
       const cleared = records.create(fingerprint, 0);
-      records.learn(cleared);
-      host.spread(cleared);
+      records.merge(cleared);
+      host.gossip(cleared);
       const row = yield* host.tables.get(CRASH_TABLE, fingerprint);
-      const stored = tryGetLive(row, host.clock.wallMs());
+      const stored = tryGetUnexpired(row, host.clock.wallMs());
       if (stored === undefined || stored.crashes >= CRASH_LIMIT) return;
       yield* remove(row);
     }).pipe(Effect.catchTag("PlatformError", () => Effect.void));
@@ -145,8 +157,8 @@
     records.prune();
     const rows = yield* host.tables.list(CRASH_TABLE, "");
     for (const row of rows) {
-      const record = tryGetLive(row, host.clock.wallMs());
-      if (record !== undefined) records.learn(record);
+      const record = tryGetUnexpired(row, host.clock.wallMs());
+      if (record !== undefined) records.merge(record);
       else yield* remove(row);
     }
   }).pipe(Effect.catchTag("PlatformError", () => Effect.void));
@@ -158,17 +170,18 @@
     recordCrash,
     beginTrial: trials.begin,
     endTrial: trials.end,
-    catchUp: createCatchUp({ ...host, refresh }),
+    refreshIfPartitioned: createPartitionRefresh({ ...host, refresh }),
     clear,
-    receiveFact: (value) => records.learn(JSON.parse(value) as CrashRecord),
+    receiveFact: (value) => records.merge(JSON.parse(value) as CrashRecord),
     refresh,
   };
 }
 
 /**
- * In company only the first crash counts: whatever ran beside a crashing
- * request may meet it again by chance. Alone, there is nobody else to blame.
+ * Returns the new crash count. Crashes beside other requests count only once,
+ * since a harmless request may run beside the crashing one again by chance. A
+ * request with exclusive use is the only possible cause.
  */
-function addCrash(known: number, isAlone: boolean): number {
-  return isAlone ? known + 1 : Math.max(known, 1);
+function getNewCount(known: number, isExclusive: boolean): number {
+  return isExclusive ? known + 1 : Math.max(known, 1);
 }
--- a/src/requests/parse.ts
+++ b/src/requests/parse.ts
@@ -1,6 +1,7 @@
 /**
- * From an HTTP request to a checked call: team, service, operation, body,
- * deadline and key. What is wrong with it is a final reply, since nothing ran.
+ * Parses an HTTP request into a validated call: team, service, operation, body,
+ * deadline and idempotency key. An invalid request gets a final reply with the
+ * outcome "not-run".
  *
  * @module
  */
@@ -11,56 +12,62 @@
 import * as Effect from "effect/Effect";
 import { getDigest, isEqualInConstantTime } from "../core/mod.ts";
 import type { Deployment, Operation, Service, Team } from "../types.ts";
-import { createNotRun, type FinalReply } from "./reply.ts";
+import { createNotRunReply, type FinalReply } from "./reply.ts";
 
-/** A request that ends before it is admitted. */
+/** A request that is rejected with a final reply. */
 export class RequestRejected extends Data.TaggedError("RequestRejected")<{
   readonly reply: FinalReply;
 }> {}
 
-/** A call as the caller asked for it. */
+/** A validated call. */
 export interface ParsedCall {
   readonly team: Team;
   readonly service: Service;
   readonly operation: Operation;
   readonly body: string;
-  /** Time that the caller gives, in ms. */
+  /** Time-out of the caller, in ms, limited to the maximum of the service. */
   readonly timeoutMs: number;
-  /** Empty for none. */
+  /** Empty when the caller sent none. */
   readonly idempotencyKey: string;
-  /** The caller's hint of the cost; rough. */
+  /** The caller's rough estimate of the cost. */
   readonly costHint: number | undefined;
-  /** Same for a resend of the same content. */
+  /**
+   * Digest of service, operation and body; equal for a resend of the same
+   * content.
+   */
   readonly fingerprint: string;
 }
 
-/** A body that has not arrived after so long is given up, in ms. */
-export const BODY_LIMIT_MS = 30_000;
+/** Time-out for receiving a request body, in ms. */
+export const BODY_TIMEOUT_MS = 30_000;
 
-/** What a caller sends after its answer is read for so long, in ms. */
-const DISCARD_LIMIT_MS = 5_000;
+/**
+ * How long data is read and discarded that the caller sends after its response,
+ * in ms.
+ */
+const DISCARD_TIMEOUT_MS = 5_000;
 
-const PATH = /^\/v1\/([^/]+)\/([^/]+)$/;
+const CALL_PATH = /^\/v1\/([^/]+)\/([^/]+)$/;
 
-/** Finds the team whose key the request carries. */
+/** Finds the team of the key that the request carries. */
 export function authenticate(
   req: IncomingMessage,
   teams: readonly Team[],
 ): Effect.Effect<Team, RequestRejected> {
   const header = req.headers.authorization ?? "";
   if (!header.startsWith("Bearer ")) {
-    return reject(createNotRun(401, "missingKey"));
+    return reject(createNotRunReply(401, "missingKey"));
   }
   const digest = getDigest(header.slice("Bearer ".length));
   const team = teams.find((each) =>
     isEqualInConstantTime(each.keyDigest, digest)
   );
   return team === undefined
-    ? reject(createNotRun(401, "unknownKey"))
+    ? reject(createNotRunReply(401, "unknownKey"))
     : Effect.succeed(team);
 }
 
-/** Reads and checks a call; fails with the reply that ends it. */
+/** Parses and validates a call; fails with the reply to an invalid request. */
 export function parseCall(
   req: IncomingMessage,
   deployment: Deployment,
@@ -72,17 +79,17 @@
     if (!operation.idempotent && idempotencyKey === "") {
       const args = [operation.name];
       return yield* reject(
-        createNotRun(400, "missingIdempotencyKey", { args }),
+        createNotRunReply(400, "missingIdempotencyKey", { args }),
       );
     }
-    const timeoutMs = yield* readNumber(
+    const timeoutMs = yield* readNumberHeader(
       req,
       "azurestile-timeout-ms",
       service.maxDeadlineMs,
     );
-    const costHint = yield* readNumber(req, "azurestile-cost-hint", NaN);
+    const costHint = yield* readNumberHeader(req, "azurestile-cost-hint", NaN);
     const body = yield* readBody(req, service.maxBodyBytes);
-    yield* checkJson(body);
+    yield* checkJsonObject(body);
     return {
       team,
       service,
@@ -96,7 +103,7 @@
   });
 }
 
-/** Ends the request with the reply. */
+/** Fails with the reply, which ends the request. */
 export function reject(
   reply: FinalReply,
 ): Effect.Effect<never, RequestRejected> {
@@ -106,28 +113,32 @@
 function findOperation(req: IncomingMessage, deployment: Deployment) {
   return Effect.gen(function* () {
     const path = (req.url ?? "").split("?")[0]!;
-    const match = PATH.exec(path);
+    const match = CALL_PATH.exec(path);
     if (match === null) {
-      return yield* reject(createNotRun(404, "unknownPath", { args: [path] }));
+      return yield* reject(
+        createNotRunReply(404, "unknownPath", { args: [path] }),
+      );
     }
     const [, serviceId = "", operationName = ""] = match;
     const service = deployment.services.find((each) => each.id === serviceId);
     if (service === undefined) {
       const args = [serviceId];
-      return yield* reject(createNotRun(404, "unknownService", { args }));
+      return yield* reject(createNotRunReply(404, "unknownService", { args }));
     }
     const operation = service.operations.find((each) =>
       each.name === operationName
     );
     if (operation === undefined) {
       const args = [serviceId, operationName];
-      return yield* reject(createNotRun(404, "unknownOperation", { args }));
+      return yield* reject(
+        createNotRunReply(404, "unknownOperation", { args }),
+      );
     }
     return { service, operation };
   });
 }
 
-function readNumber(
+function readNumberHeader(
   req: IncomingMessage,
   header: string,
   fallback: number,
@@ -137,26 +148,27 @@
   const value = Number(text);
   if (Number.isFinite(value) && value > 0) return Effect.succeed(value);
   const args = [header, String(text), "a positive number"];
-  return reject(createNotRun(400, "badHeader", { args }));
+  return reject(createNotRunReply(400, "badHeader", { args }));
 }
 
 /**
- * Reads the body by events and not by iteration: ending an iteration early
- * destroys the connection, and the caller would not get its answer.
+ * Reads the body by events and not by asynchronous iteration: ending an
+ * iteration early destroys the connection, and the caller would not get its
+ * response.
  */
 function readBody(
   req: IncomingMessage,
   maxBytes: number,
 ): Effect.Effect<string, RequestRejected> {
   const declared = Number(req.headers["content-length"] ?? 0);
-  const tooLarge = createNotRun(413, "bodyTooLarge", { args: [maxBytes] });
-  if (declared > maxBytes) return discardBody(req, tooLarge);
+  const tooLarge = createNotRunReply(413, "bodyTooLarge", { args: [maxBytes] });
+  if (declared > maxBytes) return rejectAndDiscardBody(req, tooLarge);
   return Effect.callback<string, RequestRejected>((resume) => {
     const chunks: Buffer[] = [];
     let size = 0;
     const onData = (chunk: Buffer) => {
       size += chunk.length;
-      if (size > maxBytes) resume(discardBody(req, tooLarge));
+      if (size > maxBytes) resume(rejectAndDiscardBody(req, tooLarge));
       else chunks.push(chunk);
     };
     const onEnd = () =>
@@ -168,37 +180,40 @@
       req.off("end", onEnd);
     });
   }).pipe(Effect.timeoutOrElse({
-    duration: BODY_LIMIT_MS,
+    duration: BODY_TIMEOUT_MS,
     orElse: () => {
-      const args = [BODY_LIMIT_MS];
-      return discardBody(req, createNotRun(408, "slowBody", { args }));
+      const args = [BODY_TIMEOUT_MS];
+      return rejectAndDiscardBody(
+        req,
+        createNotRunReply(408, "slowBody", { args }),
+      );
     },
   }));
 }
 
 /**
- * Answers a caller that may still be sending. What it sends is read and thrown
- * away for a while: a connection that is closed with unread data is reset, and
- * the reset can overtake the answer.
+ * Responds to a caller that may still be sending. Its data is read and
+ * discarded for a while: closing a connection with unread data resets it, and
+ * the reset can overtake the response.
  */
-function discardBody(
+function rejectAndDiscardBody(
   req: IncomingMessage,
   reply: FinalReply,
 ): Effect.Effect<never, RequestRejected> {
   req.resume();
-  const timer = setTimeout(() => req.destroy(), DISCARD_LIMIT_MS);
+  const timer = setTimeout(() => req.destroy(), DISCARD_TIMEOUT_MS);
   req.on("close", () => clearTimeout(timer));
   return reject(reply);
 }
 
-function checkJson(body: string): Effect.Effect<void, RequestRejected> {
+function checkJsonObject(body: string): Effect.Effect<void, RequestRejected> {
   try {
     const value: unknown = JSON.parse(body);
     if (typeof value === "object" && value !== null) return Effect.void;
-    const args = ["the value is no object"];
-    return reject(createNotRun(400, "malformedJson", { args }));
+    const args = ["the value is not an object"];
+    return reject(createNotRunReply(400, "malformedJson", { args }));
   } catch (err) {
     const args = [err instanceof Error ? err.message : String(err)];
-    return reject(createNotRun(400, "malformedJson", { args }));
+    return reject(createNotRunReply(400, "malformedJson", { args }));
   }
 }
--- a/src/router/serving.ts
+++ b/src/router/serving.ts
@@ -73,11 +73,11 @@
     clock,
     tables: platform.tables,
     commit: createGroupCommit(platform.tables),
-    spread: (record) => membership.spreadFact(createCrashFact(record, clock)),
-    push: (record) => membership.pushFact(createCrashFact(record, clock)),
+    gossip: (record) => membership.spreadFact(createCrashFact(record, clock)),
+    broadcast: (record) => membership.pushFact(createCrashFact(record, clock)),
     onQuarantined: journal.contentQuarantined,
     countHosts: () => membership.getMembers().length,
-    isSomeHostOutOfSight: parts.isSomeHostOutOfSight,
+    isAnyHostUnreachable: parts.isSomeHostOutOfSight,
   });
   const claims = createClaims({
     id,
@@ -122,7 +122,7 @@
     getDeployment,
     isDraining: drain.isRefusing,
     waitUntilGivingUp: drain.waitUntilGivingUp,
-    isProcessGone,
+    isProcessDead: isProcessGone,
     charge,
     runDetached: drain.runDetached,
     onEnded: journal.requestEnded,
--- a/src/upstreams/backoff_watch.ts
+++ b/src/upstreams/backoff_watch.ts
@@ -15,24 +15,24 @@
  */
 
 import type { Clock } from "../core/mod.ts";
-import type { UpstreamLife } from "../discovery/mod.ts";
+import type { UpstreamInstance } from "../discovery/mod.ts";
 
 /** The back-offs that this host was asked for. */
 export interface BackoffWatch {
   /** Records that the upstream wants no requests for the given time, in ms. */
-  record(instance: UpstreamLife, backoffMs: number): void;
+  record(instance: UpstreamInstance, backoffMs: number): void;
   /** Returns the remaining time of the back-off, in ms; 0 if there is none. */
-  getRemainingMs(instance: UpstreamLife): number;
+  getRemainingMs(instance: UpstreamInstance): number;
   /**
    * Records a response, which shows that the upstream accepts requests again.
    */
-  recordSuccess(instance: UpstreamLife): void;
+  recordSuccess(instance: UpstreamInstance): void;
   /**
    * Returns the upstreams that may get a request now. After a back-off, an
    * upstream gets few requests at a time until it has responded to some (slow
    * start), unless there is no other upstream.
    */
-  filterAvailable<T extends UpstreamLife>(
+  filterAvailable<T extends UpstreamInstance>(
     upstreams: readonly T[],
     getInFlight: (id: string) => number,
   ): readonly T[];
@@ -62,12 +62,12 @@
 export function createBackoffWatch(clock: Clock): BackoffWatch {
   const backoffs = new Map<string, Backoff>();
 
-  function tryGet({ id, incarnation }: UpstreamLife): Backoff | undefined {
+  function tryGet({ id, incarnation }: UpstreamInstance): Backoff | undefined {
     const backoff = backoffs.get(id);
     return backoff?.incarnation === incarnation ? backoff : undefined;
   }
 
-  function getRemainingMs(instance: UpstreamLife): number {
+  function getRemainingMs(instance: UpstreamInstance): number {
     const untilMs = tryGet(instance)?.untilMs ?? -Infinity;
     return Math.max(0, untilMs - clock.monotonicMs());
   }
--- a/src/upstreams/http_upstreams_test.ts
+++ b/src/upstreams/http_upstreams_test.ts
@@ -2,7 +2,7 @@
 import type { AddressInfo } from "node:net";
 import { test } from "node:test";
 import * as Effect from "effect/Effect";
-import { listen, type Listening } from "../entry/servers.ts";
+import { listen, type ListeningServer } from "../entry/servers.ts";
 import { block } from "../testing/block.ts";
 import {
   createHttpUpstreams,
@@ -12,7 +12,7 @@
 const LOOPBACK = "127.0.0.1:0";
 
 /** Returns the IP address and port on which the server listens. */
-function getAddress({ server }: Listening): string {
+function getAddress({ server }: ListeningServer): string {
   return `127.0.0.1:${(server.address() as AddressInfo).port}`;
 }
 
