--- a/src/forwarding/headers.ts
+++ b/src/forwarding/headers.ts
@@ -1,11 +1,12 @@
 /**
- * Headers that concern one connection and go no further, by the HTTP standard.
+ * Removes hop-by-hop headers, which by the HTTP standard apply to one
+ * connection and are not forwarded.
  *
  * @module
  */
 
-/** Of a connection, or of how a body is framed on it. */
-const CONNECTION_HEADERS = new Set([
+/** Headers that apply to one connection, or to the framing of a body on it. */
+const HOP_BY_HOP_HEADERS = new Set([
   "connection",
   "keep-alive",
   "proxy-authenticate",
@@ -20,19 +21,19 @@
 ]);
 
 /**
- * Gives the headers that go on, name and value by turns, without those that the
- * `Connection` header names and without the body's length, which the sender of
- * the next hop sets by what it really sends.
+ * Returns the end-to-end headers, as alternating names and values. Removes
+ * hop-by-hop headers, the headers named by `Connection`, and `Content-Length`,
+ * which the sender on the next hop sets to the length actually sent.
  */
-export function getForwardable(rawHeaders: readonly string[]): string[] {
-  const named = getNamedByConnection(rawHeaders);
+export function getEndToEndHeaders(rawHeaders: readonly string[]): string[] {
+  const named = getConnectionOptions(rawHeaders);
   return filterHeaders(
     rawHeaders,
-    (name) => !CONNECTION_HEADERS.has(name) && !named.has(name),
+    (name) => !HOP_BY_HOP_HEADERS.has(name) && !named.has(name),
   );
 }
 
-/** Keeps the headers whose lower-case name passes. */
+/** Returns the headers whose lower-case name satisfies the predicate. */
 export function filterHeaders(
   rawHeaders: readonly string[],
   isKept: (name: string) => boolean,
@@ -45,7 +46,7 @@
   return kept;
 }
 
-function getNamedByConnection(
+function getConnectionOptions(
   rawHeaders: readonly string[],
 ): ReadonlySet<string> {
   const named = new Set<string>();
--- /dev/null
+++ b/src/forwarding/relay_stream.ts
@@ -0,0 +1,150 @@
+/**
+ * Relays the events of a stream as they arrive: complete events only, and no
+ * faster than the caller reads them. The response head is sent together with
+ * the first event, so that until then another upstream can take over without
+ * the caller noticing.
+ *
+ * @module
+ */
+
+import type { Buffer } from "node:buffer";
+import type { ServerResponse } from "node:http";
+import * as Effect from "effect/Effect";
+import { startTimeLimit } from "../core/mod.ts";
+import {
+  type CallerLost,
+  createDisconnected,
+  onCallerDisconnected,
+} from "../requests/caller.ts";
+import type { Call, ForwardHost } from "./call.ts";
+import { createEventSplitter, type EventChunk } from "./event_splitter.ts";
+import { getEndToEndHeaders } from "./headers.ts";
+import { createPauseSampler, type PauseSampler } from "./pause_sampler.ts";
+import type { PickedUpstream } from "./pick_upstream.ts";
+import { AttemptFailed } from "./types.ts";
+import {
+  createTruncatedError,
+  type UpstreamResponse,
+} from "./upstream_call.ts";
+
+/**
+ * A resumable stream that delivers no event within this time, in ms, is resumed
+ * at another upstream. This is four times the longest pause that counts as on
+ * time, and less than the 2 s and more after which callers leave.
+ */
+const STREAM_IDLE_TIMEOUT_MS = 1_600;
+
+/** Relays the stream to its end. Fails if the stream is truncated. */
+export function relayStream(
+  host: ForwardHost,
+  call: Call,
+  picked: PickedUpstream,
+  response: UpstreamResponse,
+): Effect.Effect<void, AttemptFailed | CallerLost> {
+  return Effect.callback<void, AttemptFailed | CallerLost>((resume) => {
+    const { res: caller, progress, route } = call;
+    const { res: upstreamRes } = response;
+    const splitter = createEventSplitter();
+    const canFailOver = route.isResumable &&
+      progress.possibleRuns < route.maxAttempts;
+    const idleTimeout = canFailOver
+      ? startTimeLimit(STREAM_IDLE_TIMEOUT_MS, onIdle)
+      : undefined;
+
+    function onIdle(): void {
+      response.abort();
+      const reason = `No event within ${STREAM_IDLE_TIMEOUT_MS} ms`;
+      resume(Effect.fail(new AttemptFailed({ kind: "silent", reason })));
+    }
+
+    function onFirstEvent(nowMs: number): void {
+      progress.endPrefill();
+      progress.firstEventMs ??= nowMs - call.arrivedMs;
+      if (picked.queuedTokens === undefined) return;
+      const tookMs = nowMs - progress.attemptStartedMs - host.getUnreadMs();
+      host.getPacing(call.service)
+        .recordFirstEvent(picked.queuedTokens, Math.max(0, tookMs));
+    }
+
+    let lastChunkMs: number | undefined;
+    function relayChunk(chunk: EventChunk): void {
+      const nowMs = host.clock.monotonicMs();
+      if (lastChunkMs === undefined) onFirstEvent(nowMs);
+      const pauseMs = nowMs - (lastChunkMs ?? nowMs);
+      progress.longestPauseMs = Math.max(progress.longestPauseMs, pauseMs);
+      progress.chunks++;
+      lastChunkMs = nowMs;
+      // The time for which events waited unread in a long event-loop turn is a
+      // pause of this host and not of the upstream.
+      pauseSampler?.addPause(pauseMs - host.getUnreadMs(), nowMs);
+      if (!caller.headersSent) startStream(call, response);
+      progress.lastEventId = chunk.lastEventId ?? progress.lastEventId;
+      if (caller.write(chunk.bytes)) return;
+      upstreamRes.pause();
+      caller.once("drain", () => upstreamRes.resume());
+    }
+
+    const pauseSampler = createSampler(host, call);
+    upstreamRes.on("data", (bytes: Buffer) => {
+      host.health.recordActivity(picked.upstream.id);
+      idleTimeout?.restart();
+      const chunk = splitter.push(bytes);
+      if (chunk !== undefined) relayChunk(chunk);
+    });
+    function finish(isComplete: boolean): Effect.Effect<void, AttemptFailed> {
+      if (!isComplete) return Effect.fail(createTruncatedError());
+      if (splitter.getIncomplete().length > 0) {
+        const reason = "The stream ended in the middle of an event";
+        return Effect.fail(new AttemptFailed({ kind: "broken", reason }));
+      }
+      pauseSampler?.end();
+      if (!caller.headersSent) startStream(call, response);
+      caller.end();
+      return Effect.void;
+    }
+
+    upstreamRes.on("close", () => {
+      idleTimeout?.[Symbol.dispose]();
+      resume(response.isComplete.pipe(Effect.flatMap(finish)));
+    });
+    const callerWatch = onCallerDisconnected(
+      caller,
+      () => resume(Effect.fail(createDisconnected())),
+    );
+    return Effect.sync(() => {
+      callerWatch[Symbol.dispose]();
+      idleTimeout?.[Symbol.dispose]();
+      if (!upstreamRes.complete) response.abort();
+    });
+  });
+}
+
+/**
+ * Creates a sampler that reports the pauses of one response to the pacing of
+ * its service; `undefined` if the route has no pause target.
+ */
+function createSampler(
+  host: ForwardHost,
+  { route, service }: Call,
+): PauseSampler | undefined {
+  const { pauseTargetMs } = route;
+  if (pauseTargetMs === undefined) return undefined;
+  return createPauseSampler({
+    targetMs: pauseTargetMs,
+    onSample: host.getPacing(service).recordPause,
+  });
+}
+
+function startStream(call: Call, response: UpstreamResponse): void {
+  const { res } = call;
+  const { rawHeaders, statusCode = 200 } = response.res;
+  const headers = getEndToEndHeaders(rawHeaders);
+  if (mustClose(res)) headers.push("Connection", "close");
+  call.progress.status = statusCode;
+  res.writeHead(statusCode, headers);
+}
+
+/** Whether the connection to the caller is to be closed after this response. */
+function mustClose(res: ServerResponse): boolean {
+  return res.getHeader("connection") !== undefined;
+}
--- a/src/pacing/pause_limit_test.ts
+++ b/src/pacing/pause_limit_test.ts
@@ -1,43 +1,49 @@
 import { strictEqual } from "node:assert";
 import { test } from "node:test";
 import { createManualClock } from "../core/mod.ts";
-import { createPauseLimit, type PauseEvidence } from "./pause_limit.ts";
+import { createPauseLimit, type PauseStats } from "./pause_limit.ts";
 
 const CEILING_TOKENS = 100_000;
 
-/** A limit that has seen nothing, beside others that have seen what is given. */
-function createFixture(others: PauseEvidence) {
+/**
+ * Creates a limit without samples, with the given statistics of the other
+ * hosts.
+ */
+function createFixture(others: PauseStats) {
   const clock = createManualClock(1_000);
   const limit = createPauseLimit({
     nowMs: clock.monotonicMs,
-    getOthers: () => others,
+    getRemoteStats: () => others,
   });
   clock.advance(500);
   return limit;
 }
 
-test("a host that saw nothing comes halfway to the others at once", () => {
-  // Guards against a host that starts with a limit far under the others'.
+test("a host without samples moves halfway to the others' limit at once", () => {
+  // Guards against a restarted host whose limit is far below that of the
+  // others.
   const answers = 40;
   const others = { hosts: 2, limitTokens: 40_000 * answers, answers };
-  // Late answers between narrowing and widening: no other change.
+  // A late share between both thresholds, so that nothing else changes the
+  // limit.
   const limit = createFixture({ ...others, lateAnswers: answers * 0.04 });
-  strictEqual(limit.getTokens(CEILING_TOKENS), 27_000);
+  strictEqual(limit.getLimitTokens(CEILING_TOKENS), 27_000);
 });
 
-test("hosts without answers don't hold the limit where it was", () => {
-  // Guards against idle hosts whose first limit would pull all others to it.
+test("hosts without responses do not influence the limit", () => {
+  // Guards against idle hosts whose initial limit would attract the limits of
+  // all other hosts.
   const first = createFixture({
     hosts: 0,
     limitTokens: 0,
     answers: 0,
     lateAnswers: 0,
-  }).getTokens(CEILING_TOKENS);
+  }).getLimitTokens(CEILING_TOKENS);
   const beside = createFixture({
     hosts: 60,
     limitTokens: 0,
     answers: 0,
     lateAnswers: 0,
-  }).getTokens(CEILING_TOKENS);
+  }).getLimitTokens(CEILING_TOKENS);
   strictEqual(beside, first);
 });
--- a/src/requests/run_idempotent_test.ts
+++ b/src/requests/run_idempotent_test.ts
@@ -21,8 +21,8 @@
 } from "../testing/fake_request_host.ts";
 import type { AdmittedRequest } from "../types.ts";
 import {
-  type AnswerEvent,
-  type AnswerStream,
+  type EventStream,
+  type StreamEvent,
   type UpstreamClient,
   UpstreamError,
   type UpstreamFailure,
@@ -71,13 +71,13 @@
     });
   }
 
-  function openStream(id: string, from: number): AnswerStream {
+  function openStream(id: string, from: number): EventStream {
     const stream = streams.get(id);
     if (stream === undefined) throw fail("forgotten");
     let offset = from;
     let isOpen = true;
     stream.readers++;
-    const next = attempt(async (): Promise<AnswerEvent | undefined> => {
+    const next = attempt(async (): Promise<StreamEvent | undefined> => {
       await applyNextResult("event");
       if (!streams.has(id)) throw fail("broken");
       stream.produced = Math.max(
--- a/src/requests/run_on_engine.ts
+++ b/src/requests/run_on_engine.ts
@@ -16,9 +16,9 @@
 } from "../streams/mod.ts";
 import type { Upstream } from "../types.ts";
 import {
-  type AnswerStream,
+  type EventStream,
   mayHaveRun,
-  type StreamPlace,
+  type StreamLocation,
   UpstreamError,
 } from "../upstreams/mod.ts";
 import { type CallerLost, writeToCaller } from "./caller.ts";
@@ -35,7 +35,7 @@
   /** Deadline of the caller, in monotonic milliseconds. */
   readonly deadlineMs: number;
   /** Opens the stream. */
-  readonly open: Effect.Effect<AnswerStream, UpstreamError>;
+  readonly open: Effect.Effect<EventStream, UpstreamError>;
 }
 
 /** Streams the response to the caller; returns its cost in tokens. */
@@ -44,7 +44,7 @@
   attempt: EngineAttempt,
 ): Effect.Effect<number, UpstreamError | CallerLost> {
   const { progress, upstream } = attempt;
-  const place: StreamPlace = {
+  const place: StreamLocation = {
     address: upstream.address,
     stream: attempt.name.stream,
   };
@@ -53,7 +53,7 @@
     progress.isSent = true;
     const stream = yield* openStream(host, attempt, place);
     progress.mayHaveRun = true;
-    const time = (each: AnswerStream) =>
+    const time = (each: EventStream) =>
       measureTokenTimes(host, each, attempt, startMs);
     return yield* followStream<CallerLost>(time(stream), progress, {
       resume: (offset) =>
@@ -94,10 +94,10 @@
  */
 function measureTokenTimes(
   host: ServeHost,
-  stream: AnswerStream,
+  stream: EventStream,
   attempt: EngineAttempt,
   startMs: number,
-): AnswerStream {
+): EventStream {
   const { progress } = attempt;
   const next = Effect.suspend(() => {
     const askedMs = host.clock.monotonicMs();
@@ -125,8 +125,8 @@
 function openStream(
   host: ServeHost,
   attempt: EngineAttempt,
-  place: StreamPlace,
-): Effect.Effect<AnswerStream, UpstreamError> {
+  place: StreamLocation,
+): Effect.Effect<EventStream, UpstreamError> {
   return attempt.open.pipe(
     Effect.catchTag("UpstreamError", (err) => {
       if (err.failure === "refused") attempt.progress.isSent = false;
--- a/src/slots/slot_requester.ts
+++ b/src/slots/slot_requester.ts
@@ -70,7 +70,7 @@
     const { team, ageMs } = want;
     const previous = teams.get(team)?.upstreams ?? new Set<string>();
     const upstreams = selectUpstreams({ ageMs, candidates, previous });
-    const hasAllInRegion = upstreams.size >= candidates.near.length;
+    const hasAllInRegion = upstreams.size >= candidates.sameRegion.length;
     const dueMs = host.nowMs() + getSelectionLifetimeMs(ageMs, hasAllInRegion);
     teams.set(team, { upstreams, dueMs });
     return [...previous].filter((each) => !upstreams.has(each));
--- a/src/upstreams/mod.ts
+++ b/src/upstreams/mod.ts
@@ -1,13 +1,14 @@
 /**
- * Calls to model engines and plain services.
+ * Calls to model engines and plain services, and what this host observes of
+ * them.
  *
  * @module
  */
 
 export * from "./health.ts";
 export * from "./http_upstreams.ts";
-export * from "./load_watch.ts";
-export * from "./occupancy.ts";
+export * from "./state_poll.ts";
+export * from "./upstream_locks.ts";
 export * from "./types.ts";
 export * from "./health_watch.ts";
-export * from "./rest_watch.ts";
+export * from "./backoff_watch.ts";
