--- a/src/slots/slot_client.ts
+++ b/src/slots/slot_client.ts
@@ -1,7 +1,7 @@
 /**
- * The entry host's side of slots: asks owners for slots while requests wait
- * here, gives each granted slot to the oldest request of its team, keeps slots
- * while nobody else waits, and returns them otherwise.
+ * The entry host's side of slots: requests slots from owners while requests
+ * wait at this host, gives each granted slot to the oldest request of its team,
+ * keeps slots while no other host needs them, and returns them otherwise.
  *
  * @module
  */
@@ -13,7 +13,7 @@
   type TeamQueues,
 } from "../queue/mod.ts";
 import type { AdmittedRequest, Upstream } from "../types.ts";
-import type { Candidates } from "./asking.ts";
+import type { Candidates } from "./upstream_selection.ts";
 import { createKeptSlots, type KeptSlot } from "./kept_slots.ts";
 import type {
   Grant,
@@ -24,96 +24,108 @@
   Release,
   SlotRequest,
 } from "./types.ts";
-import { createServiceAsking, type ServiceAsking } from "./service_asking.ts";
-import { createWantsTold } from "./wants_told.ts";
+import { createSlotRequester, type SlotRequester } from "./slot_requester.ts";
+import { createReportedWants } from "./reported_wants.ts";
 
-/** How the use of a slot ended, as the request's run tells it. */
+/** How a request that used a slot ended, as reported by the request. */
 export type SlotEnd = Omit<Release, "upstream" | "slot" | "team">;
 
-/** A slot in the hands of a request. */
+/** A slot held by a request. */
 export interface SlotHandle {
   readonly upstream: Upstream;
-  /** Gives the slot back; later calls do nothing. */
+  /** Releases the slot; further calls have no effect. */
   release(end: SlotEnd): void;
 }
 
-/** What the entry side needs of the process. */
+/** Dependencies of the slot client, supplied by the process. */
 export interface SlotClientHost {
   nowMs(): number;
   getCandidates(service: string): Candidates;
   tryGetUpstream(id: string): Upstream | undefined;
-  /** Whether the upstream takes no new work. */
+  /** Whether the upstream is being drained and takes no new requests. */
   isLeaving(upstream: string): boolean;
   /** Sends to the owner of the upstream, which may be this host. */
   sendRequest(req: SlotRequest): void;
   sendRelease(release: Release): void;
   sendKeptUses(uses: KeptUses): void;
-  /** Takes in an owner's hint of its free slots. */
+  /** Receives the owner's hint of how many slots it can still grant. */
   onFreeHint(upstream: string, free: number): void;
 }
 
-/** The entry side of all services at one host. */
+/** Slots of all services, as seen from one entry host. */
 export interface SlotClient {
-  /** Queues the request; `start` is called with its slot, maybe at once. */
+  /**
+   * Queues the request; calls `start` with the granted slot, possibly at once.
+   */
   wait(req: AdmittedRequest, start: (slot: SlotHandle) => void): void;
-  /** Takes a waiting request back; false when its slot came already. */
+  /** Removes a waiting request; returns false when it already has its slot. */
   cancel(req: AdmittedRequest): boolean;
   receiveGrant(grant: Grant): void;
   receiveRecall(recall: Recall): void;
-  /** Tells the owner of the upstream all, after a change of owner or link. */
+  /**
+   * Sends the full state to the owner of the upstream, after the owner changed
+   * or the connection to it was lost.
+   */
   resync(upstream: string): void;
-  /** Sends what has changed; called a few milliseconds after a change. */
+  /**
+   * Sends the changes to the owners; called a few milliseconds after a change.
+   */
   flush(): void;
   getQueues(service: string): TeamQueues<SlotHandle>;
-  /** Whether slots of the upstream are used, kept or asked for here. */
+  /** Whether this host uses, keeps or has requested slots of the upstream. */
   isUsing(upstream: string): boolean;
 }
 
-/** Uses of kept slots are told so often, in ms: the owner's limit lags by it. */
-export const KEPT_USES_MS = 500;
+/**
+ * How often the host reports requests on kept slots to their owner, in ms. The
+ * owner's adaptive limit reacts with this delay.
+ */
+export const KEPT_USES_INTERVAL_MS = 500;
 
 interface Service {
   readonly queues: TeamQueues<SlotHandle>;
-  readonly asking: ServiceAsking;
+  readonly requester: SlotRequester;
 }
 
-const UNUSED: SlotEnd = { cost: 0, firstByteMs: 0, result: "unused" };
+const UNUSED_END: SlotEnd = { cost: 0, firstByteMs: 0, result: "unused" };
 
-/** Makes the entry side with empty queues. */
+/** Creates a slot client with empty queues. */
 export function createSlotClient(host: SlotClientHost): SlotClient {
   const services = new Map<string, Service>();
-  const told = createWantsTold();
+  const reportedWants = createReportedWants();
   const kept = createKeptSlots();
-  const mayKeep = new Set<string>();
-  /** Slots that requests use here, by upstream. */
-  const used = new Map<string, Map<number, string>>();
+  const keepableUpstreams = new Set<string>();
+  /**
+   * Teams by slot number of the slots that requests of this host use, by
+   * upstream.
+   */
+  const slotsInUse = new Map<string, Map<number, string>>();
   const keptUses = new Map<string, KeptUse[]>();
   let keptUsesDueMs = Infinity;
 
   function createService(service: string): Service {
     const queues = createTeamQueues<SlotHandle>();
-    const asking = createServiceAsking({
+    const requester = createSlotRequester({
       queues,
-      told,
+      reportedWants,
       nowMs: host.nowMs,
       getCandidates: () => host.getCandidates(service),
       sendWants: (upstream, wants) =>
         host.sendRequest({ upstream, wants, full: false, held: [] }),
     });
-    return { queues, asking };
+    return { queues, requester };
   }
 
   function getService(service: string): Service {
     return getOrCreate(services, service, () => createService(service));
   }
 
-  /** Takes the team's oldest request out of its queue. */
-  function tryTake(
+  function tryDequeue(
     service: string,
     team: string,
   ): QueuedRequest<SlotHandle> | undefined {
-    const { queues, asking } = getService(service);
-    asking.markChanged(team);
+    const { queues, requester } = getService(service);
+    requester.markChanged(team);
     return queues.tryTake(team);
   }
 
@@ -122,7 +134,7 @@
     slot: number,
     team: string,
   ): SlotHandle {
-    const inUse = getOrCreate(used, upstream.id, () => new Map());
+    const inUse = getOrCreate(slotsInUse, upstream.id, () => new Map());
     inUse.set(slot, team);
     let isReleased = false;
     return {
@@ -131,9 +143,9 @@
         if (isReleased) return;
         isReleased = true;
         inUse.delete(slot);
-        if (end.result === "answered" && isKeeping(upstream.id)) {
+        if (end.result === "answered" && mayKeepSlots(upstream.id)) {
           recordKeptUse(upstream.id, slot, end);
-          reuse(upstream, slot, team);
+          reuseSlot(upstream, slot, team);
         } else {
           host.sendRelease({ upstream: upstream.id, slot, team, ...end });
         }
@@ -141,29 +153,38 @@
     };
   }
 
-  /** A kept slot must not bring new work to an upstream that leaves. */
-  function isKeeping(upstream: string): boolean {
-    return mayKeep.has(upstream) && !host.isLeaving(upstream);
+  /**
+   * Whether slots of the upstream may be kept: not while it is being drained,
+   * since a kept slot must not bring new requests to it.
+   */
+  function mayKeepSlots(upstream: string): boolean {
+    return keepableUpstreams.has(upstream) && !host.isLeaving(upstream);
   }
 
   function recordKeptUse(upstream: string, slot: number, end: SlotEnd): void {
     const { firstByteMs, tokenIntervalMs = 0 } = end;
     const use = { slot, firstByteMs, tokenIntervalMs };
     getOrCreate(keptUses, upstream, () => []).push(use);
-    keptUsesDueMs = Math.min(keptUsesDueMs, host.nowMs() + KEPT_USES_MS);
+    keptUsesDueMs = Math.min(
+      keptUsesDueMs,
+      host.nowMs() + KEPT_USES_INTERVAL_MS,
+    );
   }
 
-  /** Gives the slot to the next request here, of its team first, or keeps it. */
-  function reuse(upstream: Upstream, slot: number, team: string): void {
+  /**
+   * Gives the slot to the next request at this host, preferring the slot's
+   * team; keeps the slot when no request waits.
+   */
+  function reuseSlot(upstream: Upstream, slot: number, team: string): void {
     const { queues } = getService(upstream.service);
     for (const each of [team, ...queues.getCounts().keys()]) {
-      const next = tryTake(upstream.service, each);
+      const next = tryDequeue(upstream.service, each);
       if (next === undefined) continue;
       next.start(createHandle(upstream, slot, each));
       return;
     }
     const sinceMs = host.nowMs();
-    kept.put(upstream.service, { upstream: upstream.id, slot, sinceMs });
+    kept.add(upstream.service, { upstream: upstream.id, slot, sinceMs });
   }
 
   function tryTakeKept(req: AdmittedRequest): SlotHandle | undefined {
@@ -171,22 +192,22 @@
       const slot = kept.tryTake(req.service);
       if (slot === undefined) return undefined;
       const upstream = host.tryGetUpstream(slot.upstream);
-      if (upstream !== undefined && isKeeping(upstream.id)) {
+      if (upstream !== undefined && mayKeepSlots(upstream.id)) {
         return createHandle(upstream, slot.slot, req.team);
       }
-      returnKept([slot]);
+      releaseKeptSlots([slot]);
     }
   }
 
-  function returnKept(slots: readonly KeptSlot[]): void {
+  function releaseKeptSlots(slots: readonly KeptSlot[]): void {
     for (const { upstream, slot } of slots) {
-      host.sendRelease({ upstream, slot, team: "", ...UNUSED });
+      host.sendRelease({ upstream, slot, team: "", ...UNUSED_END });
     }
   }
 
-  function stopKeeping(upstream: string): void {
-    mayKeep.delete(upstream);
-    returnKept(kept.takeAll(upstream));
+  function stopKeepingSlots(upstream: string): void {
+    keepableUpstreams.delete(upstream);
+    releaseKeptSlots(kept.takeByUpstream(upstream));
   }
 
   function flushKeptUses(nowMs: number): void {
@@ -199,7 +220,7 @@
   }
 
   function getHeld(upstream: string): readonly HeldSlot[] {
-    return [...used.get(upstream) ?? []].map(([slot, team]) => ({
+    return [...slotsInUse.get(upstream) ?? []].map(([slot, team]) => ({
       slot,
       team,
     }));
@@ -207,14 +228,15 @@
 
   function resync(upstreamId: string): void {
     const upstream = host.tryGetUpstream(upstreamId);
-    mayKeep.delete(upstreamId);
-    // The owner does not know them, or drops them since they aren't declared.
-    kept.takeAll(upstreamId);
-    told.forget(upstreamId);
+    keepableUpstreams.delete(upstreamId);
+    // A new owner does not know the idle kept slots, and an owner that receives
+    // the full state frees them, since they are not among the held slots.
+    kept.takeByUpstream(upstreamId);
+    reportedWants.clear(upstreamId);
     if (upstream === undefined) return;
     host.sendRequest({
       upstream: upstreamId,
-      wants: getService(upstream.service).asking.declare(upstreamId),
+      wants: getService(upstream.service).requester.declare(upstreamId),
       full: true,
       held: getHeld(upstreamId),
     });
@@ -222,54 +244,55 @@
 
   return {
     wait(req, start) {
-      const { queues, asking } = getService(req.service);
+      const { queues, requester } = getService(req.service);
       const handle = queues.getTotal() === 0 ? tryTakeKept(req) : undefined;
       if (handle !== undefined) {
         start(handle);
         return;
       }
       queues.add({ req, start });
-      asking.markChanged(req.team);
+      requester.markChanged(req.team);
     },
     cancel(req) {
-      const { queues, asking } = getService(req.service);
-      asking.markChanged(req.team);
+      const { queues, requester } = getService(req.service);
+      requester.markChanged(req.team);
       return queues.remove(req);
     },
     receiveGrant(grant) {
-      told.countGrant(grant.upstream, grant.team);
+      reportedWants.deductGrant(grant.upstream, grant.team);
       host.onFreeHint(grant.upstream, grant.free);
-      if (grant.keep) mayKeep.add(grant.upstream);
-      else stopKeeping(grant.upstream);
+      if (grant.keep) keepableUpstreams.add(grant.upstream);
+      else stopKeepingSlots(grant.upstream);
       const upstream = host.tryGetUpstream(grant.upstream);
-      const next = upstream && tryTake(upstream.service, grant.team);
+      const next = upstream && tryDequeue(upstream.service, grant.team);
       if (upstream !== undefined && next !== undefined) {
         next.start(createHandle(upstream, grant.slot, grant.team));
       } else if (upstream !== undefined && grant.keep) {
-        reuse(upstream, grant.slot, grant.team);
+        reuseSlot(upstream, grant.slot, grant.team);
       } else {
         host.sendRelease({
           upstream: grant.upstream,
           slot: grant.slot,
           team: grant.team,
-          ...UNUSED,
+          ...UNUSED_END,
         });
       }
     },
     receiveRecall(recall) {
-      stopKeeping(recall.upstream);
+      stopKeepingSlots(recall.upstream);
       if (recall.redeclare) resync(recall.upstream);
     },
     resync,
     flush() {
-      for (const { asking } of services.values()) asking.flush();
+      for (const { requester } of services.values()) requester.flush();
       const nowMs = host.nowMs();
-      returnKept(kept.takeExpired(nowMs));
+      releaseKeptSlots(kept.takeExpired(nowMs));
       flushKeptUses(nowMs);
     },
     getQueues: (service) => getService(service).queues,
     isUsing: (upstream) =>
-      (used.get(upstream)?.size ?? 0) > 0 || told.hasAny(upstream) ||
-      mayKeep.has(upstream),
+      (slotsInUse.get(upstream)?.size ?? 0) > 0 ||
+      reportedWants.hasAny(upstream) ||
+      keepableUpstreams.has(upstream),
   };
 }
