--- a/src/orders/decide_order.ts
+++ b/src/orders/decide_order.ts
@@ -16,7 +16,7 @@
 import type { Order } from "./types.ts";
 
 /** The next order, or `undefined` when there is none to give now. */
-export function tryDecideOrder(
+export function tryGetNextOrder(
   declared: Upstream,
   state: UpstreamState,
 ): Order | undefined {
--- a/src/orders/lease.ts
+++ b/src/orders/lease.ts
@@ -44,7 +44,7 @@
   readonly id: string;
   readonly clock: Clock;
   readonly tables: TableService;
-  createAttempt(): string;
+  createAttemptId(): string;
 }
 
 /** Acquires and releases leases. */
@@ -62,64 +62,64 @@
 }
 
 /** Long enough for one order with its reads, short for a host that died. */
-export const LEASE_MS = 10_000;
+export const LEASE_DURATION_MS = 10_000;
 
 /**
  * Two monotonic clocks may run apart by so much. Machines keep within 0.05%;
  * twenty times that costs the next holder a tenth of a second.
  */
-const CLOCK_RATE_ERROR = 0.01;
+const MAX_CLOCK_RATE_ERROR = 0.01;
 
-interface Observed {
+interface ObservedRow {
   readonly rowVersion: number;
   readonly sinceMs: number;
 }
 
-interface Held {
+interface HeldRow {
   readonly row: LeaseRow;
   readonly rowVersion: number;
 }
 
 /** Makes the leases of one host; it holds none. */
 export function createLeases(host: LeaseHost): Leases {
-  const observed = new Map<string, Observed>();
-  const held = new Map<Lease, Held>();
+  const observedRows = new Map<string, ObservedRow>();
+  const heldRows = new Map<Lease, HeldRow>();
 
   /** Whether the row is free by this host's own count. */
-  function isFree(name: string, row: Row, waitOutMs: number): boolean {
+  function isAvailable(name: string, row: Row, waitOutMs: number): boolean {
     if (row.version === 0) return true;
     const value = row.value as LeaseRow;
     if (value.isReleased) return true;
     const nowMs = host.clock.monotonicMs();
-    const known = observed.get(name);
-    if (known?.rowVersion !== row.version) {
-      observed.set(name, { rowVersion: row.version, sinceMs: nowMs });
+    const seen = observedRows.get(name);
+    if (seen?.rowVersion !== row.version) {
+      observedRows.set(name, { rowVersion: row.version, sinceMs: nowMs });
       return false;
     }
-    const lapsesMs = value.durationMs * (1 + 2 * CLOCK_RATE_ERROR) +
+    const expiresAfterMs = value.durationMs * (1 + 2 * MAX_CLOCK_RATE_ERROR) +
       Math.max(waitOutMs, value.waitOutMs);
-    return nowMs - known.sinceMs >= lapsesMs;
+    return nowMs - seen.sinceMs >= expiresAfterMs;
   }
 
   function tryAcquire(name: string, waitOutMs: number) {
     return Effect.gen(function* () {
       const found = yield* host.tables.get(TABLE, name);
-      if (!isFree(name, found, waitOutMs)) return undefined;
+      if (!isAvailable(name, found, waitOutMs)) return undefined;
       const row: LeaseRow = {
         holder: host.id,
         token: ((found.value as LeaseRow | null)?.token ?? 0) + 1,
-        attempt: host.createAttempt(),
-        durationMs: LEASE_MS,
+        attempt: host.createAttemptId(),
+        durationMs: LEASE_DURATION_MS,
         waitOutMs,
         isReleased: false,
       };
       // Counted from before the write is sent: it may take effect at any time
       // after, and the others count from then.
       const sentMs = host.clock.monotonicMs();
-      const isOurs = yield* write(name, row, found.version);
-      if (!isOurs) return undefined;
+      const isAcquired = yield* write(name, row, found.version);
+      if (!isAcquired) return undefined;
       const lease = createLease(name, row.token, sentMs);
-      held.set(lease, { row, rowVersion: found.version + 1 });
+      heldRows.set(lease, { row, rowVersion: found.version + 1 });
       return lease;
     });
   }
@@ -128,7 +128,8 @@
     return {
       name,
       token,
-      getRemainingMs: () => sentMs + LEASE_MS - host.clock.monotonicMs(),
+      getRemainingMs: () =>
+        sentMs + LEASE_DURATION_MS - host.clock.monotonicMs(),
     };
   }
 
@@ -156,11 +157,11 @@
     tryAcquire,
     release: (lease) =>
       Effect.suspend(() => {
-        const known = held.get(lease);
-        if (known === undefined) return Effect.void;
-        held.delete(lease);
-        const row = { ...known.row, isReleased: true };
-        return write(lease.name, row, known.rowVersion).pipe(Effect.asVoid);
+        const heldRow = heldRows.get(lease);
+        if (heldRow === undefined) return Effect.void;
+        heldRows.delete(lease);
+        const row = { ...heldRow.row, isReleased: true };
+        return write(lease.name, row, heldRow.rowVersion).pipe(Effect.asVoid);
       }),
   };
 }
--- a/src/orders/order_client.ts
+++ b/src/orders/order_client.ts
@@ -15,7 +15,7 @@
   readonly order: Order;
   readonly token: number;
   /** Asked right before the bytes that make the request whole. */
-  mayBegin(): boolean;
+  isLeaseValid(): boolean;
 }
 
 /** An upstream acknowledges an order at once and then works on it. */
@@ -38,8 +38,8 @@
       name: formatOrder(call.order),
     });
     const [host, port] = upstream.address.split(":");
-    let isWhole = false;
-    const end = (result: OrderResult) => resume(Effect.succeed(result));
+    let isSent = false;
+    const finish = (result: OrderResult) => resume(Effect.succeed(result));
     const req = sendRequest({
       host,
       port: Number(port),
@@ -49,25 +49,25 @@
       agent: false,
       timeout: ORDER_TIMEOUT_MS,
     });
-    const limit = startTimeLimit(ORDER_TIMEOUT_MS, () => req.destroy());
+    const timeout = startTimeLimit(ORDER_TIMEOUT_MS, () => req.destroy());
     req.on("response", (res) => {
       res.resume();
-      end(res.statusCode === 200 ? "taken" : "refused");
+      finish(res.statusCode === 200 ? "taken" : "refused");
     });
     // A request that was never whole was not begun.
-    req.on("error", () => end(isWhole ? "unanswered" : "lapsed"));
+    req.on("error", () => finish(isSent ? "unanswered" : "lapsed"));
     req.on("socket", (socket) =>
       socket.once("connect", () => {
-        if (!call.mayBegin()) {
+        if (!call.isLeaseValid()) {
           req.destroy();
-          end("lapsed");
+          finish("lapsed");
           return;
         }
-        isWhole = true;
+        isSent = true;
         req.end(body);
       }));
     return Effect.sync(() => {
-      limit[Symbol.dispose]();
+      timeout[Symbol.dispose]();
       req.destroy();
     });
   });
--- a/src/orders/orders.ts
+++ b/src/orders/orders.ts
@@ -15,26 +15,26 @@
 import type { PlatformError } from "../platform/mod.ts";
 import type { Upstream } from "../types.ts";
 import type { UpstreamState } from "../upstreams/mod.ts";
-import { tryDecideOrder } from "./decide_order.ts";
+import { tryGetNextOrder } from "./decide_order.ts";
 import type { Lease, Leases } from "./lease.ts";
 import { ORDER_TIMEOUT_MS, type OrderCall } from "./order_client.ts";
 import type { Reservations } from "./reservations.ts";
 import { formatOrder, type Order, type OrderResult } from "./types.ts";
 
 /** What orders need of the process. */
-export interface OrdersHost {
+export interface OrderReconcilerHost {
   readonly leases: Leases;
   readonly reservations: Reservations;
   tryGetState(upstream: Upstream): Effect.Effect<UpstreamState | undefined>;
   sendOrder(upstream: Upstream, call: OrderCall): Effect.Effect<OrderResult>;
-  onGiven(
+  onOrderSent(
     upstream: string,
     given: { order: string; token: number; result: OrderResult },
   ): void;
 }
 
 /** Gives orders. */
-export interface Orders {
+export interface OrderReconciler {
   /** Looks at an upstream's state, and gives the order that it needs. */
   reconcile(
     upstream: Upstream,
@@ -46,31 +46,33 @@
  * Left on the lease when an order begins: its call may last so long, and a
  * process may be held up for a moment between the check and the write.
  */
-const NEEDED_MS = ORDER_TIMEOUT_MS + 500;
+const MIN_REMAINING_LEASE_MS = ORDER_TIMEOUT_MS + 500;
 
 /** From sending until an order has ended or shows in the upstream's state. */
-const LONGEST_ORDER_MS = 5_000;
+const DEFAULT_MAX_ORDER_MS = 5_000;
 
 /** Makes the orders of one host. */
-export function createOrders(host: OrdersHost): Orders {
-  const busy = new Set<string>();
+export function createOrderReconciler(
+  host: OrderReconcilerHost,
+): OrderReconciler {
+  const active = new Set<string>();
 
-  function giveOrder(
+  function sendWithLease(
     upstream: Upstream,
     order: Order,
   ): Effect.Effect<void, PlatformError> {
     return Effect.gen(function* () {
-      if (order.kind === "load" && !host.reservations.mayAsk()) return;
+      if (order.kind === "load" && !host.reservations.canRequest()) return;
       const name = `orders/${upstream.id}`;
       const lease = yield* host.leases.tryAcquire(name, getWaitOutMs(upstream));
       if (lease === undefined) return;
-      const result = yield* giveUnder(lease, upstream, order);
-      if (mayRelease(upstream, result)) yield* host.leases.release(lease);
+      const result = yield* revalidateAndSend(lease, upstream, order);
+      if (canReleaseLease(upstream, result)) yield* host.leases.release(lease);
     });
   }
 
   /** Under the lease, when the order is still the one that is needed. */
-  function giveUnder(
+  function revalidateAndSend(
     lease: Lease,
     upstream: Upstream,
     order: Order,
@@ -78,7 +80,7 @@
     return Effect.gen(function* () {
       // The last holder may have given it since this host looked.
       const state = yield* host.tryGetState(upstream);
-      const needed = state && tryDecideOrder(upstream, state);
+      const needed = state && tryGetNextOrder(upstream, state);
       const text = formatOrder(order);
       if (needed === undefined || formatOrder(needed) !== text) {
         return "not-sent";
@@ -92,9 +94,13 @@
       const result = yield* host.sendOrder(upstream, {
         order,
         token: lease.token,
-        mayBegin: () => lease.getRemainingMs() >= NEEDED_MS,
+        isLeaseValid: () => lease.getRemainingMs() >= MIN_REMAINING_LEASE_MS,
+      });
+      host.onOrderSent(upstream.id, {
+        order: text,
+        token: lease.token,
+        result,
       });
-      host.onGiven(upstream.id, { order: text, token: lease.token, result });
       return result;
     });
   }
@@ -102,11 +108,11 @@
   return {
     reconcile: (upstream, state) =>
       Effect.suspend(() => {
-        const order = tryDecideOrder(upstream, state);
-        if (order === undefined || busy.has(upstream.id)) return Effect.void;
-        busy.add(upstream.id);
-        return giveOrder(upstream, order).pipe(
-          Effect.ensuring(Effect.sync(() => busy.delete(upstream.id))),
+        const order = tryGetNextOrder(upstream, state);
+        if (order === undefined || active.has(upstream.id)) return Effect.void;
+        active.add(upstream.id);
+        return sendWithLease(upstream, order).pipe(
+          Effect.ensuring(Effect.sync(() => active.delete(upstream.id))),
         );
       }),
   };
@@ -115,11 +121,11 @@
 /** An upstream that checks tokens refuses what the last holder sends late. */
 function getWaitOutMs(upstream: Upstream): number {
   if (upstream.fencing === "checks") return 0;
-  return upstream.longestOrderMs ?? LONGEST_ORDER_MS;
+  return upstream.longestOrderMs ?? DEFAULT_MAX_ORDER_MS;
 }
 
 /** An order without an answer may still be under way: its lease has to lapse. */
-function mayRelease(
+function canReleaseLease(
   upstream: Upstream,
   result: OrderResult | "not-sent",
 ): boolean {
--- a/src/orders/orders_test.ts
+++ b/src/orders/orders_test.ts
@@ -14,14 +14,14 @@
 import { createFakePlatform } from "../testing/fake_platform.ts";
 import type { FencingKind, Upstream } from "../types.ts";
 import type { UpstreamState } from "../upstreams/mod.ts";
-import { tryDecideOrder } from "./decide_order.ts";
-import { createLeases, LEASE_MS } from "./lease.ts";
+import { tryGetNextOrder } from "./decide_order.ts";
+import { createLeases, LEASE_DURATION_MS } from "./lease.ts";
 import type { OrderCall } from "./order_client.ts";
-import { createOrders, type OrdersHost } from "./orders.ts";
+import { createOrderReconciler, type OrderReconcilerHost } from "./orders.ts";
 import { createReservations } from "./reservations.ts";
 
 /** Longer than a lease, so that a wait that is left out shows. */
-const FLIGHT_LIMIT_MS = 15_000;
+const MAX_FLIGHT_MS = 15_000;
 
 function createUpstream(input: Partial<Upstream> = {}): Upstream {
   return {
@@ -31,7 +31,7 @@
     address: "127.0.0.1:1",
     maxSlots: 4,
     fencing: "ignores",
-    longestOrderMs: FLIGHT_LIMIT_MS,
+    longestOrderMs: MAX_FLIGHT_MS,
     ...input,
   };
 }
@@ -50,7 +50,7 @@
 test("a new model is loaded before the old one is unloaded", () => {
   const declared = createUpstream({ model: "new" });
   const decide = (state: Partial<UpstreamState>) =>
-    tryDecideOrder(declared, createState(state));
+    tryGetNextOrder(declared, createState(state));
   assert.deepEqual(decide({ models: ["old"] }), { kind: "load", model: "new" });
   assert.equal(decide({ models: ["old"], workingOn: "load new" }), undefined);
   assert.deepEqual(decide({ models: ["old", "new"] }), {
@@ -62,26 +62,26 @@
 
 test("what operators don't declare is left alone", () => {
   const state = createState({ models: ["theirs"], role: "prefill" });
-  assert.equal(tryDecideOrder(createUpstream(), state), undefined);
-  const plain = createState({ models: undefined });
+  assert.equal(tryGetNextOrder(createUpstream(), state), undefined);
+  const unreported = createState({ models: undefined });
   const declared = createUpstream({ model: "new" });
-  assert.equal(tryDecideOrder(declared, plain), undefined);
+  assert.equal(tryGetNextOrder(declared, unreported), undefined);
 });
 
 /** Tries of each host in one run. */
-const ROUNDS = 6;
+const RECONCILIATIONS = 6;
 
 /** An order on its way: from the last check to its arrival. */
-interface Act {
+interface InFlightOrder {
   readonly token: number;
   readonly beganMs: number;
   arrivedMs: number;
 }
 
-interface OrderWorld {
-  readonly acts: Act[];
+interface Simulation {
+  readonly acts: InFlightOrder[];
   readonly clock: ReturnType<typeof createManualClock>;
-  readonly runs: readonly (() => Promise<void>)[];
+  readonly reconcilers: readonly (() => Promise<void>)[];
 }
 
 interface OrderFaults {
@@ -90,7 +90,7 @@
 }
 
 /** Which guard a fixture goes without. */
-type GuardOff = "none" | "last-check" | "wait-out" | "token";
+type DisabledGuard = "none" | "last-check" | "wait-out" | "token";
 
 /** Clocks of one machine each: own start, and a rate within 0.5%. */
 function createHostClock(clock: Clock, index: number): Clock {
@@ -102,26 +102,26 @@
 }
 
 /** Hosts that each want another model on one upstream, so that they compete. */
-function createOrderWorld(input: {
+function createSimulation(input: {
   readonly fencing: FencingKind;
-  readonly off: GuardOff;
+  readonly off: DisabledGuard;
   readonly faults: OrderFaults;
   readonly step: (name: string) => Promise<void>;
-}): OrderWorld {
+}): Simulation {
   const { fencing, off, step } = input;
   const clock = createManualClock();
   const platform = createFakePlatform();
   platform.control.pass = step;
   Object.assign(platform.control, input.faults);
-  const acts: Act[] = [];
-  let highest = 0;
+  const acts: InFlightOrder[] = [];
+  let highestToken = 0;
   let models: readonly string[] = [];
 
-  function arrive(act: Act, call: OrderCall): boolean {
-    if (fencing === "checks" && off !== "token" && act.token < highest) {
+  function arrive(act: InFlightOrder, call: OrderCall): boolean {
+    if (fencing === "checks" && off !== "token" && act.token < highestToken) {
       return false;
     }
-    highest = Math.max(highest, act.token);
+    highestToken = Math.max(highestToken, act.token);
     act.arrivedMs = clock.monotonicMs();
     acts.push(act);
     if (call.order.kind === "load") models = [call.order.model];
@@ -130,13 +130,13 @@
 
   async function send(call: OrderCall) {
     await step("dial");
-    if (off !== "last-check" && !call.mayBegin()) return "lapsed" as const;
+    if (off !== "last-check" && !call.isLeaseValid()) return "lapsed" as const;
     const beganMs = clock.monotonicMs();
     const act = { token: call.token, beganMs, arrivedMs: Infinity };
     await step("flight");
     // Declared in the files: nothing is in flight for longer.
     if (
-      fencing === "ignores" && clock.monotonicMs() - beganMs > FLIGHT_LIMIT_MS
+      fencing === "ignores" && clock.monotonicMs() - beganMs > MAX_FLIGHT_MS
     ) {
       return "unanswered" as const;
     }
@@ -148,12 +148,12 @@
   const runs = [0, 1, 2].map((index) => {
     const hostClock = createHostClock(clock, index);
     let attempts = 0;
-    const host: OrdersHost = {
+    const host: OrderReconcilerHost = {
       leases: createLeases({
         id: `entry-${index}`,
         clock: hostClock,
         tables: platform.tables,
-        createAttempt: () => `${index}/${attempts++}`,
+        createAttemptId: () => `${index}/${attempts++}`,
       }),
       reservations: createReservations({
         clock: hostClock,
@@ -162,24 +162,24 @@
       }),
       tryGetState: () => Effect.sync(() => createState({ models })),
       sendOrder: (_, call) => Effect.promise(() => send(call)),
-      onGiven() {},
+      onOrderSent() {},
     };
-    const orders = createOrders(host);
+    const orders = createOrderReconciler(host);
     const upstream = createUpstream({
       fencing,
       model: `model-${index}`,
-      longestOrderMs: off === "wait-out" ? 0 : FLIGHT_LIMIT_MS,
+      longestOrderMs: off === "wait-out" ? 0 : MAX_FLIGHT_MS,
     });
     return () =>
       Effect.runPromise(
         orders.reconcile(upstream, createState({ models })).pipe(Effect.ignore),
       );
   });
-  return { acts, clock, runs };
+  return { acts, clock, reconcilers: runs };
 }
 
 /** What breaks the promise at the upstream, or `undefined`. */
-function findFault(acts: readonly Act[], fencing: FencingKind) {
+function findViolation(acts: readonly InFlightOrder[], fencing: FencingKind) {
   let highest = 0;
   for (const act of acts) {
     if (act.token < highest) return `Token ${act.token} after ${highest}`;
@@ -195,7 +195,7 @@
   return undefined;
 }
 
-const runInput = [
+const simulationInput = [
   fc.scheduler(),
   fc.array(
     fc.oneof(
@@ -212,15 +212,15 @@
 ] as const;
 
 /** Three hosts try again and again, with pauses anywhere between their steps. */
-async function runOrders(
-  input: { fencing: FencingKind; off: GuardOff },
+async function simulateOrders(
+  input: { fencing: FencingKind; off: DisabledGuard },
   drawn: { scheduler: fc.Scheduler; pauses: number[]; faults: OrderFaults },
-): Promise<readonly Act[]> {
+): Promise<readonly InFlightOrder[]> {
   const { scheduler, pauses, faults } = drawn;
   const step = async (name: string) => {
     await scheduler.schedule(Promise.resolve(), name);
   };
-  const world = createOrderWorld({ ...input, faults, step });
+  const world = createSimulation({ ...input, faults, step });
   let isDone = false;
   const pass = async () => {
     for (let next = 0; !isDone; next = (next + 1) % pauses.length) {
@@ -228,8 +228,8 @@
       world.clock.advance(pauses[next]!);
     }
   };
-  const trying = world.runs.map(async (run) => {
-    for (let round = 0; round < ROUNDS; round++) {
+  const trying = world.reconcilers.map(async (run) => {
+    for (let round = 0; round < RECONCILIATIONS; round++) {
       await run();
       await step("again");
     }
@@ -246,16 +246,19 @@
     let given = 0;
     let holders = 0;
     await fc.assert(
-      fc.asyncProperty(...runInput, async (scheduler, pauses, faults) => {
-        const acts = await runOrders({ fencing, off: "none" }, {
-          scheduler,
-          pauses,
-          faults,
-        });
-        given += acts.length;
-        holders += new Set(acts.map((act) => act.token)).size;
-        assert.equal(findFault(acts, fencing), undefined);
-      }),
+      fc.asyncProperty(
+        ...simulationInput,
+        async (scheduler, pauses, faults) => {
+          const acts = await simulateOrders({ fencing, off: "none" }, {
+            scheduler,
+            pauses,
+            faults,
+          });
+          given += acts.length;
+          holders += new Set(acts.map((act) => act.token)).size;
+          assert.equal(findViolation(acts, fencing), undefined);
+        },
+      ),
       { seed: 11, numRuns: 200 },
     );
     assert(given > 200 && holders > 200, "The runs gave too few orders");
@@ -266,9 +269,9 @@
   // The same runs, with holders that send whatever their lease has become.
   const fixture = { fencing: "ignores", off: "last-check" } as const;
   const checked = await fc.check(
-    fc.asyncProperty(...runInput, async (scheduler, pauses, faults) => {
-      const acts = await runOrders(fixture, { scheduler, pauses, faults });
-      assert.equal(findFault(acts, fixture.fencing), undefined);
+    fc.asyncProperty(...simulationInput, async (scheduler, pauses, faults) => {
+      const acts = await simulateOrders(fixture, { scheduler, pauses, faults });
+      assert.equal(findViolation(acts, fixture.fencing), undefined);
     }),
     { seed: 11, numRuns: 2_000, endOnFailure: true },
   );
@@ -282,7 +285,7 @@
 }
 
 /** One host's order is on its way while its lease lapses and another tries. */
-async function runOvertaking(fencing: FencingKind, off: GuardOff) {
+async function simulateOvertaking(fencing: FencingKind, off: DisabledGuard) {
   const flight = createGate();
   const sent = createGate();
   let flights = 0;
@@ -292,12 +295,12 @@
     return flight.passed;
   };
   const faults = { lostReplies: 0, lostRequests: 0 };
-  const world = createOrderWorld({ fencing, off, faults, step });
-  const [first, second] = world.runs;
+  const world = createSimulation({ fencing, off, faults, step });
+  const [first, second] = world.reconcilers;
   const slow = first!();
   await sent.passed;
   await second!();
-  world.clock.advance(LEASE_MS * 1.05);
+  world.clock.advance(LEASE_DURATION_MS * 1.05);
   await second!();
   flight.open();
   await slow;
@@ -315,11 +318,11 @@
     // than the lease. Another host takes the lease over. An upstream that
     // ignores tokens must not get the newer order first, and one that checks
     // them must refuse the older one.
-    const acts = await runOvertaking(fencing, "none");
+    const acts = await simulateOvertaking(fencing, "none");
     assert.equal(acts.length, 1);
-    assert.equal(findFault(acts, fencing), undefined);
-    const mixed = await runOvertaking(fencing, off);
-    assert.notEqual(findFault(mixed, fencing), undefined);
+    assert.equal(findViolation(acts, fencing), undefined);
+    const mixed = await simulateOvertaking(fencing, off);
+    assert.notEqual(findViolation(mixed, fencing), undefined);
   });
 }
 
@@ -332,7 +335,7 @@
       id,
       clock,
       tables: platform.tables,
-      createAttempt: () => `${id}/${attempts++}`,
+      createAttemptId: () => `${id}/${attempts++}`,
     });
   const acquire = (leases: ReturnType<typeof createLeases>, waitOutMs = 0) =>
     Effect.runPromise(leases.tryAcquire("orders/engine-1", waitOutMs));
@@ -360,7 +363,7 @@
   const { clock, acquire, one, two } = createLeaseFixture();
   await acquire(one, 5_000);
   assert.equal(await acquire(two, 5_000), undefined);
-  clock.advance(LEASE_MS + 4_900);
+  clock.advance(LEASE_DURATION_MS + 4_900);
   assert.equal(await acquire(two, 5_000), undefined);
   clock.advance(500);
   assert.equal((await acquire(two, 5_000))?.token, 2);
@@ -402,7 +405,7 @@
 });
 
 /** Hosts that each need two downloads, against a store of two a second. */
-function runDownloads(hosts: number, pauses: boolean) {
+function simulateDownloads(hosts: number, pauses: boolean) {
   const clock = createManualClock();
   const random = createRandom(3);
   let taken: number[] = [];
@@ -442,9 +445,9 @@
   // One edit changes the model of 96 engines at 48 hosts; the store gives two
   // downloads a second, so 48 s is the least. Hosts that ask on each turn send
   // it questions that it must refuse, from all hosts at once.
-  const fleet = runDownloads(48, true);
+  const fleet = simulateDownloads(48, true);
   assert(fleet.tookMs < 4 * 48_000, `It took ${fleet.tookMs} ms`);
   assert(fleet.asked < 96 * 6, `It asked ${fleet.asked} times`);
-  const eager = runDownloads(48, false);
+  const eager = simulateDownloads(48, false);
   assert(eager.asked > 96 * 20, `Without pauses ${eager.asked} times`);
 });
--- a/src/orders/reservations.ts
+++ b/src/orders/reservations.ts
@@ -16,7 +16,7 @@
 import type { WeightStore } from "../platform/mod.ts";
 
 /** What reservations need of the process. */
-export interface ReservationHost {
+export interface ReservationsHost {
   readonly clock: Clock;
   readonly weights: WeightStore;
   random(): number;
@@ -25,50 +25,53 @@
 /** Reserves downloads for this host's upstreams. */
 export interface Reservations {
   /** Whether asking is worth while: the last refusal is long enough ago. */
-  mayAsk(): boolean;
+  canRequest(): boolean;
   /** False: not now; also while the store can't be reached. */
   tryReserve(model: string): Effect.Effect<boolean>;
 }
 
 /** A second is the unit of the store's limit. */
-const FIRST_PAUSE_MS = 1_000;
+const INITIAL_BACKOFF_MS = 1_000;
 
 /** With 390 hosts asking, 13 questions a second at the most. */
-const LAST_PAUSE_MS = 30_000;
+const MAX_BACKOFF_MS = 30_000;
 
 /** Makes the host's gate; the first question may be asked at once. */
-export function createReservations(host: ReservationHost): Reservations {
-  let nextMs = -Infinity;
+export function createReservations(host: ReservationsHost): Reservations {
+  let nextAttemptMs = -Infinity;
   let refusals = 0;
-  let isAsking = false;
+  let isRequestPending = false;
 
   /** Full jitter: hosts that were refused together come back apart. */
-  function pause(): void {
-    const longestMs = Math.min(LAST_PAUSE_MS, FIRST_PAUSE_MS * 2 ** refusals);
+  function backOff(): void {
+    const maxDelayMs = Math.min(
+      MAX_BACKOFF_MS,
+      INITIAL_BACKOFF_MS * 2 ** refusals,
+    );
     refusals++;
-    nextMs = host.clock.monotonicMs() +
-      longestMs * (1 + host.random()) / 2;
+    nextAttemptMs = host.clock.monotonicMs() +
+      maxDelayMs * (1 + host.random()) / 2;
   }
 
   function mayAsk(): boolean {
-    return !isAsking && host.clock.monotonicMs() >= nextMs;
+    return !isRequestPending && host.clock.monotonicMs() >= nextAttemptMs;
   }
 
   return {
-    mayAsk,
+    canRequest: mayAsk,
     tryReserve: (model) =>
       Effect.suspend(() => {
         if (!mayAsk()) return Effect.succeed(false);
-        isAsking = true;
+        isRequestPending = true;
         return host.weights.tryReserve(model).pipe(
           Effect.catchTag("PlatformError", () => Effect.succeed(false)),
           Effect.tap((isReserved) =>
             Effect.sync(() => {
               if (isReserved) refusals = 0;
-              else pause();
+              else backOff();
             })
           ),
-          Effect.ensuring(Effect.sync(() => isAsking = false)),
+          Effect.ensuring(Effect.sync(() => isRequestPending = false)),
         );
       }),
   };
--- a/src/router/upstream_watch.ts
+++ b/src/router/upstream_watch.ts
@@ -11,7 +11,7 @@
 import type { Logger } from "../diagnostics/mod.ts";
 import {
   createLeases,
-  createOrders,
+  createOrderReconciler,
   createReservations,
   sendOrder,
 } from "../orders/mod.ts";
@@ -40,12 +40,12 @@
   host: UpstreamWatchHost,
 ): Effect.Effect<void> {
   const { id, clock, platform } = host;
-  const orders = createOrders({
+  const orders = createOrderReconciler({
     leases: createLeases({
       id,
       clock,
       tables: platform.tables,
-      createAttempt: randomUUID,
+      createAttemptId: randomUUID,
     }),
     reservations: createReservations({
       clock,
@@ -54,7 +54,7 @@
     }),
     tryGetState: tryGetUpstreamState,
     sendOrder,
-    onGiven(upstream, { order, token, result }) {
+    onOrderSent(upstream, { order, token, result }) {
       host.logger.write("info", "orderGiven", {
         args: [upstream, order, result],
         fields: { upstream },
