--- a/src/orders/orders_test.ts
+++ b/src/orders/orders_test.ts
@@ -72,14 +72,14 @@
 const RECONCILIATIONS = 6;
 
 /** An order on its way: from the last check to its arrival. */
-interface InFlightOrder {
+interface SentOrder {
   readonly token: number;
   readonly beganMs: number;
   arrivedMs: number;
 }
 
 interface Simulation {
-  readonly acts: InFlightOrder[];
+  readonly sentOrders: SentOrder[];
   readonly clock: ReturnType<typeof createManualClock>;
   readonly reconcilers: readonly (() => Promise<void>)[];
 }
@@ -90,7 +90,7 @@
 }
 
 /** Which guard a fixture goes without. */
-type DisabledGuard = "none" | "last-check" | "wait-out" | "token";
+type SkippedGuard = "none" | "last-check" | "wait-out" | "token";
 
 /** Clocks of one machine each: own start, and a rate within 0.5%. */
 function createHostClock(clock: Clock, index: number): Clock {
@@ -104,35 +104,37 @@
 /** Hosts that each want another model on one upstream, so that they compete. */
 function createSimulation(input: {
   readonly fencing: FencingKind;
-  readonly off: DisabledGuard;
+  readonly skip: SkippedGuard;
   readonly faults: OrderFaults;
   readonly step: (name: string) => Promise<void>;
 }): Simulation {
-  const { fencing, off, step } = input;
+  const { fencing, skip, step } = input;
   const clock = createManualClock();
   const platform = createFakePlatform();
   platform.control.pass = step;
   Object.assign(platform.control, input.faults);
-  const acts: InFlightOrder[] = [];
+  const sentOrders: SentOrder[] = [];
   let highestToken = 0;
   let models: readonly string[] = [];
 
-  function arrive(act: InFlightOrder, call: OrderCall): boolean {
-    if (fencing === "checks" && off !== "token" && act.token < highestToken) {
+  function receive(order: SentOrder, call: OrderCall): boolean {
+    if (
+      fencing === "checks" && skip !== "token" && order.token < highestToken
+    ) {
       return false;
     }
-    highestToken = Math.max(highestToken, act.token);
-    act.arrivedMs = clock.monotonicMs();
-    acts.push(act);
+    highestToken = Math.max(highestToken, order.token);
+    order.arrivedMs = clock.monotonicMs();
+    sentOrders.push(order);
     if (call.order.kind === "load") models = [call.order.model];
     return true;
   }
 
   async function send(call: OrderCall) {
     await step("dial");
-    if (off !== "last-check" && !call.isLeaseValid()) return "lapsed" as const;
+    if (skip !== "last-check" && !call.isLeaseValid()) return "lapsed" as const;
     const beganMs = clock.monotonicMs();
-    const act = { token: call.token, beganMs, arrivedMs: Infinity };
+    const order = { token: call.token, beganMs, arrivedMs: Infinity };
     await step("flight");
     // Declared in the files: nothing is in flight for longer.
     if (
@@ -140,12 +142,12 @@
     ) {
       return "unanswered" as const;
     }
-    const isTaken = arrive(act, call);
+    const isAccepted = receive(order, call);
     await step("answer");
-    return isTaken ? "taken" as const : "refused" as const;
+    return isAccepted ? "taken" as const : "refused" as const;
   }
 
-  const runs = [0, 1, 2].map((index) => {
+  const reconcilers = [0, 1, 2].map((index) => {
     const hostClock = createHostClock(clock, index);
     let attempts = 0;
     const host: OrderReconcilerHost = {
@@ -168,29 +170,32 @@
     const upstream = createUpstream({
       fencing,
       model: `model-${index}`,
-      longestOrderMs: off === "wait-out" ? 0 : MAX_FLIGHT_MS,
+      longestOrderMs: skip === "wait-out" ? 0 : MAX_FLIGHT_MS,
     });
     return () =>
       Effect.runPromise(
         orders.reconcile(upstream, createState({ models })).pipe(Effect.ignore),
       );
   });
-  return { acts, clock, reconcilers: runs };
+  return { sentOrders, clock, reconcilers };
 }
 
 /** What breaks the promise at the upstream, or `undefined`. */
-function findViolation(acts: readonly InFlightOrder[], fencing: FencingKind) {
+function findViolation(
+  sentOrders: readonly SentOrder[],
+  fencing: FencingKind,
+) {
   let highest = 0;
-  for (const act of acts) {
-    if (act.token < highest) return `Token ${act.token} after ${highest}`;
-    highest = act.token;
+  for (const order of sentOrders) {
+    if (order.token < highest) return `Token ${order.token} after ${highest}`;
+    highest = order.token;
   }
   if (fencing === "checks") return undefined;
-  for (const [index, act] of acts.entries()) {
-    const overlaps = acts.slice(index + 1).some((other) =>
-      other.token !== act.token && other.beganMs < act.arrivedMs
+  for (const [index, order] of sentOrders.entries()) {
+    const overlaps = sentOrders.slice(index + 1).some((other) =>
+      other.token !== order.token && other.beganMs < order.arrivedMs
     );
-    if (overlaps) return `Token ${act.token} overlaps a later one`;
+    if (overlaps) return `Token ${order.token} overlaps a later one`;
   }
   return undefined;
 }
@@ -213,65 +218,72 @@
 
 /** Three hosts try again and again, with pauses anywhere between their steps. */
 async function simulateOrders(
-  input: { fencing: FencingKind; off: DisabledGuard },
-  drawn: { scheduler: fc.Scheduler; pauses: number[]; faults: OrderFaults },
-): Promise<readonly InFlightOrder[]> {
-  const { scheduler, pauses, faults } = drawn;
+  input: { fencing: FencingKind; skip: SkippedGuard },
+  schedule: { scheduler: fc.Scheduler; pauses: number[]; faults: OrderFaults },
+): Promise<readonly SentOrder[]> {
+  const { scheduler, pauses, faults } = schedule;
   const step = async (name: string) => {
     await scheduler.schedule(Promise.resolve(), name);
   };
-  const world = createSimulation({ ...input, faults, step });
+  const simulation = createSimulation({ ...input, faults, step });
   let isDone = false;
   const pass = async () => {
     for (let next = 0; !isDone; next = (next + 1) % pauses.length) {
       await step("pause");
-      world.clock.advance(pauses[next]!);
+      simulation.clock.advance(pauses[next]!);
     }
   };
-  const trying = world.reconcilers.map(async (run) => {
+  const attempts = simulation.reconcilers.map(async (run) => {
     for (let round = 0; round < RECONCILIATIONS; round++) {
       await run();
       await step("again");
     }
   });
-  const tried = Promise.all(trying).then(() => isDone = true);
+  const tried = Promise.all(attempts).then(() => isDone = true);
   await scheduler.waitFor(Promise.all([pass(), tried]));
-  return world.acts;
+  return simulation.sentOrders;
 }
 
 for (const fencing of ["ignores", "checks"] as const) {
   test(`orders at an upstream that ${fencing} tokens come in token order`, async () => {
     // Three hosts believe that they own one upstream. Any of them may be
     // stopped between any two steps for up to 25 s, and replies get lost.
-    let given = 0;
-    let holders = 0;
+    let sentCount = 0;
+    let tokenCount = 0;
     await fc.assert(
       fc.asyncProperty(
         ...simulationInput,
         async (scheduler, pauses, faults) => {
-          const acts = await simulateOrders({ fencing, off: "none" }, {
+          const sentOrders = await simulateOrders({
+            fencing,
+            skip: "none",
+          }, {
             scheduler,
             pauses,
             faults,
           });
-          given += acts.length;
-          holders += new Set(acts.map((act) => act.token)).size;
-          assert.equal(findViolation(acts, fencing), undefined);
+          sentCount += sentOrders.length;
+          tokenCount += new Set(sentOrders.map((order) => order.token)).size;
+          assert.equal(findViolation(sentOrders, fencing), undefined);
         },
       ),
       { seed: 11, numRuns: 200 },
     );
-    assert(given > 200 && holders > 200, "The runs gave too few orders");
+    assert(sentCount > 200 && tokenCount > 200, "The runs gave too few orders");
   });
 }
 
 test("without the last check orders are seen to mix", async () => {
   // The same runs, with holders that send whatever their lease has become.
-  const fixture = { fencing: "ignores", off: "last-check" } as const;
+  const fixture = { fencing: "ignores", skip: "last-check" } as const;
   const checked = await fc.check(
     fc.asyncProperty(...simulationInput, async (scheduler, pauses, faults) => {
-      const acts = await simulateOrders(fixture, { scheduler, pauses, faults });
-      assert.equal(findViolation(acts, fixture.fencing), undefined);
+      const sentOrders = await simulateOrders(fixture, {
+        scheduler,
+        pauses,
+        faults,
+      });
+      assert.equal(findViolation(sentOrders, fixture.fencing), undefined);
     }),
     { seed: 11, numRuns: 2_000, endOnFailure: true },
   );
@@ -285,7 +297,10 @@
 }
 
 /** One host's order is on its way while its lease lapses and another tries. */
-async function simulateOvertaking(fencing: FencingKind, off: DisabledGuard) {
+async function simulateOvertaking(
+  fencing: FencingKind,
+  skip: SkippedGuard,
+) {
   const flight = createGate();
   const sent = createGate();
   let flights = 0;
@@ -295,34 +310,34 @@
     return flight.passed;
   };
   const faults = { lostReplies: 0, lostRequests: 0 };
-  const world = createSimulation({ fencing, off, faults, step });
-  const [first, second] = world.reconcilers;
+  const simulation = createSimulation({ fencing, skip, faults, step });
+  const [first, second] = simulation.reconcilers;
   const slow = first!();
   await sent.passed;
   await second!();
-  world.clock.advance(LEASE_DURATION_MS * 1.05);
+  simulation.clock.advance(LEASE_DURATION_MS * 1.05);
   await second!();
   flight.open();
   await slow;
-  return world.acts;
+  return simulation.sentOrders;
 }
 
 for (
-  const { fencing, off } of [
-    { fencing: "ignores", off: "wait-out" },
-    { fencing: "checks", off: "token" },
+  const { fencing, skip } of [
+    { fencing: "ignores", skip: "wait-out" },
+    { fencing: "checks", skip: "token" },
   ] as const
 ) {
-  test(`an order on its way is not overtaken: "${off}"`, async () => {
+  test(`an order on its way is not overtaken: "${skip}"`, async () => {
     // A host sends an order and is stopped; the order is on its way for longer
     // than the lease. Another host takes the lease over. An upstream that
     // ignores tokens must not get the newer order first, and one that checks
     // them must refuse the older one.
-    const acts = await simulateOvertaking(fencing, "none");
-    assert.equal(acts.length, 1);
-    assert.equal(findViolation(acts, fencing), undefined);
-    const mixed = await simulateOvertaking(fencing, off);
-    assert.notEqual(findViolation(mixed, fencing), undefined);
+    const sentOrders = await simulateOvertaking(fencing, "none");
+    assert.equal(sentOrders.length, 1);
+    assert.equal(findViolation(sentOrders, fencing), undefined);
+    const unguarded = await simulateOvertaking(fencing, skip);
+    assert.notEqual(findViolation(unguarded, fencing), undefined);
   });
 }
 
--- a/src/orders/reservations.ts
+++ b/src/orders/reservations.ts
@@ -53,15 +53,15 @@
       maxDelayMs * (1 + host.random()) / 2;
   }
 
-  function mayAsk(): boolean {
+  function canRequest(): boolean {
     return !isRequestPending && host.clock.monotonicMs() >= nextAttemptMs;
   }
 
   return {
-    canRequest: mayAsk,
+    canRequest,
     tryReserve: (model) =>
       Effect.suspend(() => {
-        if (!mayAsk()) return Effect.succeed(false);
+        if (!canRequest()) return Effect.succeed(false);
         isRequestPending = true;
         return host.weights.tryReserve(model).pipe(
           Effect.catchTag("PlatformError", () => Effect.succeed(false)),
