--- a/src/orders/decide_order.ts
+++ b/src/orders/decide_order.ts
@@ -1,12 +1,15 @@
 /**
- * Which order an upstream needs next, from what operators declared and what it
- * says of itself. What they do not declare is left alone.
+ * Determines the next order for an upstream by comparing the operators'
+ * declaration with the state that the upstream reports. Properties that are not
+ * declared are left unchanged.
  *
- * A new model is loaded beside the old one, which serves until then; only then
- * the old one is unloaded, so that no capacity idles during a change of model.
+ * A new model is loaded before the old one is unloaded. The old model serves
+ * requests while the new one loads, so that no capacity is idle during the
+ * change.
  *
- * Load: 600 engines whose model changes by one edit. Harm prevented: an engine
- * that is told the same again while it works on it, or that has no model.
+ * Load: 600 engines whose model changes by one configuration edit. Failure
+ * prevented: an engine receives an order again while it is executing it, or is
+ * left without a model.
  *
  * @module
  */
@@ -15,7 +18,7 @@
 import type { UpstreamState } from "../upstreams/mod.ts";
 import type { Order } from "./types.ts";
 
-/** The next order, or `undefined` when there is none to give now. */
+/** Returns the next order, or `undefined` if none is needed or possible now. */
 export function tryGetNextOrder(
   declared: Upstream,
   state: UpstreamState,
--- a/src/orders/lease.ts
+++ b/src/orders/lease.ts
@@ -1,14 +1,16 @@
 /**
- * Fenced leases on the table service: at most one host at a time may give
- * orders to an upstream, and each holder has a higher token than all before.
+ * Fenced leases stored in the table service: at most one host at a time may
+ * send orders to an upstream, and each holder gets a higher fencing token than
+ * all holders before it.
  *
- * No wall clocks are compared. A holder counts from before it sent its write;
- * an observer counts from when it first saw the row, on its own monotonic
- * clock, so that the observer's count always ends later. A row is read back by
- * its attempt id when a reply is lost.
+ * Hosts do not compare wall clocks. A holder measures the lease from before it
+ * sent its write; another host measures it on its own monotonic clock from when
+ * it first read the row, which is always later. So the holder regards the lease
+ * as expired before any other host does. If the reply to a write is lost, the
+ * row is read back and recognized by its attempt id.
  *
- * A lease is held for one order and released: 600 upstreams cost the service
- * nothing while there is nothing to order.
+ * A lease is acquired for one order and then released, so that 600 upstreams
+ * cause no writes to the table service while no orders are pending.
  *
  * @module
  */
@@ -19,27 +21,30 @@
 
 const TABLE = "leases";
 
-/** The row of a lease. */
+/** Value of a lease's row in the table service. */
 export interface LeaseRow {
   readonly holder: string;
-  /** The fencing token: one higher for each holding. */
+  /** Fencing token, incremented by each acquisition. */
   readonly token: number;
   readonly attempt: string;
   readonly durationMs: number;
-  /** What the holder may have begun ends so long after the lease. */
+  /**
+   * Wait-out: how long after the lease expired an order that its holder sent
+   * may still execute.
+   */
   readonly waitOutMs: number;
   readonly isReleased: boolean;
 }
 
-/** A lease in the hands of this host. */
+/** A lease that this host acquired. */
 export interface Lease {
   readonly name: string;
   readonly token: number;
-  /** Time left by this host's monotonic clock; negative when it lapsed. */
+  /** Time left by this host's monotonic clock; negative once it expired. */
   getRemainingMs(): number;
 }
 
-/** What leases need of the process. */
+/** Dependencies of the leases, supplied by the process. */
 export interface LeaseHost {
   readonly id: string;
   readonly clock: Clock;
@@ -50,23 +55,29 @@
 /** Acquires and releases leases. */
 export interface Leases {
   /**
-   * The lease, or `undefined` while another host may hold it or may have begun
-   * something that has not ended: `waitOutMs` after its lease.
+   * Acquires the lease. Returns `undefined` while another host may hold it, or
+   * while an order that the last holder sent may still execute: until the
+   * wait-out after the lease's expiry has passed. The wait-out is the larger of
+   * `waitOutMs` and the value in the row.
    */
   tryAcquire(
     name: string,
     waitOutMs: number,
   ): Effect.Effect<Lease | undefined, PlatformError>;
-  /** Lets the next holder begin at once; the row keeps its token. */
+  /** Lets another host acquire the lease at once; the row keeps its token. */
   release(lease: Lease): Effect.Effect<void, PlatformError>;
 }
 
-/** Long enough for one order with its reads, short for a host that died. */
+/**
+ * Long enough for one order and the reads before it; short, since a lease whose
+ * holder died blocks all hosts until it expires.
+ */
 export const LEASE_DURATION_MS = 10_000;
 
 /**
- * Two monotonic clocks may run apart by so much. Machines keep within 0.05%;
- * twenty times that costs the next holder a tenth of a second.
+ * Assumed limit on the rate error of a monotonic clock. Machines keep within
+ * 0.05%; this margin of twenty times delays the next holder by 0.1 s for each
+ * of the two clocks.
  */
 const MAX_CLOCK_RATE_ERROR = 0.01;
 
@@ -80,12 +91,12 @@
   readonly rowVersion: number;
 }
 
-/** Makes the leases of one host; it holds none. */
+/** Creates the leases of one host, which holds none initially. */
 export function createLeases(host: LeaseHost): Leases {
   const observedRows = new Map<string, ObservedRow>();
   const heldRows = new Map<Lease, HeldRow>();
 
-  /** Whether the row is free by this host's own count. */
+  /** Whether this host may acquire the lease, by its own monotonic clock. */
   function isAvailable(name: string, row: Row, waitOutMs: number): boolean {
     if (row.version === 0) return true;
     const value = row.value as LeaseRow;
@@ -113,8 +124,8 @@
         waitOutMs,
         isReleased: false,
       };
-      // Counted from before the write is sent: it may take effect at any time
-      // after, and the others count from then.
+      // Measured before the write is sent: the write may take effect at any
+      // time after that, and other hosts measure from when they read it.
       const sentMs = host.clock.monotonicMs();
       const isAcquired = yield* write(name, row, found.version);
       if (!isAcquired) return undefined;
@@ -133,7 +144,10 @@
     };
   }
 
-  /** Whether the row is ours, also when the reply to our write was lost. */
+  /**
+   * Writes the row; true if the write took effect. If the reply is lost, the
+   * attempt id in the row decides.
+   */
   function write(
     name: string,
     row: LeaseRow,
--- a/src/orders/mod.ts
+++ b/src/orders/mod.ts
@@ -1,5 +1,6 @@
 /**
- * Orders to upstreams, under fenced leases.
+ * Reconciles upstreams with their declared model and role by orders that are
+ * protected by fenced leases.
  *
  * @module
  */
--- a/src/orders/order_client.ts
+++ b/src/orders/order_client.ts
@@ -10,21 +10,21 @@
 import type { Upstream } from "../types.ts";
 import { formatOrder, type Order, type OrderResult } from "./types.ts";
 
-/** An order with what the upstream and the last check need. */
+/** An order with its fencing token and the last check of its lease. */
 export interface OrderCall {
   readonly order: Order;
   readonly token: number;
-  /** Asked right before the bytes that make the request whole. */
+  /** Called immediately before the body of the request is sent. */
   isLeaseValid(): boolean;
 }
 
-/** An upstream acknowledges an order at once and then works on it. */
+/** Short, since an upstream acknowledges an order before it executes it. */
 export const ORDER_TIMEOUT_MS = 2_000;
 
 /**
- * Sends the order; never fails. The connection is made first and the lease
- * checked after: a process that was stopped while it dialed finds its lease
- * lapsed, and the upstream gets no whole request.
+ * Sends the order; never fails. The lease is checked after the connection is
+ * established: a process that was suspended while connecting finds its lease
+ * expired, and the upstream never receives a complete request.
  */
 export function sendOrder(
   upstream: Upstream,
@@ -54,7 +54,7 @@
       res.resume();
       finish(res.statusCode === 200 ? "taken" : "refused");
     });
-    // A request that was never whole was not begun.
+    // The upstream does not execute a request whose body was never sent.
     req.on("error", () => finish(isSent ? "unanswered" : "lapsed"));
     req.on("socket", (socket) =>
       socket.once("connect", () => {
--- a/src/orders/orders.ts
+++ b/src/orders/orders.ts
@@ -1,12 +1,13 @@
 /**
- * Brings upstreams to what operators declared, one order at a time, each under
- * the upstream's lease.
+ * Reconciles upstreams with the operators' declaration. Each upstream gets one
+ * order at a time, sent while this host holds the upstream's lease.
  *
- * Failure: a host is stopped for longer than its lease and goes on with an old
- * order after another host gave a newer one. Three things stand against it:
- * the lease is checked right before the order's last bytes; an upstream that
- * checks fencing tokens refuses the older one; for one that ignores them the
- * next holder waits until what the last one may have begun has ended.
+ * Failure prevented: a host is suspended for longer than its lease and then
+ * sends a stale order after another host sent a newer one. There are three
+ * guards: the lease is checked immediately before the body of the order is
+ * sent; an upstream that checks fencing tokens rejects a stale one; for an
+ * upstream that ignores them, the next holder waits until any order that the
+ * last holder sent must have ended.
  *
  * @module
  */
@@ -21,7 +22,7 @@
 import type { Reservations } from "./reservations.ts";
 import { formatOrder, type Order, type OrderResult } from "./types.ts";
 
-/** What orders need of the process. */
+/** Dependencies of the reconciler, supplied by the process. */
 export interface OrderReconcilerHost {
   readonly leases: Leases;
   readonly reservations: Reservations;
@@ -33,9 +34,9 @@
   ): void;
 }
 
-/** Gives orders. */
+/** Sends the orders that upstreams need. */
 export interface OrderReconciler {
-  /** Looks at an upstream's state, and gives the order that it needs. */
+  /** Sends the upstream the order that its state calls for, if any. */
   reconcile(
     upstream: Upstream,
     state: UpstreamState,
@@ -43,15 +44,19 @@
 }
 
 /**
- * Left on the lease when an order begins: its call may last so long, and a
- * process may be held up for a moment between the check and the write.
+ * Time that must be left on the lease when an order is sent: the call's
+ * time-out and 500 ms for a process that is delayed between the check and the
+ * write.
  */
 const MIN_REMAINING_LEASE_MS = ORDER_TIMEOUT_MS + 500;
 
-/** From sending until an order has ended or shows in the upstream's state. */
+/**
+ * Default for the time from sending an order until it has ended or is visible
+ * in the upstream's state.
+ */
 const DEFAULT_MAX_ORDER_MS = 5_000;
 
-/** Makes the orders of one host. */
+/** Creates the reconciler of one host. */
 export function createOrderReconciler(
   host: OrderReconcilerHost,
 ): OrderReconciler {
@@ -71,22 +76,23 @@
     });
   }
 
-  /** Under the lease, when the order is still the one that is needed. */
+  /** Sends the order if the upstream's current state still calls for it. */
   function revalidateAndSend(
     lease: Lease,
     upstream: Upstream,
     order: Order,
   ): Effect.Effect<OrderResult | "not-sent"> {
     return Effect.gen(function* () {
-      // The last holder may have given it since this host looked.
+      // The last holder may have sent this order since this host read the
+      // state.
       const state = yield* host.tryGetState(upstream);
       const needed = state && tryGetNextOrder(upstream, state);
       const text = formatOrder(order);
       if (needed === undefined || formatOrder(needed) !== text) {
         return "not-sent";
       }
-      // Reserved under the lease, so that no download is reserved in vain while
-      // another host holds it.
+      // The download is reserved only while this host holds the lease: without
+      // the lease the reservation would be wasted.
       if (needed.kind === "load") {
         const isReserved = yield* host.reservations.tryReserve(needed.model);
         if (!isReserved) return "not-sent";
@@ -118,13 +124,19 @@
   };
 }
 
-/** An upstream that checks tokens refuses what the last holder sends late. */
+/**
+ * Wait-out of an upstream's lease; none if the upstream checks tokens, since it
+ * rejects delayed orders of the last holder itself.
+ */
 function getWaitOutMs(upstream: Upstream): number {
   if (upstream.fencing === "checks") return 0;
   return upstream.longestOrderMs ?? DEFAULT_MAX_ORDER_MS;
 }
 
-/** An order without an answer may still be under way: its lease has to lapse. */
+/**
+ * False for an order without a response to an upstream that ignores tokens: the
+ * order may still execute, so the lease has to expire instead.
+ */
 function canReleaseLease(
   upstream: Upstream,
   result: OrderResult | "not-sent",
--- a/src/orders/orders_test.ts
+++ b/src/orders/orders_test.ts
@@ -1,6 +1,6 @@
 /**
- * Tests of orders: who gives them, in which order they arrive, and how the
- * weight store is asked.
+ * Tests of orders: which order is sent, that orders of several hosts arrive in
+ * the order of their tokens, and back-off at the weight store.
  *
  * @module
  */
@@ -20,7 +20,7 @@
 import { createOrderReconciler, type OrderReconcilerHost } from "./orders.ts";
 import { createReservations } from "./reservations.ts";
 
-/** Longer than a lease, so that a wait that is left out shows. */
+/** Longer than a lease, so that the test detects a missing wait-out. */
 const MAX_FLIGHT_MS = 15_000;
 
 function createUpstream(input: Partial<Upstream> = {}): Upstream {
@@ -68,10 +68,10 @@
   assert.equal(tryGetNextOrder(declared, unreported), undefined);
 });
 
-/** Tries of each host in one run. */
+/** Reconciliations of each host in one simulation. */
 const RECONCILIATIONS = 6;
 
-/** An order on its way: from the last check to its arrival. */
+/** An order with the times of its last lease check and of its arrival. */
 interface SentOrder {
   readonly token: number;
   readonly beganMs: number;
@@ -89,10 +89,10 @@
   readonly lostRequests: number;
 }
 
-/** Which guard a fixture goes without. */
+/** The guard that a simulation leaves out. */
 type SkippedGuard = "none" | "last-check" | "wait-out" | "token";
 
-/** Clocks of one machine each: own start, and a rate within 0.5%. */
+/** A host's clock with its own origin and a rate error of up to 0.5%. */
 function createHostClock(clock: Clock, index: number): Clock {
   const rate = 1 + (index - 1) * 0.005;
   return {
@@ -101,7 +101,7 @@
   };
 }
 
-/** Hosts that each want another model on one upstream, so that they compete. */
+/** Hosts that compete by declaring different models for one upstream. */
 function createSimulation(input: {
   readonly fencing: FencingKind;
   readonly skip: SkippedGuard;
@@ -136,7 +136,7 @@
     const beganMs = clock.monotonicMs();
     const order = { token: call.token, beganMs, arrivedMs: Infinity };
     await step("flight");
-    // Declared in the files: nothing is in flight for longer.
+    // The configuration declares that no order is in flight for longer.
     if (
       fencing === "ignores" && clock.monotonicMs() - beganMs > MAX_FLIGHT_MS
     ) {
@@ -180,7 +180,7 @@
   return { sentOrders, clock, reconcilers };
 }
 
-/** What breaks the promise at the upstream, or `undefined`. */
+/** Returns how orders mixed at the upstream, or `undefined` if they did not. */
 function findViolation(
   sentOrders: readonly SentOrder[],
   fencing: FencingKind,
@@ -216,7 +216,7 @@
   }),
 ] as const;
 
-/** Three hosts try again and again, with pauses anywhere between their steps. */
+/** Three hosts reconcile repeatedly, with pauses between any two steps. */
 async function simulateOrders(
   input: { fencing: FencingKind; skip: SkippedGuard },
   schedule: { scheduler: fc.Scheduler; pauses: number[]; faults: OrderFaults },
@@ -245,9 +245,9 @@
 }
 
 for (const fencing of ["ignores", "checks"] as const) {
-  test(`orders at an upstream that ${fencing} tokens come in token order`, async () => {
-    // Three hosts believe that they own one upstream. Any of them may be
-    // stopped between any two steps for up to 25 s, and replies get lost.
+  test(`orders reach an upstream that ${fencing} tokens in token order`, async () => {
+    // Three hosts believe that they own one upstream. Each may be suspended
+    // between any two steps for up to 25 s, and replies may be lost.
     let sentCount = 0;
     let tokenCount = 0;
     await fc.assert(
@@ -269,12 +269,13 @@
       ),
       { seed: 11, numRuns: 200 },
     );
-    assert(sentCount > 200 && tokenCount > 200, "The runs gave too few orders");
+    assert(sentCount > 200 && tokenCount > 200, "The runs sent too few orders");
   });
 }
 
-test("without the last check orders are seen to mix", async () => {
-  // The same runs, with holders that send whatever their lease has become.
+test("without the last lease check the simulation detects mixed orders", async () => {
+  // The same simulations, with holders that send orders after their lease
+  // expired.
   const fixture = { fencing: "ignores", skip: "last-check" } as const;
   const checked = await fc.check(
     fc.asyncProperty(...simulationInput, async (scheduler, pauses, faults) => {
@@ -296,7 +297,7 @@
   return { passed, open: () => open() };
 }
 
-/** One host's order is on its way while its lease lapses and another tries. */
+/** A host's lease expires while its order is in flight; another host tries. */
 async function simulateOvertaking(
   fencing: FencingKind,
   skip: SkippedGuard,
@@ -328,11 +329,10 @@
     { fencing: "checks", skip: "token" },
   ] as const
 ) {
-  test(`an order on its way is not overtaken: "${skip}"`, async () => {
-    // A host sends an order and is stopped; the order is on its way for longer
-    // than the lease. Another host takes the lease over. An upstream that
-    // ignores tokens must not get the newer order first, and one that checks
-    // them must refuse the older one.
+  test(`an order in flight is not overtaken: "${skip}"`, async () => {
+    // An order is in flight for longer than its lease, and another host
+    // acquires the lease. An upstream that ignores tokens must not get the
+    // newer order first, and one that checks them must reject the older one.
     const sentOrders = await simulateOvertaking(fencing, "none");
     assert.equal(sentOrders.length, 1);
     assert.equal(findViolation(sentOrders, fencing), undefined);
@@ -363,18 +363,18 @@
   };
 }
 
-test("a lease whose reply is lost is known again", async () => {
-  // The write takes effect, its reply is lost. Taken for a failure, the lease
-  // would block all hosts until it lapses, its holder included.
+test("a lease is acquired even if the reply to its write is lost", async () => {
+  // The write takes effect and its reply is lost. If that counted as a failure,
+  // the lease would block all hosts, its holder included, until it expires.
   const { platform, acquire, one } = createLeaseFixture();
   platform.control.lostReplies = 1;
   assert.equal((await acquire(one))?.token, 1);
 });
 
-test("a dead holder's lease is taken after its time and the wait-out", async () => {
-  // The holder dies with an order under way at an upstream that ignores tokens.
-  // The next one begins neither before the lease lapsed nor before the order
-  // must have ended, and its token is higher.
+test("a dead holder's lease is available after expiry and wait-out", async () => {
+  // The holder dies while its order executes at an upstream that ignores
+  // tokens. The next holder must wait until the lease has expired and the order
+  // must have ended, and gets a higher token.
   const { clock, acquire, one, two } = createLeaseFixture();
   await acquire(one, 5_000);
   assert.equal(await acquire(two, 5_000), undefined);
@@ -384,16 +384,16 @@
   assert.equal((await acquire(two, 5_000))?.token, 2);
 });
 
-test("a released lease is taken at once, with a higher token", async () => {
+test("a released lease is available at once, with a higher token", async () => {
   const { acquire, one, two } = createLeaseFixture();
   const first = await acquire(one, 5_000);
   await Effect.runPromise(one.release(first!));
   assert.equal((await acquire(two, 5_000))?.token, 2);
 });
 
-test("the weight store is asked seldom after it refused", async () => {
-  // One edit changes hundreds of engines. The store takes a few downloads a
-  // second and refuses the rest; hosts that ask on at once use up its limit.
+test("a host backs off after the weight store refused a download", async () => {
+  // One edit changes hundreds of engines. The store accepts a few downloads per
+  // second and refuses the others; hosts that retry at once use up its limit.
   const clock = createManualClock();
   const platform = createFakePlatform();
   platform.control.reservations = 0;
@@ -419,7 +419,7 @@
   assert.equal(await reserve(), true);
 });
 
-/** Hosts that each need two downloads, against a store of two a second. */
+/** Hosts that need two downloads each from a store that allows two a second. */
 function simulateDownloads(hosts: number, pauses: boolean) {
   const clock = createManualClock();
   const random = createRandom(3);
@@ -451,18 +451,20 @@
       if (isReserved) host.left--;
     }
     clock.advance(250);
-    if (clock.monotonicMs() > 3_600_000) throw new Error("It never ends");
+    if (clock.monotonicMs() > 3_600_000) {
+      throw new Error("Downloads took over an hour");
+    }
   }
   return { asked, tookMs: clock.monotonicMs() };
 }
 
-test("a fleet's downloads go through the store's limit", () => {
-  // One edit changes the model of 96 engines at 48 hosts; the store gives two
-  // downloads a second, so 48 s is the least. Hosts that ask on each turn send
-  // it questions that it must refuse, from all hosts at once.
+test("a fleet's downloads finish within the store's rate limit", () => {
+  // One edit changes the model of 96 engines at 48 hosts. The store allows two
+  // downloads per second, so the minimum is 48 s. Hosts that ask at every step
+  // send it many requests that it must refuse.
   const fleet = simulateDownloads(48, true);
-  assert(fleet.tookMs < 4 * 48_000, `It took ${fleet.tookMs} ms`);
-  assert(fleet.asked < 96 * 6, `It asked ${fleet.asked} times`);
+  assert(fleet.tookMs < 4 * 48_000, `Took ${fleet.tookMs} ms`);
+  assert(fleet.asked < 96 * 6, `Asked ${fleet.asked} times`);
   const eager = simulateDownloads(48, false);
-  assert(eager.asked > 96 * 20, `Without pauses ${eager.asked} times`);
+  assert(eager.asked > 96 * 20, `Asked ${eager.asked} times without back-off`);
 });
--- a/src/orders/reservations.ts
+++ b/src/orders/reservations.ts
@@ -1,12 +1,14 @@
 /**
- * Asks the weight store for downloads, within its rate limit over the fleet.
+ * Reserves downloads at the weight store, which limits their rate for the whole
+ * fleet.
  *
- * The store's own answer is the limit: it alone knows its rate, and a count of
- * ours on a row would cost a write for each download and could only be lower or
- * wrong. What the fleet owes it is to ask seldom when it says no.
+ * The store's response is the only limit. Only the store knows its rate; a
+ * counter in a table row would cost a write per download and could only be
+ * lower than the store's limit or wrong. Hosts back off after a refusal.
  *
- * Load: one edit changes the model of hundreds of engines. Harm prevented: 390
- * hosts that ask again at once keep the store's limit used up by refusals.
+ * Load: one configuration edit changes the model of hundreds of engines.
+ * Failure prevented: 390 hosts that retry at once use up the store's limit with
+ * requests that it refuses.
  *
  * @module
  */
@@ -15,7 +17,7 @@
 import type { Clock } from "../core/mod.ts";
 import type { WeightStore } from "../platform/mod.ts";
 
-/** What reservations need of the process. */
+/** Dependencies of the reservations, supplied by the process. */
 export interface ReservationsHost {
   readonly clock: Clock;
   readonly weights: WeightStore;
@@ -24,25 +26,31 @@
 
 /** Reserves downloads for this host's upstreams. */
 export interface Reservations {
-  /** Whether asking is worth while: the last refusal is long enough ago. */
+  /** False while a request is pending or the back-off has not ended. */
   canRequest(): boolean;
-  /** False: not now; also while the store can't be reached. */
+  /** False if refused, backing off, or the store is unreachable. */
   tryReserve(model: string): Effect.Effect<boolean>;
 }
 
-/** A second is the unit of the store's limit. */
+/** One second, since the store's limit is a number of downloads per second. */
 const INITIAL_BACKOFF_MS = 1_000;
 
-/** With 390 hosts asking, 13 questions a second at the most. */
+/**
+ * Keeps the request rate of 390 hosts low: 13 requests per second if each waits
+ * the full 30 s, at most twice that with jitter.
+ */
 const MAX_BACKOFF_MS = 30_000;
 
-/** Makes the host's gate; the first question may be asked at once. */
+/** Creates the reservations of one host; the first request may go at once. */
 export function createReservations(host: ReservationsHost): Reservations {
   let nextAttemptMs = -Infinity;
   let refusals = 0;
   let isRequestPending = false;
 
-  /** Full jitter: hosts that were refused together come back apart. */
+  /**
+   * Exponential back-off with a jitter of half the delay, so that hosts that
+   * were refused together do not retry together.
+   */
   function backOff(): void {
     const maxDelayMs = Math.min(
       MAX_BACKOFF_MS,
--- a/src/orders/types.ts
+++ b/src/orders/types.ts
@@ -1,26 +1,29 @@
 /**
- * Orders that change what an upstream is: its models and its role.
+ * Orders that change the loaded models or the role of an upstream.
  *
  * @module
  */
 
-/** What an upstream is told to do. */
+/** One change that an upstream is asked to make. */
 export type Order =
   | { readonly kind: "load"; readonly model: string }
   | { readonly kind: "unload"; readonly model: string }
   | { readonly kind: "role"; readonly role: string };
 
-/** What became of an order that was sent. */
+/** Result of an attempt to send an order. */
 export type OrderResult =
   | "taken"
-  /** The upstream refused: by an older fencing token or for its own reasons. */
+  /** Rejected by the upstream, for a stale fencing token or another reason. */
   | "refused"
-  /** Not sent: the lease had too little time left at the last moment. */
+  /**
+   * Not sent: the connection failed, or the last check found too little time
+   * left on the lease.
+   */
   | "lapsed"
-  /** No answer came: the upstream may have begun it. */
+  /** Sent without a response: the upstream may have begun to execute it. */
   | "unanswered";
 
-/** An order as a line of the time line. */
+/** Formats an order for the timeline, logs and comparison. */
 export function formatOrder(order: Order): string {
   const subject = order.kind === "role" ? order.role : order.model;
   return `${order.kind} ${subject}`;
