--- a/src/claims/claims.ts
+++ b/src/claims/claims.ts
@@ -43,22 +43,22 @@
  * A key is kept for three days: longer than a weekend, over which a caller's
  * own job queue may hold a resend, and short enough for the table to stay small.
  */
-export const CLAIM_KEEP_MS = 72 * 3_600_000;
+export const CLAIM_RETENTION_MS = 72 * 3_600_000;
 
 /** Time for a claim, in ms; a caller is not kept waiting for a slow store. */
-export const CLAIM_LIMIT_MS = 1_000;
+export const CLAIM_TIMEOUT_MS = 1_000;
 
 /** After a failure the store is not asked for so long, in ms. */
-export const STORE_PAUSE_MS = 1_000;
+export const STORE_BACKOFF_MS = 1_000;
 
 /** First pause between tries to record an end or a release, in ms. */
-const FIRST_PAUSE_MS = 100;
+const INITIAL_RETRY_DELAY_MS = 100;
 
 /** Longest pause between tries, in ms. */
-const LONGEST_PAUSE_MS = 10_000;
+const MAX_RETRY_DELAY_MS = 10_000;
 
 /** Tries to record; with the pauses above they last for six hours. */
-const RECORD_TRIES = 2_160;
+const MAX_RECORD_ATTEMPTS = 2_160;
 
 /** The claims are swept in so many parts, so that no list is long. */
 const SWEEP_PREFIX_LENGTH = 3;
@@ -66,10 +66,10 @@
 /** Makes the claims of one host. */
 export function createClaims(host: ClaimsHost): Claims {
   const commit = createGroupCommit(host.tables);
-  let storePausedUntilMs = 0;
+  let backoffUntilMs = 0;
 
-  function noteFailure(): void {
-    storePausedUntilMs = host.clock.monotonicMs() + STORE_PAUSE_MS;
+  function recordFailure(): void {
+    backoffUntilMs = host.clock.monotonicMs() + STORE_BACKOFF_MS;
   }
 
   return {
@@ -77,26 +77,26 @@
       createClaim(input, {
         ...host,
         commit,
-        noteFailure,
-        isStorePaused: () => host.clock.monotonicMs() < storePausedUntilMs,
+        recordFailure,
+        isBackingOff: () => host.clock.monotonicMs() < backoffUntilMs,
       }),
     sweep: Effect.suspend(() => sweep(host)),
   };
 }
 
-interface ClaimHost extends ClaimsHost {
+interface ClaimContext extends ClaimsHost {
   readonly commit: GroupCommit;
-  noteFailure(): void;
-  isStorePaused(): boolean;
+  recordFailure(): void;
+  isBackingOff(): boolean;
 }
 
-function createClaim(input: ClaimInput, host: ClaimHost): Claim {
+function createClaim(input: ClaimInput, context: ClaimContext): Claim {
   const key = getClaimKey(input);
   /** Version of the row that holds this attempt's last write; 0 before it. */
   let version = 0;
   /** True from the first write until its fate is known. */
-  let isInDoubt = false;
-  let isGivenUp = false;
+  let isWriteUncertain = false;
+  let isReleaseRequested = false;
 
   function createRow(state: ClaimState, end?: RecordedEnd): ClaimRow {
     return {
@@ -104,9 +104,9 @@
       attempt: input.attempt,
       writeId: randomUUID(),
       fingerprint: input.fingerprint,
-      host: host.id,
-      incarnation: host.incarnation,
-      expiresMs: host.clock.wallMs() + CLAIM_KEEP_MS,
+      host: context.id,
+      incarnation: context.incarnation,
+      expiresMs: context.clock.wallMs() + CLAIM_RETENTION_MS,
       ...(end === undefined ? {} : { end }),
     };
   }
@@ -115,21 +115,21 @@
     expectedVersion: number,
     value: ClaimRow,
   ): Effect.Effect<WriteResult> {
-    return host.commit.write({ table: TABLE, key, expectedVersion, value })
+    return context.commit.write({ table: TABLE, key, expectedVersion, value })
       .pipe(Effect.tap((result) =>
         Effect.sync(() => {
           if (result.kind === "committed") version = expectedVersion + 1;
-          if (result.kind === "failed") host.noteFailure();
+          if (result.kind === "failed") context.recordFailure();
         })
       ));
   }
 
-  function takeFrom(expectedVersion: number): Effect.Effect<ClaimResult> {
+  function acquireAt(expectedVersion: number): Effect.Effect<ClaimResult> {
     return write(expectedVersion, createRow("held")).pipe(
       Effect.flatMap((result) => {
         switch (result.kind) {
           case "committed":
-            return settled({ kind: "claimed" });
+            return settle({ kind: "claimed" });
           case "failed":
             return Effect.succeed<ClaimResult>({
               kind: "unavailable",
@@ -138,32 +138,33 @@
           case "conflict":
             // Given up meanwhile: to take the released row again would leave a
             // claim that nobody uses.
-            return !isGivenUp && isFree(result.row, host.clock.wallMs())
-              ? takeFrom(result.row.version)
-              : settled(toResult(result.row, input));
+            return !isReleaseRequested &&
+                isFree(result.row, context.clock.wallMs())
+              ? acquireAt(result.row.version)
+              : settle(toResult(result.row, input));
         }
       }),
     );
   }
 
-  function settled(result: ClaimResult): Effect.Effect<ClaimResult> {
-    isInDoubt = false;
+  function settle(result: ClaimResult): Effect.Effect<ClaimResult> {
+    isWriteUncertain = false;
     return Effect.succeed(result);
   }
 
-  const take = Effect.suspend(() => {
-    if (host.isStorePaused()) {
+  const acquire = Effect.suspend(() => {
+    if (context.isBackingOff()) {
       const reason = "The store failed a moment ago";
       return Effect.succeed<ClaimResult>({ kind: "unavailable", reason });
     }
-    isInDoubt = true;
+    isWriteUncertain = true;
     // The write goes on when its caller is interrupted, and settles the doubt.
-    return waitDetached(takeFrom(0)).pipe(Effect.timeoutOrElse({
-      duration: CLAIM_LIMIT_MS,
+    return awaitDetached(acquireAt(0)).pipe(Effect.timeoutOrElse({
+      duration: CLAIM_TIMEOUT_MS,
       orElse: () =>
         Effect.sync((): ClaimResult => {
-          host.noteFailure();
-          const reason = `No reply in ${CLAIM_LIMIT_MS} ms`;
+          context.recordFailure();
+          const reason = `No reply in ${CLAIM_TIMEOUT_MS} ms`;
           return { kind: "unavailable", reason };
         }),
     }));
@@ -177,17 +178,17 @@
   }
 
   function release(): Effect.Effect<boolean> {
-    isGivenUp = true;
-    if (version === 0 && !isInDoubt) return Effect.succeed(true);
+    isReleaseRequested = true;
+    if (version === 0 && !isWriteUncertain) return Effect.succeed(true);
     // In doubt, the row is read and overwritten at the version found. When the
     // first write arrives after that, its version no longer matches.
     const tryOnce = Effect.gen(function* () {
-      const row = yield* host.tables.get(TABLE, key);
+      const row = yield* context.tables.get(TABLE, key);
       const found = row.value as ClaimRow | null;
       const isOther = found !== null && found.attempt !== input.attempt;
-      if (isOther && !isFree(row, host.clock.wallMs())) return released;
+      if (isOther && !isFree(row, context.clock.wallMs())) return committed;
       if (found?.attempt === input.attempt && found.state === "released") {
-        return released;
+        return committed;
       }
       return yield* write(row.version, createRow("released"));
     }).pipe(
@@ -200,17 +201,17 @@
   }
 
   return {
-    take,
-    end: (end) => record(createRow("ended", end)),
-    setUnknown: () => record(createRow("unknown")),
+    acquire,
+    recordEnd: (end) => record(createRow("ended", end)),
+    recordUnknown: () => record(createRow("unknown")),
     release,
   };
 }
 
-const released: WriteResult = { kind: "committed" };
+const committed: WriteResult = { kind: "committed" };
 
 /** Runs the effect to its end even when the one who waits is interrupted. */
-function waitDetached<A>(effect: Effect.Effect<A>): Effect.Effect<A> {
+function awaitDetached<A>(effect: Effect.Effect<A>): Effect.Effect<A> {
   return Effect.callback<A>((resume) => {
     Effect.runFork(effect.pipe(Effect.map((value) => {
       resume(Effect.succeed(value));
@@ -225,10 +226,14 @@
 ): Effect.Effect<WriteResult> {
   return Effect.gen(function* () {
     let result = yield* tryOnce;
-    let pauseMs = FIRST_PAUSE_MS;
-    for (let tries = 1; tries < RECORD_TRIES && !isDone(result); tries++) {
-      yield* Effect.sleep(pauseMs);
-      pauseMs = Math.min(LONGEST_PAUSE_MS, pauseMs * 3);
+    let delayMs = INITIAL_RETRY_DELAY_MS;
+    for (
+      let attempt = 1;
+      attempt < MAX_RECORD_ATTEMPTS && !isDone(result);
+      attempt++
+    ) {
+      yield* Effect.sleep(delayMs);
+      delayMs = Math.min(MAX_RETRY_DELAY_MS, delayMs * 3);
       result = yield* tryOnce;
     }
     return result;
--- a/src/claims/claims_test.ts
+++ b/src/claims/claims_test.ts
@@ -10,10 +10,10 @@
 import { createManualClock } from "../core/mod.ts";
 import type { TableService } from "../platform/mod.ts";
 import { createFakeStore } from "../testing/fake_io.ts";
-import { CLAIM_KEEP_MS, createClaims, getClaimKey } from "./claims.ts";
+import { CLAIM_RETENTION_MS, createClaims, getClaimKey } from "./claims.ts";
 import type { Claim, ClaimResult } from "./types.ts";
 
-const booking = {
+const keyInput = {
   team: "alder",
   service: "desk",
   operation: "book",
@@ -28,7 +28,7 @@
     get: (table, key) => Effect.sync(() => store.get(table, key)),
     list: (table, prefix) => Effect.sync(() => store.list(table, prefix)),
   };
-  const prefix = parseInt(getClaimKey(booking).slice(0, 3), 16);
+  const prefix = parseInt(getClaimKey(keyInput).slice(0, 3), 16);
   const claims = createClaims({
     id: "entry-1",
     incarnation: 1,
@@ -37,50 +37,50 @@
     random: () => prefix / 4096,
   });
   const create = (attempt: string, fingerprint = "content-1") =>
-    claims.create({ ...booking, fingerprint, attempt });
+    claims.create({ ...keyInput, fingerprint, attempt });
   const countRows = () => store.list("claims", "").length;
   return { claims, clock, create, countRows };
 }
 
-function take(claim: Claim): Promise<ClaimResult> {
-  return Effect.runPromise(claim.take);
+function acquire(claim: Claim): Promise<ClaimResult> {
+  return Effect.runPromise(claim.acquire);
 }
 
 test("a second attempt is told what became of the first", async () => {
   const { create } = createFixture();
   const first = create("1");
-  assert.equal((await take(first)).kind, "claimed");
-  assert.equal((await take(create("2"))).kind, "under-way");
-  assert.equal((await take(create("3", "content-2"))).kind, "other-content");
+  assert.equal((await acquire(first)).kind, "claimed");
+  assert.equal((await acquire(create("2"))).kind, "under-way");
+  assert.equal((await acquire(create("3", "content-2"))).kind, "other-content");
   const end = { status: 200, body: "confirmed" };
-  await Effect.runPromise(first.end(end));
-  assert.deepEqual(await take(create("4")), { kind: "ended", end });
+  await Effect.runPromise(first.recordEnd(end));
+  assert.deepEqual(await acquire(create("4")), { kind: "ended", end });
 });
 
 test("a released claim can be taken, an unknown one never", async () => {
   const { create } = createFixture();
   const first = create("1");
-  await take(first);
+  await acquire(first);
   await Effect.runPromise(first.release());
   const second = create("2");
-  assert.equal((await take(second)).kind, "claimed");
-  await Effect.runPromise(second.setUnknown());
-  assert.equal((await take(create("3"))).kind, "unknown");
+  assert.equal((await acquire(second)).kind, "claimed");
+  await Effect.runPromise(second.recordUnknown());
+  assert.equal((await acquire(create("3"))).kind, "unknown");
   // The first attempt is over; its word must not undo the second's.
   await Effect.runPromise(first.release());
-  assert.equal((await take(create("4"))).kind, "unknown");
+  assert.equal((await acquire(create("4"))).kind, "unknown");
 });
 
 test("an old key counts as new, and its row is swept", async () => {
   const { claims, clock, create, countRows } = createFixture();
   const first = create("1");
-  await take(first);
-  await Effect.runPromise(first.end({ status: 200, body: "confirmed" }));
-  clock.advance(CLAIM_KEEP_MS - 1);
-  assert.equal((await take(create("2"))).kind, "ended");
+  await acquire(first);
+  await Effect.runPromise(first.recordEnd({ status: 200, body: "confirmed" }));
+  clock.advance(CLAIM_RETENTION_MS - 1);
+  assert.equal((await acquire(create("2"))).kind, "ended");
   assert.equal(await Effect.runPromise(claims.sweep), 0);
   clock.advance(1);
   assert.equal(await Effect.runPromise(claims.sweep), 1);
   assert.equal(countRows(), 0);
-  assert.equal((await take(create("3"))).kind, "claimed");
+  assert.equal((await acquire(create("3"))).kind, "claimed");
 });
--- a/src/claims/group_commit.ts
+++ b/src/claims/group_commit.ts
@@ -38,15 +38,15 @@
 
 interface Pending {
   readonly write: IdentifiedWrite;
-  tries: number;
+  attempts: number;
   settle(result: WriteResult): void;
 }
 
 /** Writes in one transaction at most; table services limit them. */
-export const MAX_GROUP = 50;
+export const MAX_GROUP_SIZE = 50;
 
 /** Tries of one write whose reply is lost and that reads back as not there. */
-const MAX_TRIES = 3;
+const MAX_ATTEMPTS = 3;
 
 /** Makes a committer with nothing to commit. */
 export function createGroupCommit(tables: TableService): GroupCommit {
@@ -54,32 +54,32 @@
   let isRunning = false;
 
   /** Two writes of one row never share a group: each needs its own version. */
-  function takeGroup(): Pending[] {
+  function dequeueGroup(): Pending[] {
     const rows = new Set<string>();
     const group: Pending[] = [];
-    const left: Pending[] = [];
+    const remaining: Pending[] = [];
     for (const each of pending) {
       const row = `${each.write.table}/${each.write.key}`;
-      if (group.length >= MAX_GROUP || rows.has(row)) left.push(each);
+      if (group.length >= MAX_GROUP_SIZE || rows.has(row)) remaining.push(each);
       else group.push(each);
       rows.add(row);
     }
-    pending = left;
+    pending = remaining;
     return group;
   }
 
   const commitAll = Effect.gen(function* () {
     while (pending.length > 0) {
-      const group = takeGroup();
+      const group = dequeueGroup();
       const writes = group.map((each) => each.write);
       yield* tables.transact(writes).pipe(
         Effect.flatMap((result) =>
           Effect.sync(() => {
             if (result.kind === "committed") settleAll(group);
-            else splitConflict(group, result.rows);
+            else resolveConflict(group, result.rows);
           })
         ),
-        Effect.catchTag("PlatformError", (err) => resolveLost(group, err)),
+        Effect.catchTag("PlatformError", (err) => resolveUncertain(group, err)),
       );
     }
   });
@@ -97,15 +97,15 @@
   }
 
   /** One write's conflict must not fail the others: they go again at once. */
-  function splitConflict(
+  function resolveConflict(
     group: readonly Pending[],
     rows: readonly (Row | undefined)[],
   ): void {
-    const again = group.filter((each, index) => {
-      const row = rows[index] ?? createAbsent(each.write.key);
+    const unsettled = group.filter((each, index) => {
+      const row = rows[index] ?? createAbsentRow(each.write.key);
       return !trySettleByRow(each, row);
     });
-    pending = [...again, ...pending];
+    pending = [...unsettled, ...pending];
   }
 
   /**
@@ -113,18 +113,18 @@
    * that is not there goes again with the same expected version, so that the
    * lost one, should it still arrive, meets a conflict.
    */
-  function resolveLost(
+  function resolveUncertain(
     group: readonly Pending[],
     err: PlatformError,
   ): Effect.Effect<void> {
     if (!err.mayHaveRun) return Effect.sync(() => failAll(group, err));
-    return Effect.forEach(group, (each) => resolveOne(each, err), {
+    return Effect.forEach(group, (each) => resolveByRow(each, err), {
       concurrency: 8,
       discard: true,
     });
   }
 
-  function resolveOne(
+  function resolveByRow(
     each: Pending,
     err: PlatformError,
   ): Effect.Effect<void> {
@@ -132,8 +132,8 @@
     return tables.get(table, key).pipe(
       Effect.map((row) => {
         if (trySettleByRow(each, row)) return;
-        each.tries++;
-        if (each.tries < MAX_TRIES) pending.push(each);
+        each.attempts++;
+        if (each.attempts < MAX_ATTEMPTS) pending.push(each);
         else each.settle({ kind: "failed", err });
       }),
       Effect.catchTag(
@@ -148,7 +148,7 @@
       Effect.callback<WriteResult>((resume) => {
         pending.push({
           write,
-          tries: 0,
+          attempts: 0,
           settle: (result) => resume(Effect.succeed(result)),
         });
         start();
@@ -170,6 +170,6 @@
   for (const each of group) each.settle({ kind: "failed", err });
 }
 
-function createAbsent(key: string): Row {
+function createAbsentRow(key: string): Row {
   return { key, value: null, version: 0 };
 }
--- a/src/claims/group_commit_test.ts
+++ b/src/claims/group_commit_test.ts
@@ -20,7 +20,7 @@
 function createFixture(s: fc.Scheduler, faults: readonly IoFault[]) {
   const store = createFakeStore();
   const counts = { transactions: 0 };
-  const counting = {
+  const countingStore = {
     ...store,
     transact(writes: Parameters<typeof store.transact>[0]) {
       counts.transactions++;
@@ -28,7 +28,7 @@
     },
   };
   const io = createIo(s, { faults, diesAtCall: 0 });
-  const commit = createGroupCommit(createFakeTables(counting, io));
+  const commit = createGroupCommit(createFakeTables(countingStore, io));
   let writes = 0;
 
   function write(key: string): Promise<WriteResult> {
@@ -97,9 +97,9 @@
         for (const [index, result] of results.entries()) {
           const row = store.get("t", keys[index]!);
           const value = row.value as { writeId: string } | null;
-          const stands = value?.writeId === `write-${index + 1}`;
-          if (result.kind === "committed") assert.ok(stands);
-          if (result.kind === "conflict") assert.ok(!stands);
+          const isWritten = value?.writeId === `write-${index + 1}`;
+          if (result.kind === "committed") assert.ok(isWritten);
+          if (result.kind === "conflict") assert.ok(!isWritten);
         }
       },
     ),
--- a/src/claims/types.ts
+++ b/src/claims/types.ts
@@ -65,11 +65,11 @@
  */
 export interface Claim {
   /** Takes the claim. Interrupting it leaves the write under way. */
-  readonly take: Effect.Effect<ClaimResult>;
+  readonly acquire: Effect.Effect<ClaimResult>;
   /** Records the outcome; true when it stands. */
-  end(end: RecordedEnd): Effect.Effect<boolean>;
+  recordEnd(end: RecordedEnd): Effect.Effect<boolean>;
   /** Records that the end is not known; true when it stands. */
-  setUnknown(): Effect.Effect<boolean>;
+  recordUnknown(): Effect.Effect<boolean>;
   /**
    * Gives the claim up, for an attempt that sent nothing. Also right when the
    * fate of `take` is not known: it then makes sure that a write which is still
--- a/src/requests/run_once.ts
+++ b/src/requests/run_once.ts
@@ -16,7 +16,7 @@
 import * as Deferred from "effect/Deferred";
 import * as Effect from "effect/Effect";
 import type { Claim, ClaimResult, RecordedEnd } from "../claims/mod.ts";
-import { CLAIM_KEEP_MS } from "../claims/mod.ts";
+import { CLAIM_RETENTION_MS } from "../claims/mod.ts";
 import type { SlotHandle } from "../slots/mod.ts";
 import type { AdmittedRequest } from "../types.ts";
 import { UpstreamError, wasNotSent } from "../upstreams/mod.ts";
@@ -190,7 +190,7 @@
       duration: Math.max(0, expectedMs - CLAIM_AHEAD_MS),
       orElse: () => Effect.void,
     }));
-    const result = yield* claim.take;
+    const result = yield* claim.acquire;
     host.recorder.record({
       kind: "claim-decided",
       request: admitted.id,
@@ -223,7 +223,7 @@
       if (host.isProcessGone(row.host, row.incarnation)) {
         return createMayHaveRun(409, "claimHolderLost");
       }
-      const claimedMs = row.expiresMs - CLAIM_KEEP_MS;
+      const claimedMs = row.expiresMs - CLAIM_RETENTION_MS;
       const limitMs = call.service.maxDeadlineMs + HOLDER_SLACK_MS;
       if (host.clock.wallMs() > claimedMs + limitMs) {
         return createMayHaveRun(409, "claimEndUnknown");
@@ -260,10 +260,10 @@
   const { claim, end, progress } = context;
   if (end !== undefined) {
     return end.body.length <= MAX_RECORDED
-      ? claim.end(end)
-      : claim.setUnknown();
+      ? claim.recordEnd(end)
+      : claim.recordUnknown();
   }
   return progress.isSent || progress.mayHaveRun
-    ? claim.setUnknown()
+    ? claim.recordUnknown()
     : claim.release();
 }
--- a/src/requests/run_once_test.ts
+++ b/src/requests/run_once_test.ts
@@ -94,9 +94,9 @@
 test("without claims the checker reports a booking that ran twice", async () => {
   const claims: Claims = {
     create: () => ({
-      take: Effect.succeed({ kind: "claimed" }),
-      end: () => Effect.succeed(true),
-      setUnknown: () => Effect.succeed(true),
+      acquire: Effect.succeed({ kind: "claimed" }),
+      recordEnd: () => Effect.succeed(true),
+      recordUnknown: () => Effect.succeed(true),
       release: () => Effect.succeed(true),
     }),
     sweep: Effect.succeed(0),
