--- a/src/claims/claims.ts
+++ b/src/claims/claims.ts
@@ -1,8 +1,9 @@
 /**
- * Claims of idempotency keys: a request that may run at most once writes its
- * claim on the table service before its first byte goes upstream. A claim is
- * given up by its own attempt alone, never by others after some time: a holder
- * that was paused for long may still go on, since nobody else ran its request.
+ * Claims of idempotency keys. A request that may run at most once writes its
+ * claim to the table service before its first byte is sent upstream. Only the
+ * attempt that wrote a claim releases it; no time-out during its retention lets
+ * another attempt acquire it. So a holder that was suspended for long may still
+ * proceed, since no other attempt has run its request.
  *
  * @module
  */
@@ -26,44 +27,50 @@
   RecordedEnd,
 } from "./types.ts";
 
-/** What claims need of the process. */
+/** Dependencies of the claims, supplied by the process. */
 export interface ClaimsHost {
   readonly id: string;
   /** Start of this process in wall milliseconds. */
   readonly incarnation: number;
   readonly clock: Clock;
   readonly tables: TableService;
-  /** A number from 0 up to 1; picks the keys to sweep. */
+  /** Returns a number in [0, 1); selects the keys to sweep. */
   random(): number;
 }
 
 const TABLE = "claims";
 
 /**
- * A key is kept for three days: longer than a weekend, over which a caller's
- * own job queue may hold a resend, and short enough for the table to stay small.
+ * Claims are retained for three days: longer than a weekend, over which a
+ * caller's own job queue may hold a retry, and short enough to keep the table
+ * small.
  */
 export const CLAIM_RETENTION_MS = 72 * 3_600_000;
 
-/** Time for a claim, in ms; a caller is not kept waiting for a slow store. */
+/**
+ * Time-out of acquiring a claim; a slow table service must not hold callers.
+ */
 export const CLAIM_TIMEOUT_MS = 1_000;
 
-/** After a failure the store is not asked for so long, in ms. */
+/** Time after a failure of the table service without new claims, in ms. */
 export const STORE_BACKOFF_MS = 1_000;
 
-/** First pause between tries to record an end or a release, in ms. */
+/** Delay before the first retry of recording an end or a release, in ms. */
 const INITIAL_RETRY_DELAY_MS = 100;
 
-/** Longest pause between tries, in ms. */
+/** Upper bound of the delay between retries, in ms. */
 const MAX_RETRY_DELAY_MS = 10_000;
 
-/** Tries to record; with the pauses above they last for six hours. */
+/** Attempts to record; with the delays above they span six hours. */
 const MAX_RECORD_ATTEMPTS = 2_160;
 
-/** The claims are swept in so many parts, so that no list is long. */
+/**
+ * Hexadecimal digits of the key that select the part to sweep: 4096 parts, so
+ * that no list of rows is long.
+ */
 const SWEEP_PREFIX_LENGTH = 3;
 
-/** Makes the claims of one host. */
+/** Creates the claims of one host. */
 export function createClaims(host: ClaimsHost): Claims {
   const commit = createGroupCommit(host.tables);
   let backoffUntilMs = 0;
@@ -92,9 +99,9 @@
 
 function createClaim(input: ClaimInput, context: ClaimContext): Claim {
   const key = getClaimKey(input);
-  /** Version of the row that holds this attempt's last write; 0 before it. */
+  /** Row version written by this attempt's last write; 0 before any write. */
   let version = 0;
-  /** True from the first write until its fate is known. */
+  /** True from the start of the first write until its outcome is known. */
   let isWriteUncertain = false;
   let isReleaseRequested = false;
 
@@ -136,8 +143,8 @@
               reason: result.err.reason,
             });
           case "conflict":
-            // Given up meanwhile: to take the released row again would leave a
-            // claim that nobody uses.
+            // If this claim was released meanwhile, acquiring the free row
+            // would leave a claim that no attempt uses.
             return !isReleaseRequested &&
                 isFree(result.row, context.clock.wallMs())
               ? acquireAt(result.row.version)
@@ -154,17 +161,18 @@
 
   const acquire = Effect.suspend(() => {
     if (context.isBackingOff()) {
-      const reason = "The store failed a moment ago";
+      const reason = "The table service failed within the last second";
       return Effect.succeed<ClaimResult>({ kind: "unavailable", reason });
     }
     isWriteUncertain = true;
-    // The write goes on when its caller is interrupted, and settles the doubt.
+    // The write continues if its caller is interrupted, so that its outcome
+    // becomes known.
     return awaitDetached(acquireAt(0)).pipe(Effect.timeoutOrElse({
       duration: CLAIM_TIMEOUT_MS,
       orElse: () =>
         Effect.sync((): ClaimResult => {
           context.recordFailure();
-          const reason = `No reply in ${CLAIM_TIMEOUT_MS} ms`;
+          const reason = `No reply within ${CLAIM_TIMEOUT_MS} ms`;
           return { kind: "unavailable", reason };
         }),
     }));
@@ -180,8 +188,9 @@
   function release(): Effect.Effect<boolean> {
     isReleaseRequested = true;
     if (version === 0 && !isWriteUncertain) return Effect.succeed(true);
-    // In doubt, the row is read and overwritten at the version found. When the
-    // first write arrives after that, its version no longer matches.
+    // If the first write is uncertain, the row is read and overwritten at the
+    // version found. If the first write arrives after that, it conflicts, since
+    // its expected version no longer matches.
     const tryOnce = Effect.gen(function* () {
       const row = yield* context.tables.get(TABLE, key);
       const found = row.value as ClaimRow | null;
@@ -210,7 +219,9 @@
 
 const committed: WriteResult = { kind: "committed" };
 
-/** Runs the effect to its end even when the one who waits is interrupted. */
+/**
+ * Waits for the effect, which runs to its end even if the wait is interrupted.
+ */
 function awaitDetached<A>(effect: Effect.Effect<A>): Effect.Effect<A> {
   return Effect.callback<A>((resume) => {
     Effect.runFork(effect.pipe(Effect.map((value) => {
@@ -219,7 +230,7 @@
   });
 }
 
-/** Tries again after failures, with growing pauses, and then gives up. */
+/** Retries failures with exponential back-off, up to the limit of attempts. */
 function retry(
   tryOnce: Effect.Effect<WriteResult>,
   isDone = (result: WriteResult) => result.kind !== "failed",
@@ -248,7 +259,7 @@
   );
 }
 
-/** The row's key; a digest spreads the rows evenly for the sweep. */
+/** Returns the row's key: a digest, which spreads rows evenly for the sweep. */
 export function getClaimKey(
   input: Omit<ClaimInput, "attempt" | "fingerprint">,
 ): string {
@@ -277,8 +288,8 @@
 }
 
 /**
- * Deletes expired claims of one part of the keys, picked at random: the hosts
- * need not agree on who sweeps what.
+ * Deletes the expired claims of one part of the keys. The part is random, so
+ * that hosts need not agree on who sweeps which part.
  */
 function sweep(host: ClaimsHost): Effect.Effect<number> {
   const parts = 16 ** SWEEP_PREFIX_LENGTH;
--- a/src/claims/claims_test.ts
+++ b/src/claims/claims_test.ts
@@ -1,5 +1,6 @@
 /**
- * Tests of what a second attempt with a key is told, and of old claims.
+ * Tests of the results that later attempts with a key get, and of expired
+ * claims.
  *
  * @module
  */
@@ -46,7 +47,7 @@
   return Effect.runPromise(claim.acquire);
 }
 
-test("a second attempt is told what became of the first", async () => {
+test("a later attempt gets the state and the response of the first", async () => {
   const { create } = createFixture();
   const first = create("1");
   assert.equal((await acquire(first)).kind, "claimed");
@@ -57,7 +58,7 @@
   assert.deepEqual(await acquire(create("4")), { kind: "ended", end });
 });
 
-test("a released claim can be taken, an unknown one never", async () => {
+test("a released claim can be acquired, an unknown one cannot", async () => {
   const { create } = createFixture();
   const first = create("1");
   await acquire(first);
@@ -66,12 +67,12 @@
   assert.equal((await acquire(second)).kind, "claimed");
   await Effect.runPromise(second.recordUnknown());
   assert.equal((await acquire(create("3"))).kind, "unknown");
-  // The first attempt is over; its word must not undo the second's.
+  // A late release by the first attempt must not undo the second one's record.
   await Effect.runPromise(first.release());
   assert.equal((await acquire(create("4"))).kind, "unknown");
 });
 
-test("an old key counts as new, and its row is swept", async () => {
+test("an expired claim is swept and its key can be claimed again", async () => {
   const { claims, clock, create, countRows } = createFixture();
   const first = create("1");
   await acquire(first);
--- a/src/claims/group_commit.ts
+++ b/src/claims/group_commit.ts
@@ -1,10 +1,11 @@
 /**
- * Gathers conditional writes: while one transaction is under way the next
- * writes wait, and then go together in one.
+ * Group commit of conditional writes: writes that arrive while a transaction is
+ * in flight wait and are committed together in the next one.
  *
- * Load: a burst of calls that each need a claim, and a store that takes several
- * hundred writes a second from the whole fleet. Harm prevented: one write for
- * each call uses up the store's rate, or a queue of round trips builds up.
+ * Load: a burst of calls that each need a claim, and a table service that
+ * accepts several hundred writes per second from the whole fleet. Failure
+ * prevented: one write per call exceeds the service's rate, or a queue of round
+ * trips builds up.
  *
  * @module
  */
@@ -17,22 +18,22 @@
   TableService,
 } from "../platform/mod.ts";
 
-/** A write whose value tells it from every other write. */
+/** A conditional write whose value carries a unique id. */
 export interface IdentifiedWrite extends ConditionalWrite {
   readonly value: { readonly writeId: string };
 }
 
-/** What became of one write. */
+/** Result of one write. */
 export type WriteResult =
   | { readonly kind: "committed" }
-  /** The row as it is; the write can no longer take effect. */
+  /** The write can no longer take effect; `row` is the current row. */
   | { readonly kind: "conflict"; readonly row: Row }
-  /** The write may take effect now, later or never. */
+  /** The write may have taken effect, or may do so later or never. */
   | { readonly kind: "failed"; readonly err: PlatformError };
 
 /** Commits writes in groups. */
 export interface GroupCommit {
-  /** Interrupting a waiting caller does not take the write back. */
+  /** Queues a write. Interrupting the caller does not withdraw it. */
   write(write: IdentifiedWrite): Effect.Effect<WriteResult>;
 }
 
@@ -42,18 +43,21 @@
   settle(result: WriteResult): void;
 }
 
-/** Writes in one transaction at most; table services limit them. */
+/** Maximum writes in one transaction, which table services limit. */
 export const MAX_GROUP_SIZE = 50;
 
-/** Tries of one write whose reply is lost and that reads back as not there. */
+/** Attempts of a write whose replies are lost and that did not take effect. */
 const MAX_ATTEMPTS = 3;
 
-/** Makes a committer with nothing to commit. */
+/** Creates a group commit without pending writes. */
 export function createGroupCommit(tables: TableService): GroupCommit {
   let pending: Pending[] = [];
   let isRunning = false;
 
-  /** Two writes of one row never share a group: each needs its own version. */
+  /**
+   * Removes the next group from the queue. Two writes of one row never share a
+   * group, since each expects its own version of the row.
+   */
   function dequeueGroup(): Pending[] {
     const rows = new Set<string>();
     const group: Pending[] = [];
@@ -96,7 +100,7 @@
     for (const each of group) each.settle({ kind: "committed" });
   }
 
-  /** One write's conflict must not fail the others: they go again at once. */
+  /** Settles the writes that conflict and requeues the others of the group. */
   function resolveConflict(
     group: readonly Pending[],
     rows: readonly (Row | undefined)[],
@@ -109,9 +113,10 @@
   }
 
   /**
-   * The reply was lost, so each write may stand or not. Its row tells; a write
-   * that is not there goes again with the same expected version, so that the
-   * lost one, should it still arrive, meets a conflict.
+   * Handles a failed transaction. If its reply was lost, each write may or may
+   * not have taken effect, and its row is read to find out. A write that did
+   * not take effect is retried with the same expected version, so that the lost
+   * write conflicts if it still arrives.
    */
   function resolveUncertain(
     group: readonly Pending[],
@@ -156,7 +161,7 @@
   };
 }
 
-/** True when the row as it is decides the write's fate. */
+/** Settles the write if the current row shows its outcome; true if it did. */
 function trySettleByRow(each: Pending, row: Row): boolean {
   const { expectedVersion, value } = each.write;
   if (row.version === expectedVersion) return false;
--- a/src/claims/group_commit_test.ts
+++ b/src/claims/group_commit_test.ts
@@ -43,7 +43,7 @@
   return { store, counts, write };
 }
 
-test("writes that come during a transaction go together in the next", async () => {
+test("writes during a transaction are committed together in the next", async () => {
   await fc.assert(
     fc.asyncProperty(fc.scheduler(), async (s) => {
       const { counts, write } = createFixture(s, []);
@@ -58,7 +58,8 @@
 });
 
 test("a conflict of one write does not fail the others", async () => {
-  // Twenty bookings were refused at once, since one of them was a resend.
+  // Guards against a retried request whose conflict fails all claims that share
+  // its transaction.
   await fc.assert(
     fc.asyncProperty(fc.scheduler(), async (s) => {
       const { store, write } = createFixture(s, []);
@@ -73,9 +74,9 @@
   );
 });
 
-test("what a write is told about its fate is so", async () => {
-  // The reply of a transaction was lost; its writes were called failed while
-  // they stood, or the other way round.
+test("the reported result of a write matches the stored row", async () => {
+  // Guards against a lost reply of a transaction after which writes that took
+  // effect are reported as conflicts, or the reverse.
   const fault = fc.constantFrom<IoFault>(
     "none",
     "refused",
--- a/src/claims/mod.ts
+++ b/src/claims/mod.ts
@@ -1,5 +1,5 @@
 /**
- * At most one run for each idempotency key.
+ * Ensures that a request runs at most once per idempotency key.
  *
  * @module
  */
--- a/src/claims/types.ts
+++ b/src/claims/types.ts
@@ -1,54 +1,57 @@
 /**
- * The row of a claim and what a claim can come to.
+ * Types of claims: the row in the table service, and the results of claiming.
  *
  * @module
  */
 
 import type * as Effect from "effect/Effect";
 
-/** The end of a claimed request as a resend gets it. */
+/** Recorded response of a claimed request, returned to later requests. */
 export interface RecordedEnd {
   readonly status: number;
   readonly body: string;
 }
 
 /**
- * Life of a claim. "held": its attempt may be running. "released": its attempt
- * sent nothing upstream and never will, so another may claim. "ended": the
- * outcome is recorded. "unknown": the call went upstream and its end was lost.
+ * State of a claim. "held": the attempt that wrote it may be running.
+ * "released": that attempt sent nothing upstream and never will, so another
+ * attempt may claim the key. "ended": the response is recorded. "unknown": the
+ * request was sent upstream, and its outcome was lost.
  */
 export type ClaimState = "held" | "released" | "ended" | "unknown";
 
-/** The row of a claim in the table service. */
+/** Value of a claim's row in the table service. */
 export interface ClaimRow {
   readonly state: ClaimState;
-  /** The request that wrote the row. */
+  /** Id of the request that wrote the row. */
   readonly attempt: string;
-  /** New at each write; tells after a lost reply whether it took effect. */
+  /**
+   * Unique per write; shows after a lost reply whether the write took effect.
+   */
   readonly writeId: string;
-  /** Same for a resend of the same content. */
+  /** Digest of the content; equal for requests with equal content. */
   readonly fingerprint: string;
   readonly host: string;
   /** Start of the host's process, in wall milliseconds. */
   readonly incarnation: number;
-  /** Wall milliseconds after which the key may be used anew. */
+  /** Wall milliseconds after which the key may be reused. */
   readonly expiresMs: number;
   readonly end?: RecordedEnd;
 }
 
-/** What an attempt to claim came to. */
+/** Result of acquiring a claim. */
 export type ClaimResult =
   | { readonly kind: "claimed" }
   | { readonly kind: "ended"; readonly end: RecordedEnd }
-  /** The end is not known and never will be. */
+  /** The outcome of the request was lost and cannot be determined. */
   | { readonly kind: "unknown" }
   | { readonly kind: "under-way"; readonly row: ClaimRow }
-  /** The key was used for other content. */
+  /** The key was used with different content. */
   | { readonly kind: "other-content" }
-  /** The table service can't be asked; this attempt sends nothing. */
+  /** The table service failed; the attempt must send nothing upstream. */
   | { readonly kind: "unavailable"; readonly reason: string };
 
-/** What names a claim. */
+/** Identity of a claim, its content, and the attempt that acquires it. */
 export interface ClaimInput {
   readonly team: string;
   readonly service: string;
@@ -60,20 +63,20 @@
 }
 
 /**
- * One attempt's claim. Its owner calls exactly one of `end`, `setUnknown` and
- * `release` after an attempt to take it.
+ * The claim of one attempt. After the attempt called `acquire`, whatever the
+ * result, it calls exactly one of `recordEnd`, `recordUnknown` and `release`.
  */
 export interface Claim {
-  /** Takes the claim. Interrupting it leaves the write under way. */
+  /** Acquires the claim. The write continues if this effect is interrupted. */
   readonly acquire: Effect.Effect<ClaimResult>;
-  /** Records the outcome; true when it stands. */
+  /** Records the response; true if the record was written. */
   recordEnd(end: RecordedEnd): Effect.Effect<boolean>;
-  /** Records that the end is not known; true when it stands. */
+  /** Records that the outcome is unknown; true if the record was written. */
   recordUnknown(): Effect.Effect<boolean>;
   /**
-   * Gives the claim up, for an attempt that sent nothing. Also right when the
-   * fate of `take` is not known: it then makes sure that a write which is still
-   * on its way can't take effect later.
+   * Releases the claim of an attempt that sent nothing upstream. May also be
+   * called while the outcome of `acquire` is uncertain: it then ensures that a
+   * write that is still in flight cannot take effect later.
    */
   release(): Effect.Effect<boolean>;
 }
@@ -81,6 +84,6 @@
 /** The claims of one host. */
 export interface Claims {
   create(input: ClaimInput): Claim;
-  /** Deletes claims that expired, in one part of the keys; called now and then. */
+  /** Deletes the expired claims of one part of the keys; run periodically. */
   readonly sweep: Effect.Effect<number>;
 }
