--- a/src/requests/resume_stream.ts
+++ b/src/requests/resume_stream.ts
@@ -8,7 +8,7 @@
 
 import type { IncomingMessage, ServerResponse } from "node:http";
 import * as Effect from "effect/Effect";
-import { type StreamName, tryReadResumeToken } from "../streams/mod.ts";
+import { type StreamReference, tryVerifyResumeToken } from "../streams/mod.ts";
 import type { Deployment, Upstream } from "../types.ts";
 import type { UpstreamError } from "../upstreams/mod.ts";
 import type { CallerLost } from "./caller.ts";
@@ -23,7 +23,7 @@
 
 /** What a resumption asks for. */
 interface Resumption {
-  readonly name: StreamName;
+  readonly name: StreamReference;
   readonly upstream: Upstream;
   readonly offset: number;
 }
@@ -105,7 +105,7 @@
 ): Effect.Effect<Resumption, RequestRejected> {
   const url = new URL(req.url ?? "/", "http://router");
   const token = url.pathname.slice(STREAMS_PATH.length);
-  const name = tryReadResumeToken(token, host.fleetSecret);
+  const name = tryVerifyResumeToken(token, host.fleetSecret);
   if (name === undefined || name.team !== team) {
     return reject(createNotRun(403, "badResumeToken"));
   }
--- a/src/requests/run_on_engine.ts
+++ b/src/requests/run_on_engine.ts
@@ -9,10 +9,10 @@
 import * as Effect from "effect/Effect";
 import * as Exit from "effect/Exit";
 import {
-  abandonStream,
+  cancelAbandonedStream,
   createResumeToken,
   followStream,
-  type StreamName,
+  type StreamReference,
 } from "../streams/mod.ts";
 import type { Upstream } from "../types.ts";
 import {
@@ -28,7 +28,7 @@
 /** What a run needs. */
 export interface EngineRun {
   readonly request: string;
-  readonly name: StreamName;
+  readonly name: StreamReference;
   readonly upstream: Upstream;
   readonly res: ServerResponse;
   readonly progress: Progress;
@@ -77,10 +77,10 @@
     Effect.onExit((exit) =>
       Effect.sync(() => {
         if (!progress.isSent || !mayStillRun(exit)) return;
-        progress.leftover = abandonStream(place, {
+        progress.leftover = cancelAbandonedStream(place, {
           upstreams: host.upstreams,
-          givesGrace: () => !host.isDraining() && !isUpstreamFailure(exit),
-          isOver: () => host.clock.monotonicMs() > run.deadlineMs,
+          mayCallerResume: () => !host.isDraining() && !isUpstreamFailure(exit),
+          isPastDeadline: () => host.clock.monotonicMs() > run.deadlineMs,
         });
       })
     ),
--- a/src/streams/abandon_stream.ts
+++ b/src/streams/abandon_stream.ts
@@ -16,27 +16,27 @@
 } from "../upstreams/mod.ts";
 
 /** Time for a caller to come back, in ms: a reconnect and a look at `where`. */
-export const GRACE_MS = 3_000;
+export const RECONNECT_GRACE_MS = 3_000;
 
 /** Pause between looks at a stream that another host reads, in ms. */
-const LOOK_AGAIN_MS = 1_000;
+const CANCEL_RETRY_MS = 1_000;
 
 /** What abandoning needs. */
-export interface AbandonHost {
+export interface AbandonedStreamHost {
   readonly upstreams: Pick<UpstreamClient, "cancelIfUnread">;
   /** True once the work is of no use to anyone, as after its deadline. */
-  isOver(): boolean;
+  isPastDeadline(): boolean;
   /** False when the caller won't come back for this stream. */
-  givesGrace(): boolean;
+  mayCallerResume(): boolean;
 }
 
 /**
  * Ends when the engine no longer works on the stream, or can't be asked until
  * `isOver`; gives the tokens that it made, 0 when not told.
  */
-export function abandonStream(
+export function cancelAbandonedStream(
   place: StreamPlace,
-  host: AbandonHost,
+  host: AbandonedStreamHost,
 ): Effect.Effect<number> {
   const cancel = host.upstreams.cancelIfUnread(place).pipe(
     Effect.catchTag("UpstreamError", (err) =>
@@ -48,12 +48,12 @@
       )),
   );
   return Effect.gen(function* () {
-    if (host.givesGrace()) yield* Effect.sleep(GRACE_MS);
+    if (host.mayCallerResume()) yield* Effect.sleep(RECONNECT_GRACE_MS);
     while (true) {
       const result = yield* cancel;
       if (result.kind === "gone") return result.tokens;
-      if (host.isOver()) return 0;
-      yield* Effect.sleep(LOOK_AGAIN_MS);
+      if (host.isPastDeadline()) return 0;
+      yield* Effect.sleep(CANCEL_RETRY_MS);
     }
   });
 }
--- a/src/streams/follow_stream.ts
+++ b/src/streams/follow_stream.ts
@@ -31,7 +31,7 @@
 }
 
 /** Resumptions in a row that bring no event, before the stream is given up. */
-export const MAX_FRUITLESS_RESUMES = 3;
+export const MAX_STALLED_RESUMES = 3;
 
 /** Follows the stream; gives its cost in tokens. */
 export function followStream<E>(
@@ -41,13 +41,15 @@
 ): Effect.Effect<number, UpstreamError | E> {
   return Effect.gen(function* () {
     let stream = first;
-    let fruitless = 0;
+    let stalledResumes = 0;
     while (true) {
       const startOffset = progress.nextOffset;
       const result = yield* readToEnd(stream, progress, host);
       if (result.kind === "ended") return result.cost;
-      fruitless = progress.nextOffset > startOffset ? 0 : fruitless + 1;
-      if (fruitless > MAX_FRUITLESS_RESUMES) {
+      stalledResumes = progress.nextOffset > startOffset
+        ? 0
+        : stalledResumes + 1;
+      if (stalledResumes > MAX_STALLED_RESUMES) {
         return yield* Effect.fail(result.err);
       }
       stream = yield* host.resume(progress.nextOffset);
@@ -73,10 +75,10 @@
       }
       if (event.name === "end") {
         yield* checkComplete(event, progress);
-        progress.cost = Math.max(progress.cost, getTokens(event));
+        progress.cost = Math.max(progress.cost, getTokenCount(event));
         return { kind: "ended" as const, cost: progress.cost };
       }
-      if (event.name === "token") yield* takeToken(event, progress, host);
+      if (event.name === "token") yield* deliverToken(event, progress, host);
     }
   }).pipe(
     Effect.catch((err) =>
@@ -88,7 +90,7 @@
   );
 }
 
-function takeToken<E>(
+function deliverToken<E>(
   event: AnswerEvent,
   progress: StreamProgress,
   host: FollowHost<E>,
@@ -121,7 +123,7 @@
   return Effect.fail(new UpstreamError({ failure, reason }));
 }
 
-function getTokens(end: AnswerEvent): number {
+function getTokenCount(end: AnswerEvent): number {
   const parsed = JSON.parse(end.data) as { tokens?: number };
   return parsed.tokens ?? 0;
 }
--- a/src/streams/follow_stream_test.ts
+++ b/src/streams/follow_stream_test.ts
@@ -17,7 +17,7 @@
   UpstreamError,
 } from "../upstreams/mod.ts";
 import { followStream, type StreamProgress } from "./follow_stream.ts";
-import { createResumeToken, tryReadResumeToken } from "./token.ts";
+import { createResumeToken, tryVerifyResumeToken } from "./token.ts";
 
 /** What a connection does to one event before it goes on to the next. */
 type Mangle =
@@ -233,12 +233,12 @@
         const [stream = "", host = ""] = parts.slice(3);
         const name = { team, service, upstream, stream, host, incarnation };
         const token = createResumeToken(name, "secret-1");
-        assert.deepEqual(tryReadResumeToken(token, "secret-1"), name);
-        assert.equal(tryReadResumeToken(token, "secret-2"), undefined);
+        assert.deepEqual(tryVerifyResumeToken(token, "secret-1"), name);
+        assert.equal(tryVerifyResumeToken(token, "secret-2"), undefined);
         const at = position % token.length;
         const other = token[at] === "A" ? "B" : "A";
         const changed = token.slice(0, at) + other + token.slice(at + 1);
-        assert.equal(tryReadResumeToken(changed, "secret-1"), undefined);
+        assert.equal(tryVerifyResumeToken(changed, "secret-1"), undefined);
       },
     ),
     { numRuns: 200, seed: 1 },
--- a/src/streams/token.ts
+++ b/src/streams/token.ts
@@ -11,7 +11,7 @@
 import { isEqualInConstantTime } from "../core/mod.ts";
 
 /** What a token names. */
-export interface StreamName {
+export interface StreamReference {
   readonly team: string;
   readonly service: string;
   readonly upstream: string;
@@ -24,7 +24,10 @@
 }
 
 /** Makes the token of a stream. */
-export function createResumeToken(name: StreamName, secret: string): string {
+export function createResumeToken(
+  name: StreamReference,
+  secret: string,
+): string {
   const { team, service, upstream, stream, host, incarnation } = name;
   const fields = [team, service, upstream, stream, host, incarnation];
   const payload = Buffer.from(JSON.stringify(fields)).toString("base64url");
@@ -32,10 +35,10 @@
 }
 
 /** The stream that a token names; `undefined` unless the fleet signed it. */
-export function tryReadResumeToken(
+export function tryVerifyResumeToken(
   token: string,
   secret: string,
-): StreamName | undefined {
+): StreamReference | undefined {
   const [payload = "", signature = ""] = token.split(".");
   if (!isEqualInConstantTime(signature, sign(payload, secret))) {
     return undefined;
