--- a/src/streams/abandon_stream.ts
+++ b/src/streams/abandon_stream.ts
@@ -35,10 +35,10 @@
  * `isOver`; gives the tokens that it made, 0 when not told.
  */
 export function cancelAbandonedStream(
-  place: StreamPlace,
+  location: StreamPlace,
   host: AbandonedStreamHost,
 ): Effect.Effect<number> {
-  const cancel = host.upstreams.cancelIfUnread(place).pipe(
+  const cancel = host.upstreams.cancelIfUnread(location).pipe(
     Effect.catchTag("UpstreamError", (err) =>
       Effect.succeed<CancelResult>(
         // A process that refuses connections works on nothing.
--- a/src/streams/follow_stream_test.ts
+++ b/src/streams/follow_stream_test.ts
@@ -20,7 +20,7 @@
 import { createResumeToken, tryVerifyResumeToken } from "./token.ts";
 
 /** What a connection does to one event before it goes on to the next. */
-type Mangle =
+type StreamFault =
   | "pass"
   | "drop"
   | "repeat"
@@ -29,7 +29,7 @@
   | "silent"
   | "close";
 
-const mangle = fc.constantFrom<Mangle>(
+const streamFault = fc.constantFrom<StreamFault>(
   "pass",
   "pass",
   "pass",
@@ -42,20 +42,20 @@
 );
 
 /** The mangles of each connection in turn; later events and ones pass. */
-const connections = fc.array(fc.array(mangle, { maxLength: 12 }), {
+const connections = fc.array(fc.array(streamFault, { maxLength: 12 }), {
   maxLength: 6,
 });
 
 interface EngineOptions {
   readonly length: number;
-  readonly connections: readonly (readonly Mangle[])[];
+  readonly connections: readonly (readonly StreamFault[])[];
   /** Resumptions from this one on find the stream gone; 0 for never. */
   readonly forgetsAt: number;
 }
 
 function createEngine(options: EngineOptions) {
   const { length, forgetsAt } = options;
-  const plans = [...options.connections];
+  const faultPlans = [...options.connections];
   let resumes = 0;
 
   function getEvents(offset: number): AnswerEvent[] {
@@ -69,21 +69,21 @@
   }
 
   function open(offset: number): AnswerStream {
-    const plan = [...plans.shift() ?? []];
-    const left = getEvents(offset);
+    const faults = [...faultPlans.shift() ?? []];
+    const remaining = getEvents(offset);
     const next = (): AnswerEvent | undefined => {
-      const event = left.shift();
+      const event = remaining.shift();
       if (event === undefined) return undefined;
-      switch (plan.shift() ?? "pass") {
+      switch (faults.shift() ?? "pass") {
         case "pass":
           return event;
         case "drop":
           return next();
         case "repeat":
-          left.unshift(event);
+          remaining.unshift(event);
           return event;
         case "late":
-          left.splice(2, 0, event);
+          remaining.splice(2, 0, event);
           return next();
         case "break":
           throw createError("broken");
@@ -126,11 +126,11 @@
     onResumed() {},
   });
   const result = await Effect.runPromise(Effect.result(followed));
-  return { delivered, progress, isWhole: Result.isSuccess(result) };
+  return { delivered, progress, isComplete: Result.isSuccess(result) };
 }
 
 /** Passes on what comes, as if connections could be trusted. */
-async function followBlindly(options: EngineOptions) {
+async function followWithoutOffsets(options: EngineOptions) {
   const engine = createEngine(options);
   const delivered: string[] = [];
   let stream = engine.open(0);
@@ -139,23 +139,26 @@
     if (Result.isFailure(event) || event.success === undefined) {
       stream = engine.open(delivered.length);
     } else if (event.success.name === "end") {
-      return { delivered, isWhole: true };
+      return { delivered, isComplete: true };
     } else {
       opened--;
       delivered.push(event.success.data);
     }
   }
-  return { delivered, isWhole: false };
+  return { delivered, isComplete: false };
 }
 
 /** Violations of a history in which one caller got the parts. */
-function check(
+function findViolations(
   length: number,
-  got: { readonly delivered: readonly string[]; readonly isWhole: boolean },
+  got: {
+    readonly delivered: readonly string[];
+    readonly isComplete: boolean;
+  },
 ) {
-  const { delivered, isWhole } = got;
+  const { delivered, isComplete } = got;
   const expected = Array.from({ length }, (_, index) => `part ${index}`);
-  const wanted = isWhole ? expected : expected.slice(0, delivered.length);
+  const wanted = isComplete ? expected : expected.slice(0, delivered.length);
   const fault = wanted.join() === delivered.join() ? "" : `Got ${delivered}`;
   return checkHistory([{
     kind: "request-ended",
@@ -182,8 +185,8 @@
   await fc.assert(
     fc.asyncProperty(engineOptions, async (options) => {
       const got = await follow(options);
-      assert.deepEqual(check(options.length, got), []);
-      if (got.isWhole) assert.equal(got.progress.cost, options.length);
+      assert.deepEqual(findViolations(options.length, got), []);
+      if (got.isComplete) assert.equal(got.progress.cost, options.length);
     }),
     { numRuns: 2_000, seed: 1 },
   );
@@ -192,8 +195,8 @@
 test("without offsets the checker reports a broken answer", async () => {
   const found = await fc.check(
     fc.asyncProperty(engineOptions, async (options) => {
-      const got = await followBlindly(options);
-      assert.deepEqual(check(options.length, got), []);
+      const got = await followWithoutOffsets(options);
+      assert.deepEqual(findViolations(options.length, got), []);
     }),
     { numRuns: 500, seed: 1 },
   );
@@ -203,21 +206,21 @@
 test("a stream ends whole when every connection brings something", async () => {
   // Each connection goes silent after three parts, as when something between
   // loses track of it. The answer still arrives, by ten resumptions.
-  const silences = Array.from(
+  const silentConnections = Array.from(
     { length: 10 },
-    (): Mangle[] => ["pass", "pass", "pass", "silent"],
+    (): StreamFault[] => ["pass", "pass", "pass", "silent"],
   );
-  const options = { length: 30, connections: silences, forgetsAt: 0 };
+  const options = { length: 30, connections: silentConnections, forgetsAt: 0 };
   const got = await follow(options);
-  assert.ok(got.isWhole);
+  assert.ok(got.isComplete);
   assert.equal(got.delivered.length, 30);
 });
 
 test("a stream whose connections bring nothing is given up", async () => {
-  const silences = Array.from({ length: 10 }, (): Mangle[] => ["silent"]);
+  const silences = Array.from({ length: 10 }, (): StreamFault[] => ["silent"]);
   const options = { length: 5, connections: silences, forgetsAt: 0 };
   const got = await follow(options);
-  assert.ok(!got.isWhole);
+  assert.ok(!got.isComplete);
   assert.deepEqual(got.delivered, []);
 });
 
--- a/src/streams/token.ts
+++ b/src/streams/token.ts
@@ -25,10 +25,10 @@
 
 /** Makes the token of a stream. */
 export function createResumeToken(
-  name: StreamReference,
+  reference: StreamReference,
   secret: string,
 ): string {
-  const { team, service, upstream, stream, host, incarnation } = name;
+  const { team, service, upstream, stream, host, incarnation } = reference;
   const fields = [team, service, upstream, stream, host, incarnation];
   const payload = Buffer.from(JSON.stringify(fields)).toString("base64url");
   return `${payload}.${sign(payload, secret)}`;
