--- a/src/streams/abandon_stream.ts
+++ b/src/streams/abandon_stream.ts
@@ -1,9 +1,10 @@
 /**
- * What happens to a stream whose caller vanished: after a grace, in which the
- * caller may resume it at any host, it is cancelled at its engine.
+ * Cancels a stream at its engine after its caller disconnected, unless the
+ * caller resumes it at any host within a grace period.
  *
- * Load: callers that hang up in the middle of long answers. Harm prevented: the
- * engine works on for nobody, or its slot is given away while it still works.
+ * Load: callers that disconnect in the middle of long responses. Failure
+ * prevented: the engine generates tokens that no caller reads, or its slot is
+ * granted to another request while the engine is still generating.
  *
  * @module
  */
@@ -15,24 +16,25 @@
   UpstreamClient,
 } from "../upstreams/mod.ts";
 
-/** Time for a caller to come back, in ms: a reconnect and a look at `where`. */
+/** Time for a caller to query `/where` and reconnect, in ms. */
 export const RECONNECT_GRACE_MS = 3_000;
 
-/** Pause between looks at a stream that another host reads, in ms. */
+/** Delay between attempts to cancel, for a stream that is being read, in ms. */
 const CANCEL_RETRY_MS = 1_000;
 
-/** What abandoning needs. */
+/** Dependencies of the cancellation. */
 export interface AbandonedStreamHost {
   readonly upstreams: Pick<UpstreamClient, "cancelIfUnread">;
-  /** True once the work is of no use to anyone, as after its deadline. */
+  /** True after the deadline of the request. */
   isPastDeadline(): boolean;
-  /** False when the caller won't come back for this stream. */
+  /** False if the caller cannot resume this stream. */
   mayCallerResume(): boolean;
 }
 
 /**
- * Ends when the engine no longer works on the stream, or can't be asked until
- * `isOver`; gives the tokens that it made, 0 when not told.
+ * Retries the cancellation until the engine no longer works on the stream, or
+ * until `isPastDeadline`. Returns the number of generated tokens, or 0 if it is
+ * unknown.
  */
 export function cancelAbandonedStream(
   location: StreamPlace,
@@ -41,7 +43,7 @@
   const cancel = host.upstreams.cancelIfUnread(location).pipe(
     Effect.catchTag("UpstreamError", (err) =>
       Effect.succeed<CancelResult>(
-        // A process that refuses connections works on nothing.
+        // No engine is running where connections are refused.
         err.failure === "refused"
           ? { kind: "gone", tokens: 0 }
           : { kind: "being-read" },
--- a/src/streams/follow_stream.ts
+++ b/src/streams/follow_stream.ts
@@ -1,7 +1,7 @@
 /**
- * Follows one stream of an engine to its last event, through connections that
- * break, go silent or lose events: each time it asks the same engine to go on
- * from the next offset. What it passes on has no gap and no repeat.
+ * Reads one stream of an engine to its last event. When a connection breaks,
+ * goes silent or loses events, the stream is resumed at the same engine from
+ * the next offset. Delivered events have no gaps and no repeats.
  *
  * @module
  */
@@ -13,27 +13,27 @@
   UpstreamError,
 } from "../upstreams/mod.ts";
 
-/** How far a stream has come; outlives one connection. */
+/** Progress of a stream across its connections. */
 export interface StreamProgress {
   /** Next offset that the caller needs. */
   nextOffset: number;
-  /** Work done so far in tokens, delivered or not. */
+  /** Tokens that the engine has generated, delivered or not. */
   cost: number;
 }
 
-/** What following needs. */
+/** Dependencies of following a stream. */
 export interface FollowHost<E> {
-  /** Opens the stream from the offset on; "forgotten" when it is gone. */
+  /** Opens the stream at the offset; fails with "forgotten" if it is gone. */
   resume(offset: number): Effect.Effect<AnswerStream, UpstreamError>;
-  /** Passes a part on to the caller, at the caller's pace. */
+  /** Sends a token to the caller; completes at the caller's reading speed. */
   deliver(event: AnswerEvent): Effect.Effect<void, E>;
   onResumed(offset: number, reason: string): void;
 }
 
-/** Resumptions in a row that bring no event, before the stream is given up. */
+/** Consecutive resumptions without a new token before the stream fails. */
 export const MAX_STALLED_RESUMES = 3;
 
-/** Follows the stream; gives its cost in tokens. */
+/** Reads the stream to its end; returns its cost in tokens. */
 export function followStream<E>(
   first: AnswerStream,
   progress: StreamProgress,
@@ -96,7 +96,7 @@
   host: FollowHost<E>,
 ): Effect.Effect<void, UpstreamError | E> {
   const { offset } = event;
-  // Late and repeated events of an earlier connection, or of a resumption.
+  // An event of an earlier connection, or one that a resumption repeated.
   if (offset < progress.nextOffset) return Effect.void;
   if (offset > progress.nextOffset) {
     return fail("gap", `Expected ${progress.nextOffset}, got ${offset}`);
@@ -106,7 +106,7 @@
   return host.deliver(event);
 }
 
-/** An engine that lost events before the last one must send them again. */
+/** Fails if events before the last one are missing, so that they are resent. */
 function checkComplete(
   end: AnswerEvent,
   progress: StreamProgress,
--- a/src/streams/follow_stream_test.ts
+++ b/src/streams/follow_stream_test.ts
@@ -1,6 +1,6 @@
 /**
- * Tests that a followed stream has no gap, no repeat and nothing of another,
- * whatever its connections do; and of tokens and abandoned streams.
+ * Tests that a followed stream has no gaps and no repeats under any faults of
+ * its connections, and tests of resume tokens.
  *
  * @module
  */
@@ -19,7 +19,7 @@
 import { followStream, type StreamProgress } from "./follow_stream.ts";
 import { createResumeToken, tryVerifyResumeToken } from "./token.ts";
 
-/** What a connection does to one event before it goes on to the next. */
+/** Fault that a connection applies to one event; "pass" for none. */
 type StreamFault =
   | "pass"
   | "drop"
@@ -41,7 +41,7 @@
   "close",
 );
 
-/** The mangles of each connection in turn; later events and ones pass. */
+/** Faults of each connection; events and connections without one pass. */
 const connections = fc.array(fc.array(streamFault, { maxLength: 12 }), {
   maxLength: 6,
 });
@@ -49,7 +49,7 @@
 interface EngineOptions {
   readonly length: number;
   readonly connections: readonly (readonly StreamFault[])[];
-  /** Resumptions from this one on find the stream gone; 0 for never. */
+  /** Number of the first resumption that finds the stream gone; 0 for none. */
   readonly forgetsAt: number;
 }
 
@@ -129,7 +129,7 @@
   return { delivered, progress, isComplete: Result.isSuccess(result) };
 }
 
-/** Passes on what comes, as if connections could be trusted. */
+/** Delivers every event without checking its offset. */
 async function followWithoutOffsets(options: EngineOptions) {
   const engine = createEngine(options);
   const delivered: string[] = [];
@@ -148,7 +148,7 @@
   return { delivered, isComplete: false };
 }
 
-/** Violations of a history in which one caller got the parts. */
+/** Checks the history of one caller that received the given parts. */
 function findViolations(
   length: number,
   got: {
@@ -163,7 +163,7 @@
   return checkHistory([{
     kind: "request-ended",
     sending: "1",
-    // An incomplete answer is held to the same: no gap, no repeat.
+    // An incomplete response must have no gaps and no repeats either.
     outcome: "answered",
     request: "1",
     fault,
@@ -179,9 +179,8 @@
 });
 
 test("a followed stream has no gap and no repeat", async () => {
-  // A glue advice lost its clamping time: the connection to the engine lost an
-  // event and went on, and another time the engine sent old events again after
-  // a resumption, and the text had a sentence twice.
+  // Guards against missing text after a connection lost an event and continued,
+  // and against repeated text after an engine resent old events on resumption.
   await fc.assert(
     fc.asyncProperty(engineOptions, async (options) => {
       const got = await follow(options);
@@ -192,7 +191,7 @@
   );
 });
 
-test("without offsets the checker reports a broken answer", async () => {
+test("without offset checks the checker reports a corrupt response", async () => {
   const found = await fc.check(
     fc.asyncProperty(engineOptions, async (options) => {
       const got = await followWithoutOffsets(options);
@@ -203,9 +202,9 @@
   assert.ok(found.failed);
 });
 
-test("a stream ends whole when every connection brings something", async () => {
-  // Each connection goes silent after three parts, as when something between
-  // loses track of it. The answer still arrives, by ten resumptions.
+test("a stream completes if every connection delivers some tokens", async () => {
+  // Each connection goes silent after three tokens, as when a device on the
+  // path drops its state. The response still arrives, through ten connections.
   const silentConnections = Array.from(
     { length: 10 },
     (): StreamFault[] => ["pass", "pass", "pass", "silent"],
@@ -216,7 +215,7 @@
   assert.equal(got.delivered.length, 30);
 });
 
-test("a stream whose connections bring nothing is given up", async () => {
+test("a stream fails if its connections deliver nothing", async () => {
   const silences = Array.from({ length: 10 }, (): StreamFault[] => ["silent"]);
   const options = { length: 5, connections: silences, forgetsAt: 0 };
   const got = await follow(options);
@@ -224,8 +223,9 @@
   assert.deepEqual(got.delivered, []);
 });
 
-test("a resume token names its stream and can't be changed", () => {
-  // One firm reads its rival's survey: it changes the team in its own token.
+test("a resume token identifies its stream and can't be altered", () => {
+  // Guards against a caller that reads another team's stream by altering the
+  // team in its own token.
   fc.assert(
     fc.property(
       fc.array(fc.string(), { minLength: 5, maxLength: 5 }),
--- a/src/streams/mod.ts
+++ b/src/streams/mod.ts
@@ -1,6 +1,6 @@
 /**
- * Streams of engines: followed without gap or repeat, resumed at any host, and
- * cancelled when nobody wants them.
+ * Event streams of engines: read without gaps or repeated events, resumable at
+ * any host, and cancelled after their callers have disconnected.
  *
  * @module
  */
--- a/src/streams/token.ts
+++ b/src/streams/token.ts
@@ -1,7 +1,7 @@
 /**
- * Resume tokens: name a stream at an upstream, signed by the fleet, so that any
- * host can go on with it and no team can reach another team's stream. A token
- * holds no key.
+ * Resume tokens: identify a stream at an upstream and are signed with the
+ * fleet's secret. Any host can resume the stream, and no team can access
+ * another team's stream. A token contains no key.
  *
  * @module
  */
@@ -10,20 +10,20 @@
 import { createHmac } from "node:crypto";
 import { isEqualInConstantTime } from "../core/mod.ts";
 
-/** What a token names. */
+/** Identity of a stream, as encoded in its resume token. */
 export interface StreamReference {
   readonly team: string;
   readonly service: string;
   readonly upstream: string;
   /** Id of the stream at the upstream. */
   readonly stream: string;
-  /** Host that began the stream; it gives the slot back and charges for it. */
+  /** Host that opened the stream; it releases the slot and charges the team. */
   readonly host: string;
   /** Start of that host's process, in wall milliseconds. */
   readonly incarnation: number;
 }
 
-/** Makes the token of a stream. */
+/** Creates the signed token of a stream. */
 export function createResumeToken(
   reference: StreamReference,
   secret: string,
@@ -34,7 +34,7 @@
   return `${payload}.${sign(payload, secret)}`;
 }
 
-/** The stream that a token names; `undefined` unless the fleet signed it. */
+/** Decodes a token; `undefined` unless it was signed with the secret. */
 export function tryVerifyResumeToken(
   token: string,
   secret: string,
@@ -48,7 +48,7 @@
   return { team, service, upstream, stream, host, incarnation };
 }
 
-/** The purpose is signed too, so that no other signature passes for a token. */
+/** The purpose is signed too, so that other signatures are not valid tokens. */
 function sign(payload: string, secret: string): string {
   return createHmac("sha256", secret).update(`resume-token\n${payload}`)
     .digest("base64url");
