--- a/src/streams/abandon_stream.ts
+++ b/src/streams/abandon_stream.ts
@@ -43,7 +43,7 @@
   const cancel = host.upstreams.cancelIfUnread(location).pipe(
     Effect.catchTag("UpstreamError", (err) =>
       Effect.succeed<CancelResult>(
-        // No engine is running where connections are refused.
+        // If connections are refused, the engine's process has ended.
         err.failure === "refused"
           ? { kind: "gone", tokens: 0 }
           : { kind: "being-read" },
--- a/src/streams/follow_stream.ts
+++ b/src/streams/follow_stream.ts
@@ -99,7 +99,7 @@
   // An event of an earlier connection, or one that a resumption repeated.
   if (offset < progress.nextOffset) return Effect.void;
   if (offset > progress.nextOffset) {
-    return fail("gap", `Expected ${progress.nextOffset}, got ${offset}`);
+    return fail("gap", `Expected offset ${progress.nextOffset}, got ${offset}`);
   }
   progress.nextOffset = offset + 1;
   progress.cost = Math.max(progress.cost, progress.nextOffset);
@@ -112,7 +112,8 @@
   progress: StreamProgress,
 ): Effect.Effect<void, UpstreamError> {
   if (end.offset < 0 || end.offset === progress.nextOffset) return Effect.void;
-  const reason = `Ended at ${end.offset}, got up to ${progress.nextOffset}`;
+  const reason =
+    `Stream ended at offset ${end.offset}, expected ${progress.nextOffset}`;
   return fail("gap", reason);
 }
 
--- a/src/streams/follow_stream_test.ts
+++ b/src/streams/follow_stream_test.ts
@@ -204,7 +204,7 @@
 
 test("a stream completes if every connection delivers some tokens", async () => {
   // Each connection goes silent after three tokens, as when a device on the
-  // path drops its state. The response still arrives, through ten connections.
+  // path drops its state. The response still arrives, through ten resumptions.
   const silentConnections = Array.from(
     { length: 10 },
     (): StreamFault[] => ["pass", "pass", "pass", "silent"],
