--- a/src/router/leaving_test.ts
+++ b/src/router/leaving_upstreams_test.ts
@@ -14,7 +14,7 @@
 import { createOwnerFixture } from "../testing/slot_owner_fixture.ts";
 import type { Upstream } from "../types.ts";
 import { pollLoads, type UpstreamState } from "../upstreams/mod.ts";
-import { createLeavingUpstreams } from "./leaving.ts";
+import { createLeavingUpstreams } from "./leaving_upstreams.ts";
 
 function createFixture(wallMs = 1_000_000) {
   const clock = createManualClock(wallMs);
--- a/src/router/periodic.ts
+++ b/src/router/periodic.ts
@@ -15,7 +15,7 @@
 import type { Quarantine } from "../quarantine/mod.ts";
 import { LOAD_POLL_MS } from "../upstreams/mod.ts";
 import type { Configuration } from "./configuration.ts";
-import type { TaskWatch } from "./task_watch.ts";
+import type { TaskWatch } from "./task_monitor.ts";
 import { every } from "./tasks.ts";
 
 /** A version that was heard of and not fetched is tried again this often. */
--- a/src/router/router.ts
+++ b/src/router/router.ts
@@ -28,8 +28,8 @@
 import { createConfiguration } from "./configuration.ts";
 import { createOutOfSight, isCrashFact } from "./crash_facts.ts";
 import { createDrain, type DrainResult } from "./drain.ts";
-import { createJournal } from "./journal.ts";
-import { createLeavingUpstreams } from "./leaving.ts";
+import { createJournal } from "./event_reporter.ts";
+import { createLeavingUpstreams } from "./leaving_upstreams.ts";
 import { createRouterMetrics } from "./metrics.ts";
 import { createObservedPlatform } from "./observed_platform.ts";
 import { createOperatorHandlers } from "./operator_handlers.ts";
@@ -39,10 +39,10 @@
 import { createFlushedSlots, createFlusher } from "./flusher.ts";
 import { learnListedHosts, learnSeeds } from "./seeds.ts";
 import { createServing } from "./serving.ts";
-import { createTaskWatch } from "./task_watch.ts";
+import { createTaskWatch } from "./task_monitor.ts";
 import { onPlatformFailure } from "./tasks.ts";
 import { createUpstreamWatch } from "./upstream_watch.ts";
-import { getNamedHosts, serveWhere } from "./where.ts";
+import { getNamedHosts, serveWhere } from "./serve_where.ts";
 
 /** What a router needs of the world. */
 export interface RouterHost {
--- a/src/router/serving.ts
+++ b/src/router/serving.ts
@@ -27,7 +27,7 @@
 } from "../upstreams/mod.ts";
 import { createCrashFact } from "./crash_facts.ts";
 import type { Drain } from "./drain.ts";
-import type { Journal } from "./journal.ts";
+import type { Journal } from "./event_reporter.ts";
 import type { RouterMetrics } from "./metrics.ts";
 import { createObservedUpstreams } from "./observed_upstreams.ts";
 import type { Regions } from "./regions.ts";
--- a/src/router/task_watch_test.ts
+++ b/src/router/task_monitor_test.ts
@@ -2,7 +2,7 @@
 import { test } from "node:test";
 import * as Effect from "effect/Effect";
 import { createManualClock } from "../core/mod.ts";
-import { createTaskWatch, STUCK_MS } from "./task_watch.ts";
+import { createTaskWatch, STUCK_MS } from "./task_monitor.ts";
 
 /**
  * A datagram of another version makes the heartbeat's code throw once. The host
