--- a/src/router/crash_facts.ts
+++ b/src/router/crash_facts.ts
@@ -9,7 +9,7 @@
 import type { CrashRecord } from "../quarantine/mod.ts";
 
 /** Facts about content that was running when an upstream failed. */
-const CRASH_FACTS = "crash/";
+const CRASH_KEY_PREFIX = "crash/";
 
 /** Fact versions count tenths of a second from here, to fit in 32 bits. */
 const FACT_EPOCH_MS = Date.UTC(2026, 0, 1);
@@ -18,7 +18,7 @@
 export function createCrashFact(record: CrashRecord, clock: Clock): Fact {
   return {
     // Two counts may be made within one tick of the version.
-    key: `${CRASH_FACTS}${record.fingerprint}/${record.crashes}`,
+    key: `${CRASH_KEY_PREFIX}${record.fingerprint}/${record.crashes}`,
     version: Math.max(1, Math.floor((clock.wallMs() - FACT_EPOCH_MS) / 100)),
     value: JSON.stringify(record),
   };
@@ -26,7 +26,7 @@
 
 /** Whether the fact carries a crash record. */
 export function isCrashFact(fact: Fact): boolean {
-  return fact.key.startsWith(CRASH_FACTS);
+  return fact.key.startsWith(CRASH_KEY_PREFIX);
 }
 
 /**
@@ -34,30 +34,31 @@
  * that this host does not. Regions lose each other for an hour now and then, but
  * what counts is sent again within minutes, in ms.
  */
-const OUT_OF_SIGHT_MS = 10 * 60_000;
+const UNREACHABLE_RETENTION_MS = 10 * 60_000;
 
 /** Hosts that went out of sight without saying that they leave. */
-export interface OutOfSight {
+export interface UnreachableHosts {
   receive(member: Member): void;
-  isAny(): boolean;
+  isAnyUnreachable(): boolean;
 }
 
 /** Makes a record in which every host is in sight. */
-export function createOutOfSight(clock: Clock): OutOfSight {
-  const sinceMs = new Map<string, number>();
+export function createUnreachableHosts(clock: Clock): UnreachableHosts {
+  const unreachableSinceMs = new Map<string, number>();
   return {
     receive(member) {
-      const isLost = member.state === "suspect" || member.state === "dead";
-      if (!isLost) sinceMs.delete(member.host);
-      else if (!sinceMs.has(member.host)) {
-        sinceMs.set(member.host, clock.monotonicMs());
+      const isUnreachable = member.state === "suspect" ||
+        member.state === "dead";
+      if (!isUnreachable) unreachableSinceMs.delete(member.host);
+      else if (!unreachableSinceMs.has(member.host)) {
+        unreachableSinceMs.set(member.host, clock.monotonicMs());
       }
     },
-    isAny() {
+    isAnyUnreachable() {
       const nowMs = clock.monotonicMs();
-      for (const [host, since] of sinceMs) {
-        if (nowMs - since < OUT_OF_SIGHT_MS) return true;
-        sinceMs.delete(host);
+      for (const [host, since] of unreachableSinceMs) {
+        if (nowMs - since < UNREACHABLE_RETENTION_MS) return true;
+        unreachableSinceMs.delete(host);
       }
       return false;
     },
--- a/src/router/drain.ts
+++ b/src/router/drain.ts
@@ -54,7 +54,7 @@
   /** False: no caller can have been told of this host. */
   hasCallers(): boolean;
   /** Tells the other hosts that this one leaves. */
-  leave(): void;
+  announceLeaving(): void;
   /** Public addresses that a refused caller may go to. */
   getOtherHosts(): readonly string[];
   onPhase(phase: DrainPhase): void;
@@ -73,7 +73,7 @@
   /** New requests are refused. */
   isRefusing(): boolean;
   /** Succeeds when waiting requests have to end. */
-  readonly waitUntilGivingUp: Effect.Effect<void>;
+  readonly waitUntilDrainTimeout: Effect.Effect<void>;
   /** Serves one request as part of what is in flight. */
   track(res: ServerResponse, serve: Effect.Effect<void>): Effect.Effect<void>;
   readonly run: Effect.Effect<DrainResult>;
@@ -83,27 +83,27 @@
 export const OTHER_HOSTS_HEADER = "azurestile-other-hosts";
 
 /** Until the last host has heard that this one leaves, with a margin. */
-export const LEAVE_SPREAD_MS = 5_000;
+export const LEAVE_PROPAGATION_MS = 5_000;
 
 /** Time to tell the waiting callers before the limit. */
-const GIVE_UP_MARGIN_MS = 2_000;
+const REPLY_MARGIN_MS = 2_000;
 
-const CHECK_MS = 50;
+const CHECK_PERIOD_MS = 50;
 
 /** A drain waits so long for an effect that outlives its request. */
-const DETACHED_WAIT_MS = 5_000;
+const DETACHED_TIMEOUT_MS = 5_000;
 
 /** Makes the drain of a host that serves. */
 export function createDrain(host: DrainHost, options: DrainOptions): Drain {
-  const open = new Set<ServerResponse>();
-  const givingUp = Deferred.makeUnsafe<void>();
-  const ended = Deferred.makeUnsafe<void>();
+  const openResponses = new Set<ServerResponse>();
+  const drainTimeout = Deferred.makeUnsafe<void>();
+  const drainEnded = Deferred.makeUnsafe<void>();
   let phase: DrainPhase = "serving";
-  let detached = 0;
+  let detachedCount = 0;
 
-  function enter(next: DrainPhase): void {
+  function enterPhase(next: DrainPhase): void {
     phase = next;
-    for (const res of open) prepare(res);
+    for (const res of openResponses) setDrainHeaders(res);
     host.onPhase(next);
   }
 
@@ -112,23 +112,23 @@
   }
 
   /** A caller that keeps its connection has to look for another host. */
-  function prepare(res: ServerResponse): void {
+  function setDrainHeaders(res: ServerResponse): void {
     if (res.headersSent || phase === "serving") return;
     res.setHeader("connection", "close");
     if (!isRefusing()) return;
     res.setHeader(OTHER_HOSTS_HEADER, host.getOtherHosts().join(", "));
   }
 
-  const waitUntilEnded = Deferred.await(ended);
+  const waitUntilEnded = Deferred.await(drainEnded);
 
   function track(
     res: ServerResponse,
     serve: Effect.Effect<void>,
   ): Effect.Effect<void> {
     return Effect.suspend(() => {
-      open.add(res);
-      res.once("close", () => open.delete(res));
-      prepare(res);
+      openResponses.add(res);
+      res.once("close", () => openResponses.delete(res));
+      setDrainHeaders(res);
       const cut = waitUntilEnded.pipe(
         Effect.tap(() =>
           Effect.sync(() =>
@@ -141,52 +141,55 @@
   }
 
   function runDetached(effect: Effect.Effect<unknown>): void {
-    detached++;
+    detachedCount++;
     const fiber = Effect.runFork(effect);
     const waited = Fiber.await(fiber).pipe(
       Effect.timeoutOrElse({
-        duration: DETACHED_WAIT_MS,
+        duration: DETACHED_TIMEOUT_MS,
         orElse: () => Effect.void,
       }),
-      Effect.ensuring(Effect.sync(() => detached--)),
+      Effect.ensuring(Effect.sync(() => detachedCount--)),
     );
     Effect.runFork(waited);
   }
 
   /** Waits until the time given, or less when nothing is in flight. */
-  function waitForEnds(untilMs: number): Effect.Effect<void> {
+  function waitUntilIdle(untilMs: number): Effect.Effect<void> {
     return Effect.gen(function* () {
-      while (open.size + detached > 0 && host.clock.monotonicMs() < untilMs) {
-        yield* host.sleep(CHECK_MS);
+      while (
+        openResponses.size + detachedCount > 0 &&
+        host.clock.monotonicMs() < untilMs
+      ) {
+        yield* host.sleep(CHECK_PERIOD_MS);
       }
     });
   }
 
   const run = Effect.gen(function* () {
     const startMs = host.clock.monotonicMs();
-    const limitMs = startMs + options.drainLimitMs;
-    host.leave();
-    enter("leaving");
+    const deadlineMs = startMs + options.drainLimitMs;
+    host.announceLeaving();
+    enterPhase("leaving");
     if (host.hasCallers()) {
       yield* host.sleep(getLeavingMs(options));
     }
-    enter("refusing");
-    yield* waitForEnds(limitMs - GIVE_UP_MARGIN_MS);
-    enter("giving-up");
-    yield* Deferred.succeed(givingUp, undefined);
-    yield* waitForEnds(limitMs);
-    const cut = open.size;
-    enter("ended");
-    yield* Deferred.succeed(ended, undefined);
+    enterPhase("refusing");
+    yield* waitUntilIdle(deadlineMs - REPLY_MARGIN_MS);
+    enterPhase("giving-up");
+    yield* Deferred.succeed(drainTimeout, undefined);
+    yield* waitUntilIdle(deadlineMs);
+    const cut = openResponses.size;
+    enterPhase("ended");
+    yield* Deferred.succeed(drainEnded, undefined);
     return { tookMs: host.clock.monotonicMs() - startMs, cut };
   });
 
   return {
     getPhase: () => phase,
-    countInFlight: () => open.size,
+    countInFlight: () => openResponses.size,
     runDetached,
     isRefusing,
-    waitUntilGivingUp: Deferred.await(givingUp),
+    waitUntilDrainTimeout: Deferred.await(drainTimeout),
     track,
     run,
   };
@@ -194,6 +197,6 @@
 
 /** Half of the limit at most, so that streams keep the other half. */
 function getLeavingMs(options: DrainOptions): number {
-  const neededMs = options.whereTtlMs + LEAVE_SPREAD_MS;
+  const neededMs = options.whereTtlMs + LEAVE_PROPAGATION_MS;
   return Math.min(neededMs, options.drainLimitMs / 2);
 }
--- a/src/router/drain_test.ts
+++ b/src/router/drain_test.ts
@@ -16,13 +16,13 @@
   createDrain,
   type Drain,
   type DrainPhase,
-  LEAVE_SPREAD_MS,
+  LEAVE_PROPAGATION_MS,
   OTHER_HOSTS_HEADER,
 } from "./drain.ts";
 
 const WHERE_TTL_MS = 5_000;
 const DRAIN_LIMIT_MS = 60_000;
-const LEAVING_MS = WHERE_TTL_MS + LEAVE_SPREAD_MS;
+const LEAVING_MS = WHERE_TTL_MS + LEAVE_PROPAGATION_MS;
 
 /** A response whose last byte leaves when the test says so. */
 class FakeResponse extends EventEmitter {
@@ -62,7 +62,7 @@
         )
       ),
     hasCallers: () => input.hasCallers ?? true,
-    leave: () => isNamed = false,
+    announceLeaving: () => isNamed = false,
     getOtherHosts: () => ["10.0.0.2:80", "10.0.0.3:80"],
     onPhase: (phase) => phases.push(phase),
   }, { whereTtlMs: WHERE_TTL_MS, drainLimitMs: DRAIN_LIMIT_MS });
@@ -112,7 +112,7 @@
   const fixture = createFixture();
   assert.equal(await isToldCallerServed(fixture), true);
   assert.equal(fixture.isNamed(), false);
-  await fixture.advance(LEAVE_SPREAD_MS - 100);
+  await fixture.advance(LEAVE_PROPAGATION_MS - 100);
   assert.equal(fixture.drain.isRefusing(), false);
   await fixture.advance(200);
   assert.deepEqual(fixture.phases, [
@@ -178,7 +178,7 @@
   let isGivenUp = false;
   const waiting = serve(
     drain,
-    drain.waitUntilGivingUp.pipe(Effect.map(() => void (isGivenUp = true))),
+    drain.waitUntilDrainTimeout.pipe(Effect.map(() => void (isGivenUp = true))),
   );
   const stream = serve(drain);
   stream.res.headersSent = true;
--- a/src/router/event_reporter.ts
+++ b/src/router/event_reporter.ts
@@ -15,14 +15,14 @@
 import type { RouterMetrics } from "./metrics.ts";
 
 /** Where things are told. */
-export interface JournalHost {
+export interface EventReporterHost {
   readonly logger: Logger;
   readonly recorder: Recorder;
   readonly metrics: RouterMetrics;
 }
 
 /** What can be told. */
-export interface Journal {
+export interface EventReporter {
   started(publicAddress: string, peerAddress: string): void;
   stopped(result: DrainResult): void;
   drainPhase(phase: DrainPhase): void;
@@ -38,7 +38,7 @@
 }
 
 /** Makes the journal of a router. */
-export function createJournal(host: JournalHost): Journal {
+export function createEventReporter(host: EventReporterHost): EventReporter {
   const { logger, recorder, metrics } = host;
   return {
     started: (publicAddress, peerAddress) =>
--- a/src/router/flusher.ts
+++ b/src/router/flusher.ts
@@ -13,32 +13,32 @@
 /** Flushes on demand. */
 export interface Flusher extends Disposable {
   /** Something may have to be sent; what follows soon goes with it. */
-  kick(): void;
+  scheduleFlush(): void;
 }
 
 /** What the flusher needs of the process. */
 export interface FlusherHost {
   flush(): void;
   /** While requests wait, more hosts are asked as time goes by. */
-  hasWaiting(): boolean;
+  hasWaitingRequests(): boolean;
 }
 
 /** Makes a flusher that waits so many ms for more to send together. */
-export function createFlusher(host: FlusherHost, pauseMs: number): Flusher {
+export function createFlusher(host: FlusherHost, delayMs: number): Flusher {
   let timer: ReturnType<typeof setTimeout> | undefined;
 
   function run(): void {
     timer = undefined;
     host.flush();
-    if (host.hasWaiting()) kick();
+    if (host.hasWaitingRequests()) scheduleFlush();
   }
 
-  function kick(): void {
-    timer ??= setTimeout(run, pauseMs);
+  function scheduleFlush(): void {
+    timer ??= setTimeout(run, delayMs);
   }
 
   return {
-    kick,
+    scheduleFlush: scheduleFlush,
     [Symbol.dispose]() {
       clearTimeout(timer);
       timer = undefined;
@@ -47,9 +47,9 @@
 }
 
 /** The slots, with a kick after each act that may have to be told. */
-export function createFlushedSlots(
+export function createFlushingSlots(
   slots: SlotClient,
-  kick: () => void,
+  scheduleFlush: () => void,
 ): SlotClient {
   return {
     ...slots,
@@ -59,13 +59,13 @@
           ...slot,
           release(end) {
             slot.release(end);
-            kick();
+            scheduleFlush();
           },
         }));
-      kick();
+      scheduleFlush();
     },
     cancel(req) {
-      kick();
+      scheduleFlush();
       return slots.cancel(req);
     },
   };
--- a/src/router/flusher_test.ts
+++ b/src/router/flusher_test.ts
@@ -16,15 +16,15 @@
   let isWaiting = false;
   const flusher = createFlusher({
     flush: () => flushes++,
-    hasWaiting: () => isWaiting,
+    hasWaitingRequests: () => isWaiting,
   }, 5);
-  for (let each = 0; each < 10; each++) flusher.kick();
+  for (let each = 0; each < 10; each++) flusher.scheduleFlush();
   t.mock.timers.tick(5);
   assert.equal(flushes, 1);
   t.mock.timers.tick(100);
   assert.equal(flushes, 1);
   isWaiting = true;
-  flusher.kick();
+  flusher.scheduleFlush();
   for (let each = 0; each < 10; each++) t.mock.timers.tick(5);
   assert.equal(flushes, 11);
   flusher[Symbol.dispose]();
--- a/src/router/leaving_upstreams.ts
+++ b/src/router/leaving_upstreams.ts
@@ -16,7 +16,7 @@
 export type LeavingSource = "list" | "word";
 
 /** What the module needs of the process. */
-export interface LeavingHost {
+export interface LeavingUpstreamsHost {
   readonly clock: Clock;
   spreadFact(fact: Fact): void;
   /** Called after a change, so that slots are granted or withheld. */
@@ -26,23 +26,25 @@
 /** What this host knows of leaving upstreams. */
 export interface LeavingUpstreams {
   isLeaving(upstream: string): boolean;
-  receiveList(machines: readonly ListedMachine[]): void;
-  receiveWord(upstream: string, leaving: boolean): void;
+  receiveMachineList(machines: readonly ListedMachine[]): void;
+  receiveReport(upstream: string, leaving: boolean): void;
   receiveFact(fact: Fact): void;
 }
 
-const PREFIX = "leaving/";
+const LEAVING_KEY_PREFIX = "leaving/";
 
 /** Makes the state; no upstream is leaving. */
-export function createLeavingUpstreams(host: LeavingHost): LeavingUpstreams {
+export function createLeavingUpstreams(
+  host: LeavingUpstreamsHost,
+): LeavingUpstreams {
   const facts = new Map<string, Fact>();
 
-  function isSaid(source: LeavingSource, upstream: string): boolean {
+  function isReported(source: LeavingSource, upstream: string): boolean {
     return facts.get(getKey(source, upstream))?.value === "1";
   }
 
   function isLeaving(upstream: string): boolean {
-    return isSaid("list", upstream) || isSaid("word", upstream);
+    return isReported("list", upstream) || isReported("word", upstream);
   }
 
   function store(fact: Fact): void {
@@ -53,8 +55,12 @@
     if (before !== after) host.onChange(upstream, after);
   }
 
-  function say(source: LeavingSource, upstream: string, said: boolean): void {
-    if (isSaid(source, upstream) === said) return;
+  function report(
+    source: LeavingSource,
+    upstream: string,
+    said: boolean,
+  ): void {
+    if (isReported(source, upstream) === said) return;
     const key = getKey(source, upstream);
     // Seconds order the words of several hosts; a host whose clock is behind
     // still gets above what it knows.
@@ -67,15 +73,15 @@
 
   return {
     isLeaving,
-    receiveList(machines) {
+    receiveMachineList(machines) {
       for (const machine of machines) {
         if (machine.role !== "upstream") continue;
-        say("list", machine.id, machine.state === "leaving");
+        report("list", machine.id, machine.state === "leaving");
       }
     },
-    receiveWord: (upstream, leaving) => say("word", upstream, leaving),
+    receiveReport: (upstream, leaving) => report("word", upstream, leaving),
     receiveFact(fact) {
-      if (!fact.key.startsWith(PREFIX)) return;
+      if (!fact.key.startsWith(LEAVING_KEY_PREFIX)) return;
       if (fact.version <= (facts.get(fact.key)?.version ?? 0)) return;
       store(fact);
     },
@@ -83,5 +89,5 @@
 }
 
 function getKey(source: LeavingSource, upstream: string): string {
-  return `${PREFIX}${source}/${upstream}`;
+  return `${LEAVING_KEY_PREFIX}${source}/${upstream}`;
 }
--- a/src/router/leaving_upstreams_test.ts
+++ b/src/router/leaving_upstreams_test.ts
@@ -43,7 +43,7 @@
   // others must know too, or the next owner grants to it again.
   const owner = createFixture();
   const other = createFixture();
-  owner.leaving.receiveWord("engine-1", true);
+  owner.leaving.receiveReport("engine-1", true);
   for (const fact of owner.spread) other.leaving.receiveFact(fact);
   assert.equal(other.leaving.isLeaving("engine-1"), true);
   assert.deepEqual(other.changes, ["engine-1 true"]);
@@ -53,8 +53,8 @@
   // The list has an outage right after it named an upstream as leaving, and
   // comes back without an entry for it.
   const { leaving } = createFixture();
-  leaving.receiveList([createListed("leaving")]);
-  leaving.receiveList([]);
+  leaving.receiveMachineList([createListed("leaving")]);
+  leaving.receiveMachineList([]);
   assert.equal(leaving.isLeaving("engine-1"), true);
 });
 
@@ -63,9 +63,9 @@
   // win everywhere.
   const one = createFixture(1_060_000);
   const two = createFixture(1_000_000);
-  one.leaving.receiveWord("engine-1", true);
+  one.leaving.receiveReport("engine-1", true);
   for (const fact of one.spread) two.leaving.receiveFact(fact);
-  two.leaving.receiveWord("engine-1", false);
+  two.leaving.receiveReport("engine-1", false);
   for (const fact of two.spread) one.leaving.receiveFact(fact);
   assert.equal(one.leaving.isLeaving("engine-1"), false);
   assert.equal(two.leaving.isLeaving("engine-1"), false);
@@ -73,10 +73,10 @@
 
 test("the list and the upstream's word count each for itself", () => {
   const { leaving } = createFixture();
-  leaving.receiveList([createListed("leaving")]);
-  leaving.receiveWord("engine-1", false);
+  leaving.receiveMachineList([createListed("leaving")]);
+  leaving.receiveReport("engine-1", false);
   assert.equal(leaving.isLeaving("engine-1"), true);
-  leaving.receiveList([createListed("live")]);
+  leaving.receiveMachineList([createListed("live")]);
   assert.equal(leaving.isLeaving("engine-1"), false);
 });
 
@@ -131,7 +131,7 @@
       history.push({ kind, upstream: "engine-1", atMs: getAtMs() });
     }
     if (hasWord && getAtMs() % WORD_POLL_MS === 0) {
-      leaving.receiveWord("engine-1", true);
+      leaving.receiveReport("engine-1", true);
     }
     const before = grants.length;
     owner.receiveRequest("entry-1", {
--- a/src/router/regions.ts
+++ b/src/router/regions.ts
@@ -17,32 +17,33 @@
 
 /** Tells what is in another region; false while that is not known. */
 export interface Regions {
-  isHostFar(host: string): boolean;
+  isHostInOtherRegion(host: string): boolean;
   /** By the address that hosts use among themselves. */
-  isPeerFar(peerAddress: string): boolean;
-  isUpstreamFar(address: string): boolean;
+  isPeerInOtherRegion(peerAddress: string): boolean;
+  isUpstreamInOtherRegion(address: string): boolean;
 }
 
 /** Makes the view of a host. */
 export function createRegions(host: RegionsHost): Regions {
-  function isFar(dataCentre: string | undefined): boolean {
+  function isInOtherRegion(dataCentre: string | undefined): boolean {
     const deployment = host.getDeployment();
     if (deployment === undefined || dataCentre === undefined) return false;
     return getRegion(deployment, dataCentre) !==
       getRegion(deployment, host.dataCentre);
   }
 
-  function findMember(matches: (member: Member) => boolean) {
+  function findDataCentre(matches: (member: Member) => boolean) {
     return host.getMembers().find(matches)?.dataCentre;
   }
 
   return {
-    isHostFar: (id) => isFar(findMember((each) => each.host === id)),
-    isPeerFar: (address) =>
-      isFar(findMember((each) => each.peerAddress === address)),
-    isUpstreamFar(address) {
+    isHostInOtherRegion: (id) =>
+      isInOtherRegion(findDataCentre((each) => each.host === id)),
+    isPeerInOtherRegion: (address) =>
+      isInOtherRegion(findDataCentre((each) => each.peerAddress === address)),
+    isUpstreamInOtherRegion(address) {
       const upstreams = host.getDeployment()?.upstreams ?? [];
-      return isFar(
+      return isInOtherRegion(
         upstreams.find((each) => each.address === address)?.dataCentre,
       );
     },
--- a/src/router/router.ts
+++ b/src/router/router.ts
@@ -26,9 +26,9 @@
 import { serveRequest } from "../requests/serve.ts";
 import { createRecorder } from "../timeline/mod.ts";
 import { createConfiguration } from "./configuration.ts";
-import { createOutOfSight, isCrashFact } from "./crash_facts.ts";
+import { createUnreachableHosts, isCrashFact } from "./crash_facts.ts";
 import { createDrain, type DrainResult } from "./drain.ts";
-import { createJournal } from "./event_reporter.ts";
+import { createEventReporter } from "./event_reporter.ts";
 import { createLeavingUpstreams } from "./leaving_upstreams.ts";
 import { createRouterMetrics } from "./metrics.ts";
 import { createObservedPlatform } from "./observed_platform.ts";
@@ -36,7 +36,7 @@
 import { startPeriodicTasks } from "./periodic.ts";
 import { listenForCallers } from "./public_server.ts";
 import { createRegions } from "./regions.ts";
-import { createFlushedSlots, createFlusher } from "./flusher.ts";
+import { createFlusher, createFlushingSlots } from "./flusher.ts";
 import { learnListedHosts, learnSeeds } from "./seeds.ts";
 import { createServing } from "./serving.ts";
 import { createTaskWatch } from "./task_monitor.ts";
@@ -97,8 +97,8 @@
   const incarnation = Math.floor(clock.wallMs());
   const configStore = createConfigStore(platform);
 
-  const journal = createJournal({ logger, recorder, metrics });
-  const taskWatch = createTaskWatch({ clock, onFailed: journal.taskFailed });
+  const reporter = createEventReporter({ logger, recorder, metrics });
+  const taskWatch = createTaskWatch({ clock, onFailed: reporter.taskFailed });
 
   const configuration = createConfiguration({
     clock,
@@ -106,10 +106,10 @@
     fleetToken,
     getMembership: () => membership,
     onInForce(config) {
-      journal.configInForce(config);
+      reporter.configInForce(config);
       fleet.reconcile();
     },
-    onRefused: journal.configRefused,
+    onRefused: reporter.configRefused,
   });
   const getDeployment = () => configuration.getCurrent()?.deployment;
   const regions = createRegions({
@@ -122,12 +122,12 @@
     clock,
     spreadFact: (fact) => membership.spreadFact(fact),
     onChange(upstream, isLeaving) {
-      journal.upstreamLeaving(upstream, isLeaving);
+      reporter.upstreamLeaving(upstream, isLeaving);
       fleet.reconcile();
     },
   });
 
-  const outOfSight = createOutOfSight(clock);
+  const outOfSight = createUnreachableHosts(clock);
   const membership = createMembership({
     host: settings.host,
     incarnation,
@@ -140,13 +140,13 @@
     clock,
     send(address, message) {
       const bytes = datagrams.send(address, message);
-      const crossesRegion = regions.isPeerFar(address);
+      const crossesRegion = regions.isPeerInOtherRegion(address);
       metrics.addControlBytes("heartbeat", bytes, { crossesRegion });
     },
     random: Math.random,
     onChange(member) {
       outOfSight.receive(member);
-      journal.memberChanged(member);
+      reporter.memberChanged(member);
       fleet.reconcile();
     },
     onFact(fact) {
@@ -179,23 +179,23 @@
         ...linkHost,
         onOpen() {
           linkHost.onOpen();
-          flusher.kick();
+          flusher.scheduleFlush();
         },
         onFrame(frame) {
           linkHost.onFrame(frame);
-          flusher.kick();
+          flusher.scheduleFlush();
         },
       }),
     isDialedBy: (peer) => peerServer.isConnected(peer),
     defer: (run) =>
       queueMicrotask(() => {
         run();
-        flusher.kick();
+        flusher.scheduleFlush();
       }),
     trySendBack: (peer, frame) => peerServer.trySend(peer, frame),
-    onPeerLost: journal.peerLost,
+    onPeerLost: reporter.peerLost,
     onControlSent(kind, bytes, peer) {
-      const crossesRegion = regions.isHostFar(peer);
+      const crossesRegion = regions.isHostInOtherRegion(peer);
       metrics.addControlBytes(kind, bytes, { crossesRegion });
     },
   });
@@ -204,14 +204,14 @@
     clock,
     sleep: Effect.sleep,
     hasCallers: () => getDeployment() !== undefined,
-    leave: membership.leave,
+    announceLeaving: membership.leave,
     getOtherHosts: () => getNamedHosts(membership).map((each) => each.address),
-    onPhase: journal.drainPhase,
+    onPhase: reporter.drainPhase,
   }, settings);
 
   const flusher = createFlusher({
     flush: fleet.flush,
-    hasWaiting: () => serving.backlog.getUse().requests > 0,
+    hasWaitingRequests: () => serving.backlog.getUse().requests > 0,
   }, FLUSH_MS);
   const serving = createServing({
     settings,
@@ -219,15 +219,15 @@
     clock,
     platform,
     recorder,
-    journal,
+    reporter: reporter,
     metrics,
     regions,
     membership,
     fleet,
     drain,
-    slots: createFlushedSlots(fleet.slots, flusher.kick),
+    slots: createFlushingSlots(fleet.slots, flusher.scheduleFlush),
     getDeployment,
-    isSomeHostOutOfSight: outOfSight.isAny,
+    isSomeHostOutOfSight: outOfSight.isAnyUnreachable,
   });
 
   const datagrams = await openDatagrams(
@@ -241,7 +241,7 @@
     fleetToken,
     onFrame(peer, frame) {
       fleet.receiveFrame(peer, frame);
-      flusher.kick();
+      flusher.scheduleFlush();
     },
     tryGetConfiguration: configuration.tryEncode,
     countHosts: () => membership.getMembers().length,
@@ -287,13 +287,13 @@
   function watchPlatform<A>(
     call: Effect.Effect<A, PlatformError>,
   ): Effect.Effect<void> {
-    return onPlatformFailure(call, journal.platformFailed);
+    return onPlatformFailure(call, reporter.platformFailed);
   }
 
   const pollMachines = platform.machines.get().pipe(
     Effect.map((machines) => {
       learnListedHosts(membership, machines);
-      leaving.receiveList(machines);
+      leaving.receiveMachineList(machines);
     }),
   );
 
@@ -308,7 +308,7 @@
         fleet.getOwner(upstream.id) === settings.host
       ),
     mayGiveOrders: () => drain.getPhase() === "serving",
-    onWord: leaving.receiveWord,
+    onWord: leaving.receiveReport,
     watchPlatform,
   });
 
@@ -328,12 +328,12 @@
     pollMachines,
     watchPlatform,
   });
-  journal.started(settings.publicAddress, settings.peerAddress);
+  reporter.started(settings.publicAddress, settings.peerAddress);
 
   return {
     async drain() {
       const result = await Effect.runPromise(drain.run);
-      journal.stopped(result);
+      reporter.stopped(result);
       return result;
     },
     countInFlight: drain.countInFlight,
--- a/src/router/serving.ts
+++ b/src/router/serving.ts
@@ -27,7 +27,7 @@
 } from "../upstreams/mod.ts";
 import { createCrashFact } from "./crash_facts.ts";
 import type { Drain } from "./drain.ts";
-import type { Journal } from "./event_reporter.ts";
+import type { EventReporter } from "./event_reporter.ts";
 import type { RouterMetrics } from "./metrics.ts";
 import { createObservedUpstreams } from "./observed_upstreams.ts";
 import type { Regions } from "./regions.ts";
@@ -42,7 +42,7 @@
   readonly clock: Clock;
   readonly platform: Platform;
   readonly recorder: Recorder;
-  readonly journal: Journal;
+  readonly reporter: EventReporter;
   readonly metrics: RouterMetrics;
   readonly regions: Regions;
   readonly membership: Membership;
@@ -65,7 +65,7 @@
 /** Joins the parts. */
 export function createServing(parts: ServingParts): Serving {
   const { settings, incarnation, clock, platform, membership, drain } = parts;
-  const { fleet, regions, metrics, journal, getDeployment } = parts;
+  const { fleet, regions, metrics, reporter: journal, getDeployment } = parts;
   const { host: id, dataCentre, fleetSecret } = settings;
 
   const quarantine = createQuarantine({
@@ -110,7 +110,7 @@
     slots: parts.slots,
     claims,
     upstreams: createObservedUpstreams(createHttpUpstreams(), {
-      crossesRegion: regions.isUpstreamFar,
+      crossesRegion: regions.isUpstreamInOtherRegion,
       onRegionalBytes: metrics.addRegionalPayload,
     }),
     health: createUpstreamHealth(clock),
@@ -121,7 +121,7 @@
     retryBudget: createRetryBudget(clock),
     getDeployment,
     isDraining: drain.isRefusing,
-    waitUntilGivingUp: drain.waitUntilGivingUp,
+    waitUntilGivingUp: drain.waitUntilDrainTimeout,
     isProcessGone,
     charge,
     runDetached: drain.runDetached,
