--- a/src/router/configuration.ts
+++ b/src/router/configuration.ts
@@ -42,7 +42,7 @@
 
 /** Makes the part; nothing is in force. */
 export function createConfiguration(host: ConfigurationHost): Configuration {
-  let heardMs = -Infinity;
+  let lastClaimMs = -Infinity;
   let encoded: { digest: string; bytes: Uint8Array } | undefined;
 
   const watcher = createConfigWatcher({
@@ -79,28 +79,30 @@
   function sortPeers(peers: readonly string[]): readonly string[] {
     const membership = host.getMembership();
     const own = membership.getSelf().dataCentre;
-    const near = new Set(
+    const sameDataCentre = new Set(
       membership.getMembers().filter((each) => each.dataCentre === own)
         .map((each) => each.host),
     );
-    return [...peers].sort((a, b) => Number(near.has(b)) - Number(near.has(a)));
+    return [...peers].sort((a, b) =>
+      Number(sameDataCentre.has(b)) - Number(sameDataCentre.has(a))
+    );
   }
 
   /** One host of each data centre reads the store often for the others. */
-  function isPicked(): boolean {
+  function isSelectedReader(): boolean {
     const membership = host.getMembership();
     const self = membership.getSelf();
     const near = membership.getUsable().filter((each) =>
       each.dataCentre === self.dataCentre
     );
-    const picked = tryGetOwner("poll", near.map((each) => each.host));
-    return picked === self.host;
+    const selected = tryGetOwner("poll", near.map((each) => each.host));
+    return selected === self.host;
   }
 
   return {
     ...watcher,
     receiveClaim(claim, peer) {
-      heardMs = host.clock.monotonicMs();
+      lastClaimMs = host.clock.monotonicMs();
       watcher.learn(claim, peer);
       if (watcher.isBehind()) Effect.runFork(watcher.catchUp());
     },
@@ -115,8 +117,8 @@
     getPollMs: () =>
       getPollMs({
         hasVersion: watcher.getCurrent() !== undefined,
-        isPicked: isPicked(),
-        sinceHeardMs: host.clock.monotonicMs() - heardMs,
+        isPicked: isSelectedReader(),
+        sinceHeardMs: host.clock.monotonicMs() - lastClaimMs,
         random: Math.random(),
       }),
   };
--- a/src/router/drain_test.ts
+++ b/src/router/drain_test.ts
@@ -51,7 +51,7 @@
   const clock = createManualClock();
   const sleepers: { untilMs: number; wake: () => void }[] = [];
   const phases: DrainPhase[] = [];
-  let isNamed = true;
+  let isAdvertised = true;
 
   const drain = createDrain({
     clock,
@@ -62,7 +62,7 @@
         )
       ),
     hasCallers: () => input.hasCallers ?? true,
-    announceLeaving: () => isNamed = false,
+    announceLeaving: () => isAdvertised = false,
     getOtherHosts: () => ["10.0.0.2:80", "10.0.0.3:80"],
     onPhase: (phase) => phases.push(phase),
   }, { whereTtlMs: WHERE_TTL_MS, drainLimitMs: DRAIN_LIMIT_MS });
@@ -87,7 +87,7 @@
     }
   }
 
-  return { drain, phases, settle, advance, isNamed: () => isNamed };
+  return { drain, phases, settle, advance, isNamed: () => isAdvertised };
 }
 
 function serve(drain: Drain, effect: Effect.Effect<void> = Effect.never) {
@@ -97,7 +97,7 @@
 }
 
 /** Whether a caller that was told of the host just before is still served. */
-async function isToldCallerServed(
+async function isEarlierCallerServed(
   fixture: ReturnType<typeof createFixture>,
 ): Promise<boolean> {
   Effect.runFork(fixture.drain.run);
@@ -110,7 +110,7 @@
   // that answer for its time to live: refusing them at once would lose work
   // that another second would have served.
   const fixture = createFixture();
-  assert.equal(await isToldCallerServed(fixture), true);
+  assert.equal(await isEarlierCallerServed(fixture), true);
   assert.equal(fixture.isNamed(), false);
   await fixture.advance(LEAVE_PROPAGATION_MS - 100);
   assert.equal(fixture.drain.isRefusing(), false);
@@ -125,7 +125,7 @@
 
 test("without that time a told caller is seen to be refused", async () => {
   const fixture = createFixture({ hasCallers: false });
-  assert.equal(await isToldCallerServed(fixture), false);
+  assert.equal(await isEarlierCallerServed(fixture), false);
 });
 
 test("a host without a configuration ends at once", async () => {
@@ -175,18 +175,20 @@
   // A request waits for a slot and a stream runs on for longer than the limit.
   // Both callers must hear their end from this host, not from a broken line.
   const { drain, advance } = createFixture();
-  let isGivenUp = false;
+  let isTimedOut = false;
   const waiting = serve(
     drain,
-    drain.waitUntilDrainTimeout.pipe(Effect.map(() => void (isGivenUp = true))),
+    drain.waitUntilDrainTimeout.pipe(
+      Effect.map(() => void (isTimedOut = true)),
+    ),
   );
   const stream = serve(drain);
   stream.res.headersSent = true;
   const run = Effect.runFork(drain.run);
   await advance(DRAIN_LIMIT_MS - 3_000);
-  assert.equal(isGivenUp, false);
+  assert.equal(isTimedOut, false);
   await advance(1_500);
-  assert.equal(isGivenUp, true);
+  assert.equal(isTimedOut, true);
   assert.equal(stream.res.writableEnded, false);
   waiting.res.finish();
   await advance(2_000);
--- a/src/router/flusher.ts
+++ b/src/router/flusher.ts
@@ -38,7 +38,7 @@
   }
 
   return {
-    scheduleFlush: scheduleFlush,
+    scheduleFlush,
     [Symbol.dispose]() {
       clearTimeout(timer);
       timer = undefined;
--- a/src/router/leaving_upstreams.ts
+++ b/src/router/leaving_upstreams.ts
@@ -58,15 +58,15 @@
   function report(
     source: LeavingSource,
     upstream: string,
-    said: boolean,
+    isLeavingNow: boolean,
   ): void {
-    if (isReported(source, upstream) === said) return;
+    if (isReported(source, upstream) === isLeavingNow) return;
     const key = getKey(source, upstream);
     // Seconds order the words of several hosts; a host whose clock is behind
     // still gets above what it knows.
     const seconds = Math.floor(host.clock.wallMs() / 1_000);
     const version = Math.max(seconds, (facts.get(key)?.version ?? 0) + 1);
-    const fact = { key, version, value: said ? "1" : "0" };
+    const fact = { key, version, value: isLeavingNow ? "1" : "0" };
     store(fact);
     host.spreadFact(fact);
   }
--- a/src/router/leaving_upstreams_test.ts
+++ b/src/router/leaving_upstreams_test.ts
@@ -110,27 +110,27 @@
 });
 
 const PERIOD_MS = 500;
-const WORD_POLL_MS = 1_000;
+const STATE_POLL_MS = 1_000;
 
 /**
  * Grants a slot each half second for ten seconds, while the upstream says after
  * one second that it leaves; the owner asks it each second.
  */
-function runWhileLeaving(isHeard: boolean): readonly Observation[] {
+function simulateLeaving(isReported: boolean): readonly Observation[] {
   const { clock, leaving } = createFixture();
   const history: Observation[] = [];
   const startMs = clock.monotonicMs();
   const getAtMs = () => clock.monotonicMs() - startMs;
-  const isLimited = () => isHeard && leaving.isLeaving("engine-1");
+  const isLimited = () => isReported && leaving.isLeaving("engine-1");
   const { owner, grants } = createOwnerFixture(() => isLimited() ? 0 : 4);
   for (let turn = 0; turn < 20; turn++) {
     clock.advance(PERIOD_MS);
-    const hasWord = getAtMs() >= WORD_POLL_MS;
-    if (getAtMs() === WORD_POLL_MS) {
+    const hasWord = getAtMs() >= STATE_POLL_MS;
+    if (getAtMs() === STATE_POLL_MS) {
       const kind = "upstream-leaving" as const;
       history.push({ kind, upstream: "engine-1", atMs: getAtMs() });
     }
-    if (hasWord && getAtMs() % WORD_POLL_MS === 0) {
+    if (hasWord && getAtMs() % STATE_POLL_MS === 0) {
       leaving.receiveReport("engine-1", true);
     }
     const before = grants.length;
@@ -161,13 +161,13 @@
 }
 
 test("an owner grants nothing at an upstream that leaves", () => {
-  const history = runWhileLeaving(true);
+  const history = simulateLeaving(true);
   assert.ok(history.some((each) => each.kind === "upstream-ran"));
   assert.deepEqual(checkHistory(history, statedLimits), []);
 });
 
 test("without hearing that it leaves the checker reports the new work", () => {
-  const broken = checkHistory(runWhileLeaving(false), statedLimits);
+  const broken = checkHistory(simulateLeaving(false), statedLimits);
   const promises = new Set(broken.map((each) => each.promise));
   assert.deepEqual([...promises], ["leaving-upstream-gets-nothing"]);
 });
--- a/src/router/operator_handlers.ts
+++ b/src/router/operator_handlers.ts
@@ -59,15 +59,15 @@
   onAccepted(copy: ConfigCopy): void;
   isDraining(): boolean;
   isUpstreamLeaving(upstream: string): boolean;
-  tryGetNotReady(): string | undefined;
+  tryGetNotReadyReason(): string | undefined;
   /** Service that this host's requests have had since its start. */
   getServed(): readonly ServedTeam[];
 }
 
-type Answer = Awaited<ReturnType<OperatorHandler>>;
+type OperatorResponse = Awaited<ReturnType<OperatorHandler>>;
 
 const DEFAULT_HISTORY_LIMIT = 100;
-const ATTEMPT = /^[0-9a-f-]{36}$/;
+const ATTEMPT_ID_PATTERN = /^[0-9a-f-]{36}$/;
 
 /** Makes the handlers by method and path. */
 export function createOperatorHandlers(
@@ -78,12 +78,12 @@
     "GET /ops/timeline": ({ url }) =>
       Promise.resolve(ok(getTimeline(host, url))),
     "GET /ops/history": ({ url }) =>
-      run(
+      runPlatformCall(
         host.configStore.getHistory(getLimit(url)).pipe(
           Effect.map((versions) => ok({ versions } satisfies HistoryAnswer)),
         ),
       ),
-    "GET /ops/config": ({ url }) => run(getConfig(host, url)),
+    "GET /ops/config": ({ url }) => runPlatformCall(getConfig(host, url)),
     "POST /ops/config": ({ operator, body }) => apply(host, operator, body),
   };
 }
@@ -96,7 +96,7 @@
     host: self.host,
     dataCentre: self.dataCentre,
     draining: host.isDraining(),
-    notReady: host.tryGetNotReady(),
+    notReady: host.tryGetNotReadyReason(),
     configVersion: current?.version ?? 0,
     configDigest: current?.digest ?? "",
     members: host.membership.getMembers(),
@@ -134,7 +134,7 @@
 function getConfig(
   host: OperatorHost,
   url: URL,
-): Effect.Effect<Answer, PlatformError> {
+): Effect.Effect<OperatorResponse, PlatformError> {
   const { configStore } = host;
   const asked = url.searchParams.get("version");
   return Effect.gen(function* () {
@@ -160,7 +160,7 @@
   host: OperatorHost,
   operator: string,
   body: string,
-): Promise<Answer> {
+): Promise<OperatorResponse> {
   const parsed = tryParseApplyBody(body);
   if (parsed === undefined) {
     return fail(400, "badOperatorBody", ["files and base version are needed"]);
@@ -180,8 +180,8 @@
     attempt: attempt ?? randomUUID(),
     nowMs: host.clock.wallMs(),
   });
-  return await run(
-    accepted.pipe(Effect.map((result) => toAnswer(host, files, result))),
+  return await runPlatformCall(
+    accepted.pipe(Effect.map((result) => toResponse(host, files, result))),
   );
 }
 
@@ -195,18 +195,20 @@
   const { files, baseVersion, attempt } = parsed ?? {};
   if (typeof files !== "object" || files === null) return undefined;
   if (!Number.isSafeInteger(baseVersion)) return undefined;
-  if (attempt !== undefined && !ATTEMPT.test(attempt)) return undefined;
+  if (attempt !== undefined && !ATTEMPT_ID_PATTERN.test(attempt)) {
+    return undefined;
+  }
   if (Object.values(files).some((text) => typeof text !== "string")) {
     return undefined;
   }
   return { files, baseVersion: baseVersion!, attempt };
 }
 
-function toAnswer(
+function toResponse(
   host: OperatorHost,
   files: FileSet,
   result: AcceptResult,
-): Answer {
+): OperatorResponse {
   switch (result.kind) {
     case "accepted":
       host.onAccepted({ row: result.row, files });
@@ -224,7 +226,9 @@
   }
 }
 
-function run(answer: Effect.Effect<Answer, PlatformError>): Promise<Answer> {
+function runPlatformCall(
+  answer: Effect.Effect<OperatorResponse, PlatformError>,
+): Promise<OperatorResponse> {
   return Effect.runPromise(answer.pipe(
     Effect.catchTag(
       "PlatformError",
@@ -233,7 +237,7 @@
   ));
 }
 
-function ok(value: unknown): Answer {
+function ok(value: unknown): OperatorResponse {
   return { status: 200, value };
 }
 
--- a/src/router/periodic.ts
+++ b/src/router/periodic.ts
@@ -15,65 +15,88 @@
 import type { Quarantine } from "../quarantine/mod.ts";
 import { LOAD_POLL_MS } from "../upstreams/mod.ts";
 import type { Configuration } from "./configuration.ts";
-import type { TaskWatch } from "./task_monitor.ts";
-import { every } from "./tasks.ts";
+import type { TaskMonitor } from "./task_monitor.ts";
+import { runPeriodically } from "./tasks.ts";
 
 /** A version that was heard of and not fetched is tried again this often. */
-const CONFIG_RETRY_MS = 500;
+const CONFIG_RETRY_PERIOD_MS = 500;
 
 /** One probe of one host each time. */
 const MEMBERSHIP_PERIOD_MS = 500;
 
 /** What no request and no frame has caused goes out this often. */
-const IDLE_FLUSH_MS = 100;
+const IDLE_FLUSH_PERIOD_MS = 100;
 
 /** The last period at which the exchange does not set the fairness gap. */
-const COUNTERS_MS = 500;
+const COUNTER_EXCHANGE_PERIOD_MS = 500;
 
 /** A request that can't be served in time leaves so soon. */
-const SWEEP_MS = 200;
+const BACKLOG_SWEEP_PERIOD_MS = 200;
 
-const QUARANTINE_POLL_MS = 30_000;
-const CLAIM_SWEEP_MS = 60_000;
+const QUARANTINE_POLL_PERIOD_MS = 30_000;
+const CLAIM_SWEEP_PERIOD_MS = 60_000;
 
 /** The parts that have periodic work. */
-export interface PeriodicParts {
+export interface PeriodicTaskParts {
   readonly configuration: Configuration;
   readonly membership: Membership;
   readonly fleet: Fleet;
   readonly backlog: Backlog;
   readonly quarantine: Quarantine;
   readonly claims: Claims;
-  readonly taskWatch: TaskWatch;
-  readonly watchUpstreams: Effect.Effect<void>;
+  readonly taskMonitor: TaskMonitor;
+  readonly reconcileUpstreams: Effect.Effect<void>;
   readonly pollMachines: Effect.Effect<void, PlatformError>;
   /** Tells a failure of the platform; the next turn tries again. */
-  watchPlatform<A>(call: Effect.Effect<A, PlatformError>): Effect.Effect<void>;
+  reportFailure<A>(call: Effect.Effect<A, PlatformError>): Effect.Effect<void>;
 }
 
 /** Starts the tasks; disposing ends them. */
-export function startPeriodicTasks(parts: PeriodicParts): AsyncDisposable {
-  const { configuration, fleet, taskWatch, watchPlatform } = parts;
-  const { watch } = taskWatch;
+export function startPeriodicTasks(parts: PeriodicTaskParts): AsyncDisposable {
+  const {
+    configuration,
+    fleet,
+    taskMonitor: taskWatch,
+    reportFailure: watchPlatform,
+  } = parts;
+  const { monitor: watch } = taskWatch;
   const { getPollMs } = configuration;
-  const doing = (act: () => void) => Effect.sync(act);
+  const toEffect = (act: () => void) => Effect.sync(act);
   const fibers = [
-    every(
+    runPeriodically(
       getPollMs,
       watch("configuration", watchPlatform(configuration.poll())),
     ),
-    every(getPollMs, watch("machine list", watchPlatform(parts.pollMachines))),
-    every(CONFIG_RETRY_MS, watch("catch up", configuration.catchUp())),
-    every(LOAD_POLL_MS, watch("upstreams", parts.watchUpstreams)),
-    every(
+    runPeriodically(
+      getPollMs,
+      watch("machine list", watchPlatform(parts.pollMachines)),
+    ),
+    runPeriodically(
+      CONFIG_RETRY_PERIOD_MS,
+      watch("catch up", configuration.catchUp()),
+    ),
+    runPeriodically(LOAD_POLL_MS, watch("upstreams", parts.reconcileUpstreams)),
+    runPeriodically(
       MEMBERSHIP_PERIOD_MS,
-      watch("heartbeat", doing(parts.membership.tick)),
+      watch("heartbeat", toEffect(parts.membership.tick)),
+    ),
+    runPeriodically(
+      BACKLOG_SWEEP_PERIOD_MS,
+      watch("sweep", toEffect(parts.backlog.sweep)),
+    ),
+    runPeriodically(
+      QUARANTINE_POLL_PERIOD_MS,
+      watch("quarantine", parts.quarantine.refresh),
+    ),
+    runPeriodically(CLAIM_SWEEP_PERIOD_MS, watch("claims", parts.claims.sweep)),
+    runPeriodically(
+      IDLE_FLUSH_PERIOD_MS,
+      watch("flush", toEffect(fleet.flush)),
+    ),
+    runPeriodically(
+      COUNTER_EXCHANGE_PERIOD_MS,
+      watch("counters", toEffect(fleet.exchangeCounters)),
     ),
-    every(SWEEP_MS, watch("sweep", doing(parts.backlog.sweep))),
-    every(QUARANTINE_POLL_MS, watch("quarantine", parts.quarantine.refresh)),
-    every(CLAIM_SWEEP_MS, watch("claims", parts.claims.sweep)),
-    every(IDLE_FLUSH_MS, watch("flush", doing(fleet.flush))),
-    every(COUNTERS_MS, watch("counters", doing(fleet.exchangeCounters))),
   ].map((task) => Effect.runFork(task));
 
   return {
--- a/src/router/public_server.ts
+++ b/src/router/public_server.ts
@@ -32,15 +32,15 @@
   serveRequest(req: IncomingMessage, res: ServerResponse): Effect.Effect<void>;
   serveWhere(req: IncomingMessage, res: ServerResponse): Effect.Effect<void>;
   /** Why the host is not ready; `undefined` when it is. */
-  tryGetNotReady(): string | undefined;
+  tryGetNotReadyReason(): string | undefined;
   /** Why the host is not healthy; `undefined` when it is. */
-  tryGetUnhealthy(): string | undefined;
+  tryGetUnhealthyReason(): string | undefined;
   getMetrics(): Promise<string>;
   /** By method and path, as "GET /ops/status". */
   readonly operatorHandlers: Readonly<Record<string, OperatorHandler>>;
 }
 
-const CLOSE_MS = 1_000;
+const CLOSE_TIMEOUT_MS = 1_000;
 const MAX_OPERATOR_BODY_BYTES = 4 * 1024 * 1024;
 
 /** Listens on the public address; rejects when it is taken. */
@@ -61,9 +61,12 @@
     async [Symbol.asyncDispose]() {
       // Answers that end now get their time to leave this host's buffers.
       const closed = new Promise((resolve) => server.close(resolve));
-      const late = setTimeout(() => server.closeAllConnections(), CLOSE_MS);
+      const closeTimer = setTimeout(
+        () => server.closeAllConnections(),
+        CLOSE_TIMEOUT_MS,
+      );
       await closed;
-      clearTimeout(late);
+      clearTimeout(closeTimer);
     },
   });
 }
@@ -78,25 +81,25 @@
   if (path.startsWith("/v1/")) return host.serveRequest(req, res);
   return Effect.promise(async () => {
     try {
-      await serveOther(host, path, req, res);
+      await serveManagement(host, path, req, res);
     } catch (err) {
       sendJson(res, 500, { message: String(err) });
     }
   });
 }
 
-async function serveOther(
+async function serveManagement(
   host: PublicServerHost,
   path: string,
   req: IncomingMessage,
   res: ServerResponse,
 ): Promise<void> {
   if (path === "/healthz") {
-    const reason = host.tryGetUnhealthy();
+    const reason = host.tryGetUnhealthyReason();
     const status = reason === undefined ? 200 : 503;
     sendJson(res, status, { healthy: reason === undefined, reason });
   } else if (path === "/readyz") {
-    const reason = host.tryGetNotReady();
+    const reason = host.tryGetNotReadyReason();
     const status = reason === undefined ? 200 : 503;
     sendJson(res, status, { ready: reason === undefined, reason });
   } else if (path === "/metrics") {
--- a/src/router/router.ts
+++ b/src/router/router.ts
@@ -37,12 +37,12 @@
 import { listenForCallers } from "./public_server.ts";
 import { createRegions } from "./regions.ts";
 import { createFlusher, createFlushingSlots } from "./flusher.ts";
-import { learnListedHosts, learnSeeds } from "./seeds.ts";
+import { setSeeds, setSeedsFromList } from "./seeds.ts";
 import { createServing } from "./serving.ts";
-import { createTaskWatch } from "./task_monitor.ts";
-import { onPlatformFailure } from "./tasks.ts";
+import { createTaskMonitor } from "./task_monitor.ts";
+import { reportPlatformFailure } from "./tasks.ts";
 import { createUpstreamWatch } from "./upstream_watch.ts";
-import { getNamedHosts, serveWhere } from "./serve_where.ts";
+import { getAdvertisedHosts, serveWhere } from "./serve_where.ts";
 
 /** What a router needs of the world. */
 export interface RouterHost {
@@ -59,7 +59,7 @@
   countInFlight(): number;
 }
 
-const FLUSH_MS = 5;
+const FLUSH_DELAY_MS = 5;
 
 const TIMELINE_CAPACITY = 20_000;
 
@@ -89,7 +89,7 @@
     getCounter: (service, team) =>
       fleet.getCounters().get(service)?.get(team) ?? 0,
     getMembers: () => membership.getMembers(),
-    isReady: () => tryGetNotReady() === undefined,
+    isReady: () => tryGetNotReadyReason() === undefined,
     nowMs: clock.monotonicMs,
   });
   const fleetToken = getDigest(settings.fleetSecret);
@@ -98,7 +98,10 @@
   const configStore = createConfigStore(platform);
 
   const reporter = createEventReporter({ logger, recorder, metrics });
-  const taskWatch = createTaskWatch({ clock, onFailed: reporter.taskFailed });
+  const taskMonitor = createTaskMonitor({
+    clock,
+    onFailed: reporter.taskFailed,
+  });
 
   const configuration = createConfiguration({
     clock,
@@ -118,7 +121,7 @@
     getMembers: () => membership.getMembers(),
   });
 
-  const leaving = createLeavingUpstreams({
+  const leavingUpstreams = createLeavingUpstreams({
     clock,
     spreadFact: (fact) => membership.spreadFact(fact),
     onChange(upstream, isLeaving) {
@@ -127,7 +130,7 @@
     },
   });
 
-  const outOfSight = createUnreachableHosts(clock);
+  const unreachableHosts = createUnreachableHosts(clock);
   const membership = createMembership({
     host: settings.host,
     incarnation,
@@ -145,13 +148,13 @@
     },
     random: Math.random,
     onChange(member) {
-      outOfSight.receive(member);
+      unreachableHosts.receive(member);
       reporter.memberChanged(member);
       fleet.reconcile();
     },
     onFact(fact) {
       if (isCrashFact(fact)) serving.quarantine.receiveFact(fact.value);
-      else leaving.receiveFact(fact);
+      else leavingUpstreams.receiveFact(fact);
     },
     onConfigVersion: (version, digest, from) =>
       configuration.receiveClaim({ version, digest }, from),
@@ -171,7 +174,7 @@
     recorder,
     membership,
     getDeployment,
-    isUpstreamLeaving: leaving.isLeaving,
+    isUpstreamLeaving: leavingUpstreams.isLeaving,
     policy: defaultFleetPolicy,
     random: Math.random,
     createLink: (address, linkHost) =>
@@ -205,21 +208,22 @@
     sleep: Effect.sleep,
     hasCallers: () => getDeployment() !== undefined,
     announceLeaving: membership.leave,
-    getOtherHosts: () => getNamedHosts(membership).map((each) => each.address),
+    getOtherHosts: () =>
+      getAdvertisedHosts(membership).map((each) => each.address),
     onPhase: reporter.drainPhase,
   }, settings);
 
   const flusher = createFlusher({
     flush: fleet.flush,
     hasWaitingRequests: () => serving.backlog.getUse().requests > 0,
-  }, FLUSH_MS);
+  }, FLUSH_DELAY_MS);
   const serving = createServing({
     settings,
     incarnation,
     clock,
     platform,
     recorder,
-    reporter: reporter,
+    reporter,
     metrics,
     regions,
     membership,
@@ -227,7 +231,7 @@
     drain,
     slots: createFlushingSlots(fleet.slots, flusher.scheduleFlush),
     getDeployment,
-    isSomeHostOutOfSight: outOfSight.isAnyUnreachable,
+    isAnyHostUnreachable: unreachableHosts.isAnyUnreachable,
   });
 
   const datagrams = await openDatagrams(
@@ -257,8 +261,8 @@
         req,
         res,
       ),
-    tryGetNotReady,
-    tryGetUnhealthy: taskWatch.tryGetStuck,
+    tryGetNotReadyReason: tryGetNotReadyReason,
+    tryGetUnhealthyReason: taskMonitor.tryGetStuckReason,
     getMetrics: metrics.render,
     operatorHandlers: createOperatorHandlers({
       clock,
@@ -271,33 +275,33 @@
       getCurrent: configuration.getCurrent,
       onAccepted: configuration.offer,
       isDraining: () => drain.getPhase() !== "serving",
-      isUpstreamLeaving: leaving.isLeaving,
-      tryGetNotReady,
+      isUpstreamLeaving: leavingUpstreams.isLeaving,
+      tryGetNotReadyReason: tryGetNotReadyReason,
       getServed: metrics.getServed,
     }),
   });
 
-  function tryGetNotReady(): string | undefined {
+  function tryGetNotReadyReason(): string | undefined {
     if (drain.getPhase() !== "serving") return "The host is leaving";
     if (getDeployment() === undefined) return "No configuration is in force";
     return undefined;
   }
 
   /** The next turn tries again; a failure only shows. */
-  function watchPlatform<A>(
+  function reportFailure<A>(
     call: Effect.Effect<A, PlatformError>,
   ): Effect.Effect<void> {
-    return onPlatformFailure(call, reporter.platformFailed);
+    return reportPlatformFailure(call, reporter.platformFailed);
   }
 
   const pollMachines = platform.machines.get().pipe(
     Effect.map((machines) => {
-      learnListedHosts(membership, machines);
-      leaving.receiveMachineList(machines);
+      setSeedsFromList(membership, machines);
+      leavingUpstreams.receiveMachineList(machines);
     }),
   );
 
-  const watchUpstreams = createUpstreamWatch({
+  const reconcileUpstreams = createUpstreamWatch({
     id: settings.host,
     clock,
     platform,
@@ -308,11 +312,11 @@
         fleet.getOwner(upstream.id) === settings.host
       ),
     mayGiveOrders: () => drain.getPhase() === "serving",
-    onWord: leaving.receiveReport,
-    watchPlatform,
+    onWord: leavingUpstreams.receiveReport,
+    watchPlatform: reportFailure,
   });
 
-  learnSeeds(
+  setSeeds(
     membership,
     settings.seeds.map((seed) => ({ ...seed, address: seed.peerAddress })),
   );
@@ -323,10 +327,10 @@
     backlog: serving.backlog,
     quarantine: serving.quarantine,
     claims: serving.claims,
-    taskWatch,
-    watchUpstreams,
+    taskMonitor: taskMonitor,
+    reconcileUpstreams: reconcileUpstreams,
     pollMachines,
-    watchPlatform,
+    reportFailure: reportFailure,
   });
   reporter.started(settings.publicAddress, settings.peerAddress);
 
--- a/src/router/seeds.ts
+++ b/src/router/seeds.ts
@@ -12,18 +12,18 @@
 export type SeedHost = Pick<ListedMachine, "id" | "dataCentre" | "address">;
 
 /** Takes the live routers of the list in. */
-export function learnListedHosts(
+export function setSeedsFromList(
   membership: Membership,
   machines: readonly ListedMachine[],
 ): void {
   const live = machines.filter((machine) =>
     machine.role === "router" && machine.state === "live"
   );
-  learnSeeds(membership, live);
+  setSeeds(membership, live);
 }
 
 /** Replaces the hosts that are asked when they are not known. */
-export function learnSeeds(
+export function setSeeds(
   membership: Membership,
   seeds: readonly SeedHost[],
 ): void {
--- a/src/router/serve_where.ts
+++ b/src/router/serve_where.ts
@@ -22,14 +22,16 @@
 }
 
 /** A host as callers are told of it. */
-export interface NamedHost {
+export interface AdvertisedHost {
   readonly host: string;
   readonly address: string;
   readonly dataCentre: string;
 }
 
 /** Hosts for new work, those of this host's own data centre first. */
-export function getNamedHosts(membership: Membership): readonly NamedHost[] {
+export function getAdvertisedHosts(
+  membership: Membership,
+): readonly AdvertisedHost[] {
   const own = membership.getSelf().dataCentre;
   return membership.getUsable()
     // A host known from the platform's list alone has no public address yet.
@@ -57,7 +59,7 @@
       return;
     }
     const team = yield* authenticate(req, deployment.teams);
-    const hosts = getNamedHosts(host.membership);
+    const hosts = getAdvertisedHosts(host.membership);
     sendJson(res, 200, { team: team.id, ttlMs: host.ttlMs, hosts });
   }).pipe(
     Effect.catchTag(
--- a/src/router/serving.ts
+++ b/src/router/serving.ts
@@ -33,7 +33,7 @@
 import type { Regions } from "./regions.ts";
 
 /** By then a host that has just started knows all others. */
-const MEMBERS_KNOWN_MS = 30_000;
+const MEMBERSHIP_SETTLE_MS = 30_000;
 
 /** What serving is joined from. */
 export interface ServingParts {
@@ -51,7 +51,7 @@
   /** The fleet's slots, flushed after each act. */
   readonly slots: SlotClient;
   getDeployment(): Deployment | undefined;
-  isSomeHostOutOfSight(): boolean;
+  isAnyHostUnreachable(): boolean;
 }
 
 /** What serving is made of. */
@@ -65,7 +65,7 @@
 /** Joins the parts. */
 export function createServing(parts: ServingParts): Serving {
   const { settings, incarnation, clock, platform, membership, drain } = parts;
-  const { fleet, regions, metrics, reporter: journal, getDeployment } = parts;
+  const { fleet, regions, metrics, reporter, getDeployment } = parts;
   const { host: id, dataCentre, fleetSecret } = settings;
 
   const quarantine = createQuarantine({
@@ -75,9 +75,9 @@
     commit: createGroupCommit(platform.tables),
     spread: (record) => membership.spreadFact(createCrashFact(record, clock)),
     push: (record) => membership.pushFact(createCrashFact(record, clock)),
-    onQuarantined: journal.contentQuarantined,
+    onQuarantined: reporter.contentQuarantined,
     countHosts: () => membership.getMembers().length,
-    isSomeHostOutOfSight: parts.isSomeHostOutOfSight,
+    isSomeHostOutOfSight: parts.isAnyHostUnreachable,
   });
   const claims = createClaims({
     id,
@@ -88,9 +88,9 @@
   });
   const backlog = createBacklog({ clock, random: Math.random });
 
-  function isProcessGone(other: string, start: number): boolean {
+  function isProcessDead(other: string, start: number): boolean {
     const member = membership.getMembers().find((each) => each.host === other);
-    const isSettled = clock.wallMs() - incarnation > MEMBERS_KNOWN_MS;
+    const isSettled = clock.wallMs() - incarnation > MEMBERSHIP_SETTLE_MS;
     if (member === undefined) return isSettled;
     return member.state === "dead" || member.incarnation > start;
   }
@@ -122,10 +122,10 @@
     getDeployment,
     isDraining: drain.isRefusing,
     waitUntilGivingUp: drain.waitUntilDrainTimeout,
-    isProcessGone,
+    isProcessGone: isProcessDead,
     charge,
     runDetached: drain.runDetached,
-    onEnded: journal.requestEnded,
+    onEnded: reporter.requestEnded,
   };
   return { host, backlog, quarantine, claims };
 }
--- a/src/router/task_monitor.ts
+++ b/src/router/task_monitor.ts
@@ -13,18 +13,18 @@
 import type { Clock } from "../core/mod.ts";
 
 /** What the watch needs of the process. */
-export interface TaskWatchHost {
+export interface TaskMonitorHost {
   readonly clock: Clock;
   /** Tells the log of a turn that failed. */
   onFailed(task: string, reason: string): void;
 }
 
 /** Watches tasks by name. */
-export interface TaskWatch {
+export interface TaskMonitor {
   /** One turn of the task, which never fails. */
-  watch(task: string, turn: Effect.Effect<void>): Effect.Effect<void>;
+  monitor(task: string, run: Effect.Effect<void>): Effect.Effect<void>;
   /** Why the host is not healthy; `undefined` when it is. */
-  tryGetStuck(): string | undefined;
+  tryGetStuckReason(): string | undefined;
 }
 
 /**
@@ -32,31 +32,31 @@
  * platform ends after two seconds. A task without a turn for so long will have
  * none.
  */
-export const STUCK_MS = 180_000;
+export const STUCK_TIMEOUT_MS = 180_000;
 
 /** Makes a watch without tasks. */
-export function createTaskWatch(host: TaskWatchHost): TaskWatch {
-  const lastTurnMs = new Map<string, number>();
+export function createTaskMonitor(host: TaskMonitorHost): TaskMonitor {
+  const lastRunMs = new Map<string, number>();
 
-  function mark(task: string): void {
-    lastTurnMs.set(task, host.clock.monotonicMs());
+  function recordRun(task: string): void {
+    lastRunMs.set(task, host.clock.monotonicMs());
   }
 
   return {
-    watch(task, turn) {
-      mark(task);
-      return turn.pipe(
+    monitor(task, run) {
+      recordRun(task);
+      return run.pipe(
         Effect.catchCause((cause) =>
           Effect.sync(() => host.onFailed(task, Cause.pretty(cause)))
         ),
-        Effect.tap(() => Effect.sync(() => mark(task))),
+        Effect.tap(() => Effect.sync(() => recordRun(task))),
       );
     },
-    tryGetStuck() {
+    tryGetStuckReason() {
       const nowMs = host.clock.monotonicMs();
-      for (const [task, turnMs] of lastTurnMs) {
-        const seconds = Math.round((nowMs - turnMs) / 1000);
-        if (nowMs - turnMs < STUCK_MS) continue;
+      for (const [task, runMs] of lastRunMs) {
+        const seconds = Math.round((nowMs - runMs) / 1000);
+        if (nowMs - runMs < STUCK_TIMEOUT_MS) continue;
         return `The task "${task}" had no turn for ${seconds} s`;
       }
       return undefined;
--- a/src/router/task_monitor_test.ts
+++ b/src/router/task_monitor_test.ts
@@ -2,7 +2,7 @@
 import { test } from "node:test";
 import * as Effect from "effect/Effect";
 import { createManualClock } from "../core/mod.ts";
-import { createTaskWatch, STUCK_MS } from "./task_monitor.ts";
+import { createTaskMonitor, STUCK_TIMEOUT_MS } from "./task_monitor.ts";
 
 /**
  * A datagram of another version makes the heartbeat's code throw once. The host
@@ -12,12 +12,12 @@
 test("a turn that throws is told, and the task goes on", async () => {
   const clock = createManualClock();
   const failures: string[] = [];
-  const watch = createTaskWatch({
+  const watch = createTaskMonitor({
     clock,
     onFailed: (task, reason) => failures.push(`${task}: ${reason}`),
   });
   let turns = 0;
-  const turn = watch.watch(
+  const turn = watch.monitor(
     "heartbeat",
     Effect.sync(() => {
       turns++;
@@ -33,15 +33,15 @@
 
 test("a task without turns makes the host unhealthy, and says which", async () => {
   const clock = createManualClock();
-  const watch = createTaskWatch({ clock, onFailed: () => {} });
-  const flush = watch.watch("flush", Effect.void);
-  watch.watch("poll", Effect.never);
-  clock.advance(STUCK_MS - 1);
+  const watch = createTaskMonitor({ clock, onFailed: () => {} });
+  const flush = watch.monitor("flush", Effect.void);
+  watch.monitor("poll", Effect.never);
+  clock.advance(STUCK_TIMEOUT_MS - 1);
   await Effect.runPromise(flush);
-  deepStrictEqual(watch.tryGetStuck(), undefined);
+  deepStrictEqual(watch.tryGetStuckReason(), undefined);
   clock.advance(1);
   deepStrictEqual(
-    watch.tryGetStuck(),
+    watch.tryGetStuckReason(),
     'The task "poll" had no turn for 180 s',
   );
 });
--- a/src/router/tasks.ts
+++ b/src/router/tasks.ts
@@ -8,7 +8,7 @@
 import type { PlatformError } from "../platform/mod.ts";
 
 /** Runs a task at once and then again after each pause, in milliseconds. */
-export function every(
+export function runPeriodically(
   pauseMs: number | (() => number),
   task: Effect.Effect<void>,
 ): Effect.Effect<never> {
@@ -21,7 +21,7 @@
 }
 
 /** A call to the platform whose failure is told and not raised. */
-export function onPlatformFailure<A>(
+export function reportPlatformFailure<A>(
   call: Effect.Effect<A, PlatformError>,
   onFailure: (reason: string) => void,
 ): Effect.Effect<void> {
