--- a/src/router/configuration.ts
+++ b/src/router/configuration.ts
@@ -92,10 +92,13 @@
   function isSelectedReader(): boolean {
     const membership = host.getMembership();
     const self = membership.getSelf();
-    const near = membership.getUsable().filter((each) =>
+    const sameDataCentre = membership.getUsable().filter((each) =>
       each.dataCentre === self.dataCentre
     );
-    const selected = tryGetOwner("poll", near.map((each) => each.host));
+    const selected = tryGetOwner(
+      "poll",
+      sameDataCentre.map((each) => each.host),
+    );
     return selected === self.host;
   }
 
--- a/src/router/drain_test.ts
+++ b/src/router/drain_test.ts
@@ -87,7 +87,7 @@
     }
   }
 
-  return { drain, phases, settle, advance, isNamed: () => isAdvertised };
+  return { drain, phases, settle, advance, isAdvertised: () => isAdvertised };
 }
 
 function serve(drain: Drain, effect: Effect.Effect<void> = Effect.never) {
@@ -111,7 +111,7 @@
   // that another second would have served.
   const fixture = createFixture();
   assert.equal(await isEarlierCallerServed(fixture), true);
-  assert.equal(fixture.isNamed(), false);
+  assert.equal(fixture.isAdvertised(), false);
   await fixture.advance(LEAVE_PROPAGATION_MS - 100);
   assert.equal(fixture.drain.isRefusing(), false);
   await fixture.advance(200);
--- a/src/router/operator_handlers.ts
+++ b/src/router/operator_handlers.ts
@@ -67,7 +67,7 @@
 type OperatorResponse = Awaited<ReturnType<OperatorHandler>>;
 
 const DEFAULT_HISTORY_LIMIT = 100;
-const ATTEMPT_ID_PATTERN = /^[0-9a-f-]{36}$/;
+const ATTEMPT_ID = /^[0-9a-f-]{36}$/;
 
 /** Makes the handlers by method and path. */
 export function createOperatorHandlers(
@@ -195,9 +195,7 @@
   const { files, baseVersion, attempt } = parsed ?? {};
   if (typeof files !== "object" || files === null) return undefined;
   if (!Number.isSafeInteger(baseVersion)) return undefined;
-  if (attempt !== undefined && !ATTEMPT_ID_PATTERN.test(attempt)) {
-    return undefined;
-  }
+  if (attempt !== undefined && !ATTEMPT_ID.test(attempt)) return undefined;
   if (Object.values(files).some((text) => typeof text !== "string")) {
     return undefined;
   }
--- a/src/router/periodic.ts
+++ b/src/router/periodic.ts
@@ -56,46 +56,52 @@
   const {
     configuration,
     fleet,
-    taskMonitor: taskWatch,
-    reportFailure: watchPlatform,
+    taskMonitor,
+    reportFailure,
   } = parts;
-  const { monitor: watch } = taskWatch;
+  const { monitor } = taskMonitor;
   const { getPollMs } = configuration;
   const toEffect = (act: () => void) => Effect.sync(act);
   const fibers = [
     runPeriodically(
       getPollMs,
-      watch("configuration", watchPlatform(configuration.poll())),
+      monitor("configuration", reportFailure(configuration.poll())),
     ),
     runPeriodically(
       getPollMs,
-      watch("machine list", watchPlatform(parts.pollMachines)),
+      monitor("machine list", reportFailure(parts.pollMachines)),
     ),
     runPeriodically(
       CONFIG_RETRY_PERIOD_MS,
-      watch("catch up", configuration.catchUp()),
+      monitor("catch up", configuration.catchUp()),
+    ),
+    runPeriodically(
+      LOAD_POLL_MS,
+      monitor("upstreams", parts.reconcileUpstreams),
     ),
-    runPeriodically(LOAD_POLL_MS, watch("upstreams", parts.reconcileUpstreams)),
     runPeriodically(
       MEMBERSHIP_PERIOD_MS,
-      watch("heartbeat", toEffect(parts.membership.tick)),
+      monitor("heartbeat", toEffect(parts.membership.tick)),
     ),
     runPeriodically(
       BACKLOG_SWEEP_PERIOD_MS,
-      watch("sweep", toEffect(parts.backlog.sweep)),
+      monitor("sweep", toEffect(parts.backlog.sweep)),
     ),
     runPeriodically(
       QUARANTINE_POLL_PERIOD_MS,
-      watch("quarantine", parts.quarantine.refresh),
+      monitor("quarantine", parts.quarantine.refresh),
+    ),
+    runPeriodically(
+      CLAIM_SWEEP_PERIOD_MS,
+      monitor("claims", parts.claims.sweep),
     ),
-    runPeriodically(CLAIM_SWEEP_PERIOD_MS, watch("claims", parts.claims.sweep)),
     runPeriodically(
       IDLE_FLUSH_PERIOD_MS,
-      watch("flush", toEffect(fleet.flush)),
+      monitor("flush", toEffect(fleet.flush)),
     ),
     runPeriodically(
       COUNTER_EXCHANGE_PERIOD_MS,
-      watch("counters", toEffect(fleet.exchangeCounters)),
+      monitor("counters", toEffect(fleet.exchangeCounters)),
     ),
   ].map((task) => Effect.runFork(task));
 
--- a/src/router/router.ts
+++ b/src/router/router.ts
@@ -41,7 +41,7 @@
 import { createServing } from "./serving.ts";
 import { createTaskMonitor } from "./task_monitor.ts";
 import { reportPlatformFailure } from "./tasks.ts";
-import { createUpstreamWatch } from "./upstream_watch.ts";
+import { createUpstreamReconciliation } from "./upstream_watch.ts";
 import { getAdvertisedHosts, serveWhere } from "./serve_where.ts";
 
 /** What a router needs of the world. */
@@ -261,7 +261,7 @@
         req,
         res,
       ),
-    tryGetNotReadyReason: tryGetNotReadyReason,
+    tryGetNotReadyReason,
     tryGetUnhealthyReason: taskMonitor.tryGetStuckReason,
     getMetrics: metrics.render,
     operatorHandlers: createOperatorHandlers({
@@ -276,7 +276,7 @@
       onAccepted: configuration.offer,
       isDraining: () => drain.getPhase() !== "serving",
       isUpstreamLeaving: leavingUpstreams.isLeaving,
-      tryGetNotReadyReason: tryGetNotReadyReason,
+      tryGetNotReadyReason,
       getServed: metrics.getServed,
     }),
   });
@@ -301,7 +301,7 @@
     }),
   );
 
-  const reconcileUpstreams = createUpstreamWatch({
+  const reconcileUpstreams = createUpstreamReconciliation({
     id: settings.host,
     clock,
     platform,
@@ -311,9 +311,9 @@
       (getDeployment()?.upstreams ?? []).filter((upstream) =>
         fleet.getOwner(upstream.id) === settings.host
       ),
-    mayGiveOrders: () => drain.getPhase() === "serving",
-    onWord: leavingUpstreams.receiveReport,
-    watchPlatform: reportFailure,
+    maySendOrders: () => drain.getPhase() === "serving",
+    onLeavingReport: leavingUpstreams.receiveReport,
+    reportFailure: reportFailure,
   });
 
   setSeeds(
@@ -327,10 +327,10 @@
     backlog: serving.backlog,
     quarantine: serving.quarantine,
     claims: serving.claims,
-    taskMonitor: taskMonitor,
-    reconcileUpstreams: reconcileUpstreams,
+    taskMonitor,
+    reconcileUpstreams,
     pollMachines,
-    reportFailure: reportFailure,
+    reportFailure,
   });
   reporter.started(settings.publicAddress, settings.peerAddress);
 
--- a/src/router/task_monitor_test.ts
+++ b/src/router/task_monitor_test.ts
@@ -12,36 +12,36 @@
 test("a turn that throws is told, and the task goes on", async () => {
   const clock = createManualClock();
   const failures: string[] = [];
-  const watch = createTaskMonitor({
+  const monitor = createTaskMonitor({
     clock,
     onFailed: (task, reason) => failures.push(`${task}: ${reason}`),
   });
-  let turns = 0;
-  const turn = watch.monitor(
+  let runs = 0;
+  const run = monitor.monitor(
     "heartbeat",
     Effect.sync(() => {
-      turns++;
-      if (turns === 1) throw new Error("Unknown state");
+      runs++;
+      if (runs === 1) throw new Error("Unknown state");
     }),
   );
-  await Effect.runPromise(turn);
-  await Effect.runPromise(turn);
-  deepStrictEqual(turns, 2);
+  await Effect.runPromise(run);
+  await Effect.runPromise(run);
+  deepStrictEqual(runs, 2);
   deepStrictEqual(failures.length, 1);
   match(failures[0]!, /^heartbeat: .*Unknown state/s);
 });
 
-test("a task without turns makes the host unhealthy, and says which", async () => {
+test("a task without runs makes the host unhealthy, and says which", async () => {
   const clock = createManualClock();
-  const watch = createTaskMonitor({ clock, onFailed: () => {} });
-  const flush = watch.monitor("flush", Effect.void);
-  watch.monitor("poll", Effect.never);
+  const monitor = createTaskMonitor({ clock, onFailed: () => {} });
+  const flush = monitor.monitor("flush", Effect.void);
+  monitor.monitor("poll", Effect.never);
   clock.advance(STUCK_TIMEOUT_MS - 1);
   await Effect.runPromise(flush);
-  deepStrictEqual(watch.tryGetStuckReason(), undefined);
+  deepStrictEqual(monitor.tryGetStuckReason(), undefined);
   clock.advance(1);
   deepStrictEqual(
-    watch.tryGetStuckReason(),
+    monitor.tryGetStuckReason(),
     'The task "poll" had no turn for 180 s',
   );
 });
--- a/src/router/upstream_watch.ts
+++ b/src/router/upstream_watch.ts
@@ -21,7 +21,7 @@
 import { pollLoads, tryGetUpstreamState } from "../upstreams/mod.ts";
 
 /** What the watch needs of the process. */
-export interface UpstreamWatchHost {
+export interface UpstreamReconciliationHost {
   readonly id: string;
   readonly clock: Clock;
   readonly platform: Platform;
@@ -29,18 +29,18 @@
   readonly logger: Logger;
   getOwned(): readonly Upstream[];
   /** A host that is leaving begins no order: it may not see its end. */
-  mayGiveOrders(): boolean;
-  onWord(upstream: string, leaving: boolean): void;
+  maySendOrders(): boolean;
+  onLeavingReport(upstream: string, leaving: boolean): void;
   /** Tells a failure of the platform and never fails. */
-  watchPlatform<A>(call: Effect.Effect<A, PlatformError>): Effect.Effect<void>;
+  reportFailure<A>(call: Effect.Effect<A, PlatformError>): Effect.Effect<void>;
 }
 
 /** Makes the task of one turn; never fails. */
-export function createUpstreamWatch(
-  host: UpstreamWatchHost,
+export function createUpstreamReconciliation(
+  host: UpstreamReconciliationHost,
 ): Effect.Effect<void> {
   const { id, clock, platform } = host;
-  const orders = createOrderReconciler({
+  const reconciler = createOrderReconciler({
     leases: createLeases({
       id,
       clock,
@@ -73,9 +73,9 @@
     getOwned: host.getOwned,
     tryGetState: tryGetUpstreamState,
     onState(upstream, state) {
-      host.onWord(upstream.id, state.leaving);
-      if (!host.mayGiveOrders()) return;
-      Effect.runFork(host.watchPlatform(orders.reconcile(upstream, state)));
+      host.onLeavingReport(upstream.id, state.leaving);
+      if (!host.maySendOrders()) return;
+      Effect.runFork(host.reportFailure(reconciler.reconcile(upstream, state)));
     },
   });
 }
