--- a/src/router/router.ts
+++ b/src/router/router.ts
@@ -313,7 +313,7 @@
       ),
     maySendOrders: () => drain.getPhase() === "serving",
     onLeavingReport: leavingUpstreams.receiveReport,
-    reportFailure: reportFailure,
+    reportFailure,
   });
 
   setSeeds(
