--- a/src/requests/run_on_engine.ts
+++ b/src/requests/run_on_engine.ts
@@ -1,6 +1,6 @@
 /**
- * One run of a request as a stream of an engine, passed on event by event. Also
- * the resumption of a stream that another host began.
+ * Runs one attempt of a request as a stream of an engine, or resumes a stream
+ * that another host started, and delivers the events to the caller.
  *
  * @module
  */
@@ -25,62 +25,63 @@
 import { REQUEST_HEADER, RESUME_HEADER } from "./reply.ts";
 import type { Progress, ServeHost } from "./types.ts";
 
-/** What a run needs. */
-export interface EngineRun {
+/** Input of an attempt. */
+export interface EngineAttempt {
   readonly request: string;
   readonly name: StreamReference;
   readonly upstream: Upstream;
   readonly res: ServerResponse;
   readonly progress: Progress;
-  /** Monotonic milliseconds after which nobody wants the answer. */
+  /** Deadline of the caller, in monotonic milliseconds. */
   readonly deadlineMs: number;
-  /** Opens the stream for the first time. */
+  /** Opens the stream. */
   readonly open: Effect.Effect<AnswerStream, UpstreamError>;
 }
 
-/** Streams the answer to the caller; gives its cost in tokens. */
+/** Streams the response to the caller; returns its cost in tokens. */
 export function runOnEngine(
   host: ServeHost,
-  run: EngineRun,
+  attempt: EngineAttempt,
 ): Effect.Effect<number, UpstreamError | CallerLost> {
-  const { progress, upstream } = run;
+  const { progress, upstream } = attempt;
   const place: StreamPlace = {
     address: upstream.address,
-    stream: run.name.stream,
+    stream: attempt.name.stream,
   };
   return Effect.gen(function* () {
     const startMs = host.clock.monotonicMs();
     progress.isSent = true;
-    const stream = yield* openFirst(host, run, place);
+    const stream = yield* openStream(host, attempt, place);
     progress.mayHaveRun = true;
-    const time = (each: AnswerStream) => timeTokens(host, each, run, startMs);
+    const time = (each: AnswerStream) =>
+      measureTokenTimes(host, each, attempt, startMs);
     return yield* followStream<CallerLost>(time(stream), progress, {
       resume: (offset) =>
         host.upstreams.resume(place, offset).pipe(Effect.map(time)),
       deliver: (event) => {
-        sendHead(host, run);
+        sendHeaders(host, attempt);
         const { offset, data } = event;
         const text = `id: ${offset}\nevent: token\ndata: ${data}\n\n`;
-        return writeToCaller(run.res, text);
+        return writeToCaller(attempt.res, text);
       },
       onResumed: (offset) =>
         host.recorder.record({
           kind: "stream-resumed",
-          request: run.request,
-          team: run.name.team,
+          request: attempt.request,
+          team: attempt.name.team,
           upstream: upstream.id,
           offset,
         }),
     });
   }).pipe(
-    Effect.tap(() => Effect.sync(() => sendHead(host, run))),
+    Effect.tap(() => Effect.sync(() => sendHeaders(host, attempt))),
     Effect.onExit((exit) =>
       Effect.sync(() => {
         if (!progress.isSent || !mayStillRun(exit)) return;
-        progress.leftover = cancelAbandonedStream(place, {
+        progress.pendingUpstreamWork = cancelAbandonedStream(place, {
           upstreams: host.upstreams,
           mayCallerResume: () => !host.isDraining() && !isUpstreamFailure(exit),
-          isPastDeadline: () => host.clock.monotonicMs() > run.deadlineMs,
+          isPastDeadline: () => host.clock.monotonicMs() > attempt.deadlineMs,
         });
       })
     ),
@@ -88,16 +89,16 @@
 }
 
 /**
- * Takes in how long the engine took for each token. Time that the caller takes
+ * Measures how long the engine takes for each token. Time that the caller takes
  * to read does not count: a slow caller must not look like a slow engine.
  */
-function timeTokens(
+function measureTokenTimes(
   host: ServeHost,
   stream: AnswerStream,
-  run: EngineRun,
+  attempt: EngineAttempt,
   startMs: number,
 ): AnswerStream {
-  const { progress } = run;
+  const { progress } = attempt;
   const next = Effect.suspend(() => {
     const askedMs = host.clock.monotonicMs();
     return stream.next.pipe(Effect.tap((event) =>
@@ -117,39 +118,44 @@
 }
 
 /**
- * A call that broke before its answer began may have begun all the same: the
- * engine is asked for the stream before anything else is tried.
+ * Opens the stream. A call whose connection broke before the response started
+ * may have started the stream all the same, so the engine is asked for that
+ * stream before anything else is tried.
  */
-function openFirst(
+function openStream(
   host: ServeHost,
-  run: EngineRun,
+  attempt: EngineAttempt,
   place: StreamPlace,
 ): Effect.Effect<AnswerStream, UpstreamError> {
-  return run.open.pipe(
+  return attempt.open.pipe(
     Effect.catchTag("UpstreamError", (err) => {
-      if (err.failure === "refused") run.progress.isSent = false;
+      if (err.failure === "refused") attempt.progress.isSent = false;
       if (!mayHaveRun(err) || err.failure === "forgotten") {
         return Effect.fail(err);
       }
-      run.progress.mayHaveRun = true;
-      return host.upstreams.resume(place, run.progress.nextOffset);
+      attempt.progress.mayHaveRun = true;
+      return host.upstreams.resume(place, attempt.progress.nextOffset);
     }),
   );
 }
 
-function sendHead(host: ServeHost, run: EngineRun): void {
-  const { res } = run;
+function sendHeaders(host: ServeHost, attempt: EngineAttempt): void {
+  const { res } = attempt;
   if (res.headersSent || res.destroyed) return;
-  res.setHeader(REQUEST_HEADER, run.request);
-  res.setHeader(RESUME_HEADER, createResumeToken(run.name, host.fleetSecret));
+  res.setHeader(REQUEST_HEADER, attempt.request);
+  res.setHeader(
+    RESUME_HEADER,
+    createResumeToken(attempt.name, host.fleetSecret),
+  );
   res.writeHead(200, { "content-type": "text/event-stream" });
 }
 
 type RunExit = Exit.Exit<number, UpstreamError | CallerLost>;
 
 /**
- * True unless the engine told that the stream ended or that it has none. A run
- * that was interrupted lost its caller.
+ * Whether the engine may still be working on the stream: true unless it
+ * reported that the stream ended or does not exist. An interrupted attempt has
+ * lost its caller.
  */
 function mayStillRun(exit: RunExit): boolean {
   if (Exit.isSuccess(exit)) return false;
@@ -172,8 +178,8 @@
 }
 
 /**
- * True for a failure that looks like the end of the upstream's process while the
- * request ran there. A connection that was refused at the start is none.
+ * Whether the failure looks as if the upstream's process ended while it ran the
+ * request. A connection that was refused at the start does not count.
  */
 export function looksLikeCrash(
   err: UpstreamError,
--- a/src/testing/fake_request_host.ts
+++ b/src/testing/fake_request_host.ts
@@ -89,7 +89,7 @@
   recordCrash: () => Effect.succeed(1),
   beginTrial: () => Effect.succeed("begun"),
   endTrial: () => Effect.void,
-  catchUp: Effect.void,
+  refreshIfPartitioned: Effect.void,
   clear: () => Effect.void,
   receiveFact() {},
   refresh: Effect.void,
@@ -142,7 +142,7 @@
     getDeployment: () => undefined,
     isDraining: () => false,
     waitUntilGivingUp: Effect.never,
-    isProcessGone: (other) => world.dead.has(other),
+    isProcessDead: (other) => world.dead.has(other),
     charge() {},
     runDetached: (effect) =>
       void runScheduled(scheduler, effect, world.patience),
@@ -182,7 +182,7 @@
   }
 
   const client = {
-    wait(req: AdmittedRequest, start: (slot: SlotHandle) => void) {
+    acquire(req: AdmittedRequest, start: (slot: SlotHandle) => void) {
       waiting.add(req);
       void scheduler.schedule(Promise.resolve(), "grant").then(() => {
         if (waiting.delete(req) && !io.isDead()) start(createHandle());
