--- a/src/requests/types.ts
+++ b/src/requests/types.ts
@@ -39,7 +39,7 @@
   getDeployment(): Deployment | undefined;
   isDraining(): boolean;
   /** Succeeds when a draining host can no longer let requests wait. */
-  readonly waitUntilGivingUp: Effect.Effect<void>;
+  readonly waitUntilDrainTimeout: Effect.Effect<void>;
   /** Whether the given process of the host is known to be dead. */
   isProcessDead(host: string, incarnation: number): boolean;
   /** Charges a team for a request that uses no slot of this host. */
--- a/src/requests/use_slot.ts
+++ b/src/requests/use_slot.ts
@@ -154,7 +154,7 @@
       host.slots.cancel(admitted);
     });
   });
-  const giveUp = host.waitUntilGivingUp.pipe(
+  const giveUp = host.waitUntilDrainTimeout.pipe(
     Effect.flatMap(() => rejectUnserved(progress, "draining")),
   );
   return wait.pipe(
--- a/src/router/serving.ts
+++ b/src/router/serving.ts
@@ -121,7 +121,7 @@
     retryBudget: createRetryBudget(clock),
     getDeployment,
     isDraining: drain.isRefusing,
-    waitUntilGivingUp: drain.waitUntilDrainTimeout,
+    waitUntilDrainTimeout: drain.waitUntilDrainTimeout,
     isProcessDead,
     charge,
     runDetached: drain.runDetached,
--- a/src/testing/fake_request_host.ts
+++ b/src/testing/fake_request_host.ts
@@ -141,7 +141,7 @@
     retryBudget: createRetryBudget(clock),
     getDeployment: () => undefined,
     isDraining: () => false,
-    waitUntilGivingUp: Effect.never,
+    waitUntilDrainTimeout: Effect.never,
     isProcessDead: (other) => world.dead.has(other),
     charge() {},
     runDetached: (effect) =>
