--- a/src/router/configuration.ts
+++ b/src/router/configuration.ts
@@ -1,6 +1,7 @@
 /**
- * Joins the watcher of configurations to this process: what it hears from other
- * hosts, whom it asks for files, and how often it reads the store.
+ * Connects the configuration watcher to this process: versions that other hosts
+ * announce, peers from which files are fetched, and how often the store is
+ * polled.
  *
  * @module
  */
@@ -20,7 +21,7 @@
 import { tryFetchConfiguration } from "../peers/mod.ts";
 import type { ConfigVersion } from "../types.ts";
 
-/** What the configuration's part of a router needs of the process. */
+/** Dependencies of the configuration, supplied by the process. */
 export interface ConfigurationHost {
   readonly clock: Clock;
   readonly store: ConfigStore;
@@ -30,17 +31,17 @@
   onRefused(version: number, reason: string): void;
 }
 
-/** The configuration's part of a router. */
+/** Configuration watcher of one router, with its peers and its poll period. */
 export interface Configuration extends ConfigWatcher {
-  /** Takes in the version that a datagram names. */
+  /** Handles a version that a peer announced in a datagram. */
   receiveClaim(claim: VersionClaim, peer: string): void;
-  /** The bytes for a peer that asks for the version in force. */
+  /** Returns the encoded copy for a peer that requests the digest. */
   tryEncode(digest: string): Uint8Array | undefined;
-  /** Milliseconds until this host looks at the platform again. */
+  /** Milliseconds until this host polls the platform again. */
   getPollMs(): number;
 }
 
-/** Makes the part; nothing is in force. */
+/** Creates the configuration of one router; no version is in force. */
 export function createConfiguration(host: ConfigurationHost): Configuration {
   let lastClaimMs = -Infinity;
   let encoded: { digest: string; bytes: Uint8Array } | undefined;
@@ -75,7 +76,9 @@
     );
   }
 
-  /** The own data centre first: the link between regions is paid by volume. */
+  /**
+   * Peers of this data centre first: cross-region traffic is paid by volume.
+   */
   function sortPeers(peers: readonly string[]): readonly string[] {
     const membership = host.getMembership();
     const own = membership.getSelf().dataCentre;
@@ -88,7 +91,7 @@
     );
   }
 
-  /** One host of each data centre reads the store often for the others. */
+  /** True for the one host of each data centre that polls the store often. */
   function isSelectedReader(): boolean {
     const membership = host.getMembership();
     const self = membership.getSelf();
--- a/src/router/crash_facts.ts
+++ b/src/router/crash_facts.ts
@@ -1,5 +1,5 @@
 /**
- * How crash records travel between hosts: as facts of the membership protocol.
+ * Distributes crash records between hosts as facts of the membership protocol.
  *
  * @module
  */
@@ -8,16 +8,19 @@
 import type { Fact, Member } from "../membership/mod.ts";
 import type { CrashRecord } from "../quarantine/mod.ts";
 
-/** Facts about content that was running when an upstream failed. */
+/**
+ * Key prefix of facts about content that was running when an upstream failed.
+ */
 const CRASH_KEY_PREFIX = "crash/";
 
-/** Fact versions count tenths of a second from here, to fit in 32 bits. */
+/** Fact versions are tenths of a second since this time, to fit in 32 bits. */
 const FACT_EPOCH_MS = Date.UTC(2026, 0, 1);
 
-/** The fact that carries the record. */
+/** Creates the fact that carries the record. */
 export function createCrashFact(record: CrashRecord, clock: Clock): Fact {
   return {
-    // Two counts may be made within one tick of the version.
+    // The count is part of the key, since two crashes may be recorded within
+    // one tick of the version.
     key: `${CRASH_KEY_PREFIX}${record.fingerprint}/${record.crashes}`,
     version: Math.max(1, Math.floor((clock.wallMs() - FACT_EPOCH_MS) / 100)),
     value: JSON.stringify(record),
@@ -30,19 +33,21 @@
 }
 
 /**
- * A host that is cut off may be taken for dead, and may live and know crashes
- * that this host does not. Regions lose each other for an hour now and then, but
- * what counts is sent again within minutes, in ms.
+ * Time for which a suspect or dead host counts as unreachable, in ms. A host
+ * that is only partitioned may know crashes that this host does not. Partitions
+ * between regions can last an hour, but crash records that matter are sent
+ * again within minutes.
  */
 const UNREACHABLE_RETENTION_MS = 10 * 60_000;
 
-/** Hosts that went out of sight without saying that they leave. */
+/** Hosts that became unreachable without announcing that they leave. */
 export interface UnreachableHosts {
+  /** Handles a change of a member's state. */
   receive(member: Member): void;
   isAnyUnreachable(): boolean;
 }
 
-/** Makes a record in which every host is in sight. */
+/** Creates a record in which every host is reachable. */
 export function createUnreachableHosts(clock: Clock): UnreachableHosts {
   const unreachableSinceMs = new Map<string, number>();
   return {
--- a/src/router/drain.ts
+++ b/src/router/drain.ts
@@ -1,19 +1,20 @@
 /**
- * The end of a router: from the first signal to the last byte of the last
- * answer.
+ * Graceful shutdown (drain) of a router, from the first signal to the last byte
+ * of the last response. The phases are:
  *
- * 1. `leaving`: the host tells the others, and no `/where` names it any more.
- *    It still serves, since callers keep an earlier answer for its time to live.
- * 2. `refusing`: new requests end at once as "not run", with other hosts named.
- *    Waiting ones keep their place and are served: handing them on would put
- *    them last in another host's queue, and they hold nothing but memory.
- * 3. `giving-up`, shortly before the limit: those that still wait end as "not
- *    run" while there is time to tell them.
- * 4. `ended`, at the limit or when nothing is in flight: what still runs is told
- *    "may have run". A stream's caller can resume it at another host.
+ * 1. `leaving`: the host announces that it leaves, and `/where` responses no
+ *    longer list it. It still accepts requests, since callers cache an earlier
+ *    `/where` response for its time to live.
+ * 2. `refusing`: new requests are refused as "not run", with a list of other
+ *    hosts. Waiting requests keep their places and are served: another host
+ *    would put them at the end of its queue, and here they hold only memory.
+ * 3. `giving-up`, shortly before the drain limit: requests that still wait end
+ *    as "not run" while there is time to reply to them.
+ * 4. `ended`, at the limit or once nothing is in flight: requests that still
+ *    run end as "may have run". Callers can resume a stream at another host.
  *
- * An answer counts as in flight until its last byte went to the caller's
- * connection, so that a slow reader gets all of it.
+ * A response is in flight until its last byte was written to the caller's
+ * connection, so that slow readers receive all of it.
  *
  * @module
  */
@@ -25,7 +26,7 @@
 import type { Clock } from "../core/mod.ts";
 import { createMayHaveRunReply, sendReply } from "../requests/reply.ts";
 
-/** Where a host is on its way out. */
+/** Phase of a host's drain; "serving" before it starts. */
 export type DrainPhase =
   | "serving"
   | "leaving"
@@ -33,67 +34,69 @@
   | "giving-up"
   | "ended";
 
-/** What a drain came to. */
+/** Result of a drain. */
 export interface DrainResult {
   readonly tookMs: number;
-  /** Answers that were not whole at the limit. */
+  /** Number of responses that were incomplete at the limit. */
   readonly cut: number;
 }
 
 /** Times of a drain in milliseconds. */
 export interface DrainOptions {
-  /** How long callers keep an answer of `/where`. */
+  /** Time for which callers cache a `/where` response. */
   readonly whereTtlMs: number;
+  /** Upper bound on the whole drain. */
   readonly drainLimitMs: number;
 }
 
-/** What a drain needs of the process. */
+/** Dependencies of a drain, supplied by the process. */
 export interface DrainHost {
   readonly clock: Clock;
   sleep(ms: number): Effect.Effect<void>;
-  /** False: no caller can have been told of this host. */
+  /** False if no caller can know this host from a `/where` response. */
   hasCallers(): boolean;
-  /** Tells the other hosts that this one leaves. */
+  /** Announces to the other hosts that this host leaves. */
   announceLeaving(): void;
-  /** Public addresses that a refused caller may go to. */
+  /** Returns public addresses of hosts that refused callers may use. */
   getOtherHosts(): readonly string[];
   onPhase(phase: DrainPhase): void;
 }
 
-/** Tracks what is in flight and brings it to its end. */
+/** Tracks responses in flight and drains the host. */
 export interface Drain {
   getPhase(): DrainPhase;
-  /** Answers that are not whole yet. */
+  /** Returns the number of incomplete responses. */
   countInFlight(): number;
   /**
-   * Runs an effect that outlives its request, such as the record of its end. A
-   * drain waits for it a while, but not for a store that stays down.
+   * Runs an effect that may outlive its request, such as recording its end. A
+   * drain waits up to 5 s for it, but not for a store that stays unavailable.
    */
   runDetached(effect: Effect.Effect<unknown>): void;
-  /** New requests are refused. */
+  /** Whether new requests are refused. */
   isRefusing(): boolean;
-  /** Succeeds when waiting requests have to end. */
+  /** Succeeds when waiting requests must end, shortly before the limit. */
   readonly waitUntilDrainTimeout: Effect.Effect<void>;
-  /** Serves one request as part of what is in flight. */
+  /** Serves one request and tracks its response until it is closed. */
   track(res: ServerResponse, serve: Effect.Effect<void>): Effect.Effect<void>;
+  /** Runs all phases of the drain. */
   readonly run: Effect.Effect<DrainResult>;
 }
 
-/** Names other hosts on an answer of a host that is leaving. */
+/** Response header with the addresses of other hosts, sent while draining. */
 export const OTHER_HOSTS_HEADER = "azurestile-other-hosts";
 
-/** Until the last host has heard that this one leaves, with a margin. */
+/** Time until every host knows that this host leaves, with a margin. */
 export const LEAVE_PROPAGATION_MS = 5_000;
 
-/** Time to tell the waiting callers before the limit. */
+/** Time before the limit for replies to the callers that still wait. */
 const REPLY_MARGIN_MS = 2_000;
 
 const CHECK_PERIOD_MS = 50;
 
-/** A drain waits so long for an effect that outlives its request. */
+/** Time for which a drain waits for an effect that outlives its request. */
 const DETACHED_TIMEOUT_MS = 5_000;
 
-/** Makes the drain of a host that serves. */
+/** Creates the drain of a host, in the phase "serving". */
 export function createDrain(host: DrainHost, options: DrainOptions): Drain {
   const openResponses = new Set<ServerResponse>();
   const drainTimeout = Deferred.makeUnsafe<void>();
@@ -111,7 +114,10 @@
     return phase !== "serving" && phase !== "leaving";
   }
 
-  /** A caller that keeps its connection has to look for another host. */
+  /**
+   * Closes keep-alive connections, so that callers go to another host, and
+   * lists other hosts on refused requests.
+   */
   function setDrainHeaders(res: ServerResponse): void {
     if (res.headersSent || phase === "serving") return;
     res.setHeader("connection", "close");
@@ -153,7 +159,7 @@
     Effect.runFork(waited);
   }
 
-  /** Waits until the time given, or less when nothing is in flight. */
+  /** Waits until nothing is in flight, or until the given time. */
   function waitUntilIdle(untilMs: number): Effect.Effect<void> {
     return Effect.gen(function* () {
       while (
@@ -195,7 +201,7 @@
   };
 }
 
-/** Half of the limit at most, so that streams keep the other half. */
+/** At most half of the limit, so that streams keep the other half to finish. */
 function getLeavingMs(options: DrainOptions): number {
   const neededMs = options.whereTtlMs + LEAVE_PROPAGATION_MS;
   return Math.min(neededMs, options.drainLimitMs / 2);
--- a/src/router/drain_test.ts
+++ b/src/router/drain_test.ts
@@ -1,6 +1,6 @@
 /**
- * Tests of a host's way out: who is served, who is refused, and what is waited
- * for. Time moves by hand.
+ * Tests of a drain: which requests are served or refused, and what the drain
+ * waits for. They use a manual clock.
  *
  * @module
  */
@@ -24,7 +24,7 @@
 const DRAIN_LIMIT_MS = 60_000;
 const LEAVING_MS = WHERE_TTL_MS + LEAVE_PROPAGATION_MS;
 
-/** A response whose last byte leaves when the test says so. */
+/** A response whose connection closes when the test calls `finish`. */
 class FakeResponse extends EventEmitter {
   readonly headers = new Map<string, string>();
   headersSent = false;
@@ -67,7 +67,9 @@
     onPhase: (phase) => phases.push(phase),
   }, { whereTtlMs: WHERE_TTL_MS, drainLimitMs: DRAIN_LIMIT_MS });
 
-  /** Lets all that is ready run; the effects take a few turns. */
+  /**
+   * Runs all pending effects, which take a few iterations of the event loop.
+   */
   async function settle(): Promise<void> {
     for (let turn = 0; turn < 10; turn++) {
       await new Promise((resolve) => setImmediate(resolve));
@@ -96,7 +98,9 @@
   return { res, fiber: Effect.runFork(tracked) };
 }
 
-/** Whether a caller that was told of the host just before is still served. */
+/**
+ * Whether a caller with a `/where` response from before the drain is served.
+ */
 async function isEarlierCallerServed(
   fixture: ReturnType<typeof createFixture>,
 ): Promise<boolean> {
@@ -105,10 +109,10 @@
   return !fixture.drain.isRefusing();
 }
 
-test("a host serves on while callers may still be told of it", async () => {
-  // An operator stops a host. Callers that asked where to go a moment ago keep
-  // that answer for its time to live: refusing them at once would lose work
-  // that another second would have served.
+test("a leaving host serves callers that may have cached its address", async () => {
+  // An operator stops a host. Callers cache an earlier `/where` response for
+  // its time to live; refusing them at once would fail requests that the host
+  // could still serve.
   const fixture = createFixture();
   assert.equal(await isEarlierCallerServed(fixture), true);
   assert.equal(fixture.isAdvertised(), false);
@@ -123,12 +127,12 @@
   ]);
 });
 
-test("without that time a told caller is seen to be refused", async () => {
+test("without the leaving phase a caller with a cached address is refused", async () => {
   const fixture = createFixture({ hasCallers: false });
   assert.equal(await isEarlierCallerServed(fixture), false);
 });
 
-test("a host without a configuration ends at once", async () => {
+test("a host without a configuration drains at once", async () => {
   const { drain, phases, settle } = createFixture({ hasCallers: false });
   const result = await Effect.runPromise(drain.run);
   await settle();
@@ -136,9 +140,9 @@
   assert.equal(result.cut, 0);
 });
 
-test("a slow reader gets its last byte", async () => {
-  // The stream has ended for the router, but its reader is slow and most of the
-  // answer waits in the connection's buffer. An exit now would cut it.
+test("a drain waits until a slow reader has received its response", async () => {
+  // The stream has ended, but most of the response is still in the connection's
+  // buffer, since the caller reads slowly. An exit now would truncate it.
   const { drain, phases, advance } = createFixture();
   const { res, fiber } = serve(drain, Effect.void);
   await Effect.runPromise(Fiber.await(fiber));
@@ -152,9 +156,9 @@
   assert.equal(exit.cut, 0);
 });
 
-test("a kept connection is closed and other hosts are named", async () => {
-  // A caller keeps its connection and would send its next request here: it has
-  // to be told to go, and where.
+test("keep-alive connections are closed and other hosts are listed", async () => {
+  // A caller with a keep-alive connection would send its next request to this
+  // host, unless it is told to close the connection and which hosts to use.
   const { drain, advance, settle } = createFixture();
   const early = serve(drain);
   Effect.runFork(drain.run);
@@ -171,9 +175,9 @@
   );
 });
 
-test("waiting requests end before the limit, the rest at it", async () => {
-  // A request waits for a slot and a stream runs on for longer than the limit.
-  // Both callers must hear their end from this host, not from a broken line.
+test("waiting requests end before the limit, running ones at the limit", async () => {
+  // A request waits for a slot, and a stream runs for longer than the limit.
+  // Both callers must get a final reply instead of a broken connection.
   const { drain, advance } = createFixture();
   let isTimedOut = false;
   const waiting = serve(
--- a/src/router/event_reporter.ts
+++ b/src/router/event_reporter.ts
@@ -1,6 +1,6 @@
 /**
- * Tells what happens at a router: to the log, the time line and the metrics, so
- * that the parts that act know none of the three.
+ * Reports events of a router to the log, the timeline and the metrics, so that
+ * other modules depend on none of the three.
  *
  * @module
  */
@@ -14,14 +14,14 @@
 import type { DrainPhase, DrainResult } from "./drain.ts";
 import type { RouterMetrics } from "./metrics.ts";
 
-/** Where things are told. */
+/** Destinations of the reports. */
 export interface EventReporterHost {
   readonly logger: Logger;
   readonly recorder: Recorder;
   readonly metrics: RouterMetrics;
 }
 
-/** What can be told. */
+/** Reports one event per method. */
 export interface EventReporter {
   started(publicAddress: string, peerAddress: string): void;
   stopped(result: DrainResult): void;
@@ -37,7 +37,7 @@
   requestEnded(request: string, end: RequestEnd): void;
 }
 
-/** Makes the journal of a router. */
+/** Creates the reporter of a router. */
 export function createEventReporter(host: EventReporterHost): EventReporter {
   const { logger, recorder, metrics } = host;
   return {
--- a/src/router/flusher.ts
+++ b/src/router/flusher.ts
@@ -1,29 +1,31 @@
 /**
- * Flushes what is to be sent to other hosts, soon after there is something.
+ * Flushes control messages to other hosts shortly after there are any.
  *
- * Load: an idle or half idle host, which is the usual one. Harm prevented: a
- * timer that fires each 5 ms takes more of a core than all of the control that a
- * host has to do.
+ * Load: a host that is idle most of the time, which is the usual case. Failure
+ * prevented: a timer that fires every 5 ms takes more of a core than all
+ * control work of the host.
  *
  * @module
  */
 
 import type { SlotClient } from "../slots/mod.ts";
 
-/** Flushes on demand. */
+/** Schedules flushes on demand. */
 export interface Flusher extends Disposable {
-  /** Something may have to be sent; what follows soon goes with it. */
+  /** Schedules a flush; later messages within the delay are sent with it. */
   scheduleFlush(): void;
 }
 
-/** What the flusher needs of the process. */
+/** Dependencies of the flusher, supplied by the process. */
 export interface FlusherHost {
   flush(): void;
-  /** While requests wait, more hosts are asked as time goes by. */
+  /**
+   * While requests wait, flushing continues, to ask further owners for slots.
+   */
   hasWaitingRequests(): boolean;
 }
 
-/** Makes a flusher that waits so many ms for more to send together. */
+/** Creates a flusher that waits `delayMs` to batch messages. */
 export function createFlusher(host: FlusherHost, delayMs: number): Flusher {
   let timer: ReturnType<typeof setTimeout> | undefined;
 
@@ -46,7 +48,7 @@
   };
 }
 
-/** The slots, with a kick after each act that may have to be told. */
+/** Wraps the slots to schedule a flush after calls that may queue messages. */
 export function createFlushingSlots(
   slots: SlotClient,
   scheduleFlush: () => void,
--- a/src/router/flusher_test.ts
+++ b/src/router/flusher_test.ts
@@ -1,5 +1,5 @@
 /**
- * Tests of when frames are flushed.
+ * Tests of the flusher.
  *
  * @module
  */
@@ -8,9 +8,9 @@
 import { test } from "node:test";
 import { createFlusher } from "./flusher.ts";
 
-test("kicks that come together flush once, and waiting goes on flushing", (t) => {
-  // A request that waits is asked of more owners as time goes by; if the flush
-  // stopped, it would wait for a slot of the first two while others are free.
+test("calls within the delay flush once; waiting requests keep flushing", (t) => {
+  // A waiting request asks further owners over time. If flushing stopped, it
+  // would wait for a slot of the first two owners while other slots are free.
   t.mock.timers.enable({ apis: ["setTimeout"] });
   let flushes = 0;
   let isWaiting = false;
--- a/src/router/leaving_upstreams.ts
+++ b/src/router/leaving_upstreams.ts
@@ -1,9 +1,10 @@
 /**
- * Which upstreams are leaving: by the platform's list, or by their own word to
- * the host that owns their slots. Either is spread to all hosts as a fact, so
- * that a new owner knows it at once and few hosts need to read the list.
+ * Tracks which upstreams are leaving. There are two sources: the platform's
+ * machine list, and the upstream's own report to the host that owns its slots.
+ * Both are gossiped to all hosts as facts, so that a new owner knows them at
+ * once and few hosts need to read the list.
  *
- * What is known stays known while the list or the upstream gives no answer.
+ * The last known state is kept while the list or the upstream is unavailable.
  *
  * @module
  */
@@ -12,10 +13,10 @@
 import type { Fact } from "../membership/mod.ts";
 import type { ListedMachine } from "../platform/mod.ts";
 
-/** Who said so. */
+/** Source of a state: the platform's list, or the upstream's own report. */
 export type LeavingSource = "list" | "word";
 
-/** What the module needs of the process. */
+/** Dependencies of the module, supplied by the process. */
 export interface LeavingUpstreamsHost {
   readonly clock: Clock;
   spreadFact(fact: Fact): void;
@@ -23,7 +24,7 @@
   onChange(upstream: string, leaving: boolean): void;
 }
 
-/** What this host knows of leaving upstreams. */
+/** The leaving upstreams that this host knows. */
 export interface LeavingUpstreams {
   isLeaving(upstream: string): boolean;
   receiveMachineList(machines: readonly ListedMachine[]): void;
@@ -33,7 +34,7 @@
 
 const LEAVING_KEY_PREFIX = "leaving/";
 
-/** Makes the state; no upstream is leaving. */
+/** Creates a state in which no upstream is leaving. */
 export function createLeavingUpstreams(
   host: LeavingUpstreamsHost,
 ): LeavingUpstreams {
@@ -62,8 +63,8 @@
   ): void {
     if (isReported(source, upstream) === isLeavingNow) return;
     const key = getKey(source, upstream);
-    // Seconds order the words of several hosts; a host whose clock is behind
-    // still gets above what it knows.
+    // Wall-clock seconds order the reports of several hosts. A host whose clock
+    // is behind exceeds the highest version that it knows.
     const seconds = Math.floor(host.clock.wallMs() / 1_000);
     const version = Math.max(seconds, (facts.get(key)?.version ?? 0) + 1);
     const fact = { key, version, value: isLeavingNow ? "1" : "0" };
--- a/src/router/leaving_upstreams_test.ts
+++ b/src/router/leaving_upstreams_test.ts
@@ -1,5 +1,5 @@
 /**
- * Tests of what hosts know of leaving upstreams.
+ * Tests of the distribution of leaving upstreams between hosts.
  *
  * @module
  */
@@ -38,9 +38,10 @@
   };
 }
 
-test("the upstream's word reaches hosts that can't see the list", () => {
-  // An engine says that it leaves; its owner hears it within a second. The
-  // others must know too, or the next owner grants to it again.
+test("an upstream's own report reaches hosts that can't read the list", () => {
+  // An engine reports that it is leaving, and its owner reads this within a
+  // second. Other hosts must know it too, or the next owner would grant its
+  // slots again.
   const owner = createFixture();
   const other = createFixture();
   owner.leaving.receiveReport("engine-1", true);
@@ -49,18 +50,18 @@
   assert.deepEqual(other.changes, ["engine-1 true"]);
 });
 
-test("what is known stays while nobody answers", () => {
-  // The list has an outage right after it named an upstream as leaving, and
-  // comes back without an entry for it.
+test("the last known state is kept while the list has no entry", () => {
+  // The list has an outage right after it listed an upstream as leaving, and
+  // returns without an entry for it.
   const { leaving } = createFixture();
   leaving.receiveMachineList([createListed("leaving")]);
   leaving.receiveMachineList([]);
   assert.equal(leaving.isLeaving("engine-1"), true);
 });
 
-test("an upstream that is back gets work again, whoever said it left", () => {
-  // Host two's clock is a minute behind host one's: its newer word must still
-  // win everywhere.
+test("an upstream that returned is available again at all hosts", () => {
+  // The clock of host two is a minute behind that of host one. Its newer report
+  // must still replace the older one at both hosts.
   const one = createFixture(1_060_000);
   const two = createFixture(1_000_000);
   one.leaving.receiveReport("engine-1", true);
@@ -71,7 +72,7 @@
   assert.equal(two.leaving.isLeaving("engine-1"), false);
 });
 
-test("the list and the upstream's word count each for itself", () => {
+test("the list and the upstream's own report are tracked separately", () => {
   const { leaving } = createFixture();
   leaving.receiveMachineList([createListed("leaving")]);
   leaving.receiveReport("engine-1", false);
@@ -80,9 +81,10 @@
   assert.equal(leaving.isLeaving("engine-1"), false);
 });
 
-test("a silent upstream delays no other's word", async () => {
-  // One engine hangs; another one says that it leaves. Asked one after the
-  // other, the second would be heard only after the first one's deadline.
+test("an unresponsive upstream does not delay the reports of others", async () => {
+  // One engine hangs; another one reports that it is leaving. If they were
+  // polled in sequence, the second would be delayed by the first one's
+  // time-out.
   const upstreams = ["engine-1", "engine-2"].map((id) => ({ id }) as Upstream);
   const said: string[] = [];
   let answer = (_: UpstreamState | undefined) => {};
@@ -113,15 +115,16 @@
 const STATE_POLL_MS = 1_000;
 
 /**
- * Grants a slot each half second for ten seconds, while the upstream says after
- * one second that it leaves; the owner asks it each second.
+ * Requests a slot every half second for ten seconds. The upstream is leaving
+ * after one second, and the owner reads this in its next poll; `usesReport`
+ * tells whether the owner acts on it.
  */
-function simulateLeaving(isReported: boolean): readonly Observation[] {
+function simulateLeaving(usesReport: boolean): readonly Observation[] {
   const { clock, leaving } = createFixture();
   const history: Observation[] = [];
   const startMs = clock.monotonicMs();
   const getAtMs = () => clock.monotonicMs() - startMs;
-  const isLimited = () => isReported && leaving.isLeaving("engine-1");
+  const isLimited = () => usesReport && leaving.isLeaving("engine-1");
   const { owner, grants } = createOwnerFixture(() => isLimited() ? 0 : 4);
   for (let turn = 0; turn < 20; turn++) {
     clock.advance(PERIOD_MS);
@@ -160,13 +163,13 @@
   return history;
 }
 
-test("an owner grants nothing at an upstream that leaves", () => {
+test("an owner grants no slots of a leaving upstream", () => {
   const history = simulateLeaving(true);
   assert.ok(history.some((each) => each.kind === "upstream-ran"));
   assert.deepEqual(checkHistory(history, statedLimits), []);
 });
 
-test("without hearing that it leaves the checker reports the new work", () => {
+test("without the upstream's report the checker finds requests sent to it", () => {
   const broken = checkHistory(simulateLeaving(false), statedLimits);
   const promises = new Set(broken.map((each) => each.promise));
   assert.deepEqual([...promises], ["leaving-upstream-gets-nothing"]);
--- a/src/router/metrics.ts
+++ b/src/router/metrics.ts
@@ -1,9 +1,11 @@
 /**
- * The metrics of one router. Each has its unit in its name and a help text.
+ * Prometheus metrics of one router. Each metric has its unit in its name and a
+ * help text.
  *
- * Series per host at the goal size (290 teams, 11 models): no metric has both
- * team and outcome, or team and upstream, as labels; the one with service and
- * team grows only with the pairs that this host has served.
+ * The number of series per host is bounded for the target size of 290 teams and
+ * 11 models: no metric has both team and outcome, or both team and upstream, as
+ * labels. The metric with service and team as labels grows only with the pairs
+ * that this host has served.
  *
  * @module
  */
@@ -22,7 +24,7 @@
 import type { Deployment } from "../types.ts";
 import type { OwnedUpstream } from "../fleet/mod.ts";
 
-/** What the metrics read at each scrape. */
+/** State that the metrics read at each scrape. */
 export interface MetricsHost {
   getDeployment(): Deployment | undefined;
   getConfigVersion(): number;
@@ -31,14 +33,14 @@
   getQueued(service: string): ReadonlyMap<string, number>;
   /** Arrival of the oldest waiting request, in monotonic milliseconds. */
   tryGetOldestMs(service: string): number | undefined;
-  /** Service of the team divided by its weight, as this host knows it. */
+  /** Service that the team received, divided by its weight. */
   getCounter(service: string, team: string): number;
   getMembers(): readonly Member[];
   isReady(): boolean;
   nowMs(): number;
 }
 
-/** Service that a team has had from one service by requests of this host. */
+/** Cost and number of a team's requests to one service through this host. */
 export interface ServedTeam {
   readonly service: string;
   readonly team: string;
@@ -47,7 +49,7 @@
   readonly cost: number;
 }
 
-/** Takes in what happens and renders it for a scrape. */
+/** Collects metrics and renders them for a scrape. */
 export interface RouterMetrics {
   observeEnd(end: RequestEnd): void;
   observeEvent(event: TimelineEvent): void;
@@ -67,7 +69,7 @@
 
 type Registers = [Registry];
 
-/** Makes the metrics with a registry of their own. */
+/** Creates the metrics, with their own registry. */
 export function createRouterMetrics(host: MetricsHost): RouterMetrics {
   const registry = new Registry();
   const registers: Registers = [registry];
@@ -305,7 +307,9 @@
   });
 }
 
-/** Spread of the counters of the teams that wait here; 0 for fewer than two. */
+/**
+ * Largest difference between counters of waiting teams; 0 for fewer than two.
+ */
 function getFairnessGap(host: MetricsHost, service: string): number {
   const teams = [...host.getQueued(service).keys()];
   if (teams.length < 2) return 0;
--- a/src/router/metrics_test.ts
+++ b/src/router/metrics_test.ts
@@ -48,7 +48,7 @@
   return text.split("\n").filter((line) => line.startsWith("azurestile_"));
 }
 
-test("state is read at the scrape; the gap is that of waiting teams", async () => {
+test("gauges are read at the scrape; only waiting teams count for the gap", async () => {
   const metrics = createRouterMetrics(createHost(createDeployment(3, 2)));
   metrics.addControlBytes("grant", 10, { crossesRegion: false });
   metrics.addControlBytes("grant", 5, { crossesRegion: true });
@@ -66,7 +66,7 @@
   ) ok(samples.includes(expected), expected);
 });
 
-test("every metric has a help text, and its unit is in its name", async () => {
+test("every metric has a help text, and its unit in its name", async () => {
   const metrics = createRouterMetrics(createHost(createDeployment(3, 2)));
   const text = await metrics.render();
   const types = [...text.matchAll(/^# TYPE (azurestile_\S+) (\S+)$/gm)];
@@ -79,11 +79,11 @@
 });
 
 /**
- * At the goal size each host may see every team and every model. Were team,
- * outcome and upstream labels of one metric, a scrape of 390 hosts would carry
- * millions of series, and the operators' store of metrics would fall over.
+ * At the target size each host may serve every team and every model. If team,
+ * outcome and upstream were labels of one metric, a scrape of 390 hosts would
+ * have millions of series and overload the operators' metrics database.
  */
-test("290 teams and 11 models stay below 5000 series a host", async () => {
+test("290 teams and 11 models result in fewer than 5000 series per host", async () => {
   const deployment = createDeployment(290, 11);
   const metrics = createRouterMetrics(createHost(deployment));
   for (const team of deployment.teams) {
--- a/src/router/observed_platform.ts
+++ b/src/router/observed_platform.ts
@@ -1,7 +1,7 @@
 /**
- * A platform that tells of each call that failed, whichever part of the router
- * made it: an operator sees that the platform is down even while nothing but
- * claims is asked of it.
+ * Wraps the platform to report every failed call, whichever module made it.
+ * Operators can see that the platform is unavailable even while the only calls
+ * to it are those of claims.
  *
  * @module
  */
@@ -9,7 +9,7 @@
 import * as Effect from "effect/Effect";
 import type { Platform, PlatformError } from "../platform/mod.ts";
 
-/** The same platform; `onFailed` is called once for each failed call. */
+/** Wraps the platform; `onFailed` is called once per failed call. */
 export function createObservedPlatform(
   platform: Platform,
   onFailed: (err: PlatformError) => void,
--- a/src/router/observed_upstreams.ts
+++ b/src/router/observed_upstreams.ts
@@ -1,7 +1,7 @@
 /**
- * Calls to upstreams whose payload is counted when it crosses the link between
- * regions, which is paid by volume. Counted are the bytes of bodies and events,
- * without headers and packets.
+ * Wraps the upstream client to count the payload that crosses the link between
+ * regions, which is paid by volume. Bytes of bodies and events are counted,
+ * without headers and packet overhead.
  *
  * @module
  */
@@ -10,17 +10,17 @@
 import * as Effect from "effect/Effect";
 import type { AnswerStream, UpstreamClient } from "../upstreams/mod.ts";
 
-/** Which way the bytes went, as seen from this host. */
+/** Direction of the bytes, as seen from this host. */
 export type PayloadDirection = "to-upstream" | "from-upstream";
 
-/** What the count needs of the process. */
+/** Dependencies of the wrapper, supplied by the process. */
 export interface ObservedUpstreamsHost {
-  /** Whether the upstream at the address stands in another region. */
+  /** Whether the upstream at the address is in another region. */
   crossesRegion(address: string): boolean;
   onRegionalBytes(direction: PayloadDirection, bytes: number): void;
 }
 
-/** The same calls, with their regional payload counted. */
+/** Wraps the client to count cross-region payload. */
 export function createObservedUpstreams(
   client: UpstreamClient,
   host: ObservedUpstreamsHost,
--- a/src/router/observed_upstreams_test.ts
+++ b/src/router/observed_upstreams_test.ts
@@ -35,7 +35,7 @@
   while (await Effect.runPromise(stream.next) !== undefined);
 }
 
-test("what crosses the regions is counted in bytes, both ways", async () => {
+test("cross-region payload is counted in bytes in both directions", async () => {
   const { observed, bytes } = createFixture();
   const common = { stream: "s", body: "xyz", remainingMs: 1 };
   const call = {
--- a/src/router/operator_handlers.ts
+++ b/src/router/operator_handlers.ts
@@ -1,6 +1,6 @@
 /**
- * The operators' endpoints: one command (apply a configuration) and the queries
- * behind the operators' programs.
+ * Endpoints for operators: one command, which applies a configuration, and the
+ * queries of the operators' programs.
  *
  * @module
  */
@@ -45,7 +45,7 @@
 } from "./operator_types.ts";
 import type { OperatorHandler } from "./public_server.ts";
 
-/** What the endpoints read and act on. */
+/** Dependencies of the endpoints, supplied by the process. */
 export interface OperatorHost {
   readonly clock: Clock;
   readonly hybridClock: HybridClock;
@@ -55,12 +55,14 @@
   readonly recorder: RingRecorder;
   readonly operators: RouterSettings["operators"];
   getCurrent(): ConfigVersion | undefined;
-  /** Puts a version that was accepted here in force without delay. */
+  /** Puts a version that this host accepted in force without delay. */
   onAccepted(copy: ConfigCopy): void;
   isDraining(): boolean;
   isUpstreamLeaving(upstream: string): boolean;
   tryGetNotReadyReason(): string | undefined;
-  /** Service that this host's requests have had since its start. */
+  /**
+   * Cost and number of requests by service and team since this host started.
+   */
   getServed(): readonly ServedTeam[];
 }
 
@@ -69,7 +71,7 @@
 const DEFAULT_HISTORY_LIMIT = 100;
 const ATTEMPT_ID = /^[0-9a-f-]{36}$/;
 
-/** Makes the handlers by method and path. */
+/** Creates the handlers, keyed by method and path. */
 export function createOperatorHandlers(
   host: OperatorHost,
 ): Readonly<Record<string, OperatorHandler>> {
@@ -130,7 +132,7 @@
   return Number(url.searchParams.get("limit") ?? DEFAULT_HISTORY_LIMIT);
 }
 
-/** The version asked for, or the newest that was accepted. */
+/** Returns the requested version, or the newest accepted one by default. */
 function getConfig(
   host: OperatorHost,
   url: URL,
@@ -163,7 +165,7 @@
 ): Promise<OperatorResponse> {
   const parsed = tryParseApplyBody(body);
   if (parsed === undefined) {
-    return fail(400, "badOperatorBody", ["files and base version are needed"]);
+    return fail(400, "badOperatorBody", ["files and baseVersion are required"]);
   }
   const { files, baseVersion, attempt } = parsed;
   try {
--- a/src/router/operator_key.ts
+++ b/src/router/operator_key.ts
@@ -1,13 +1,13 @@
 /**
- * Who an operator's key belongs to. Keys are known by their digests alone and
- * compared in constant time.
+ * Authenticates operators by their keys. Only digests of keys are stored; they
+ * are compared in constant time.
  *
  * @module
  */
 
 import { getDigest, isEqualInConstantTime } from "../core/mod.ts";
 
-/** Holders of keys, by their digests. */
+/** Operators and teams with the digests of their keys. */
 export interface KeyHolders {
   readonly operators: readonly {
     readonly name: string;
@@ -19,10 +19,11 @@
 const SCHEME = "Bearer ";
 
 /**
- * The operator whose key the header carries. Failure: the files of a team name
- * an operator's digest, accepted by a host that does not have this operator in
- * its settings; every caller of the team could then apply configurations. A key
- * that is a team's is therefore never an operator's.
+ * Returns the name of the operator whose key is in the header. A key that
+ * belongs to a team is never accepted as an operator's. Failure prevented: the
+ * configuration lists an operator's digest as the key of a team, and a host
+ * whose settings do not contain this operator accepts that configuration; every
+ * caller of the team could then apply configurations.
  */
 export function tryGetOperator(
   authorization: string | undefined,
--- a/src/router/operator_key_test.ts
+++ b/src/router/operator_key_test.ts
@@ -13,7 +13,7 @@
   };
 }
 
-test("an operator is known by the key, and nobody else is one", () => {
+test("only the key of an operator identifies an operator", () => {
   const holders = createHolders("key of a team");
   deepStrictEqual(tryGetOperator("Bearer key of bisi", holders), "bisi");
   for (
@@ -29,10 +29,10 @@
 });
 
 /**
- * A team's entry holds the digest of an operator's key: pasted by mistake, or
- * by someone who wants the team's callers to apply configurations.
+ * The configuration lists the digest of an operator's key for a team, by
+ * mistake or to let the team's callers apply configurations.
  */
-test("a key that is a team's opens no operators' endpoint", () => {
+test("the key of a team gives no access to operators' endpoints", () => {
   const holders = createHolders("key of ada");
   deepStrictEqual(tryGetOperator("Bearer key of ada", holders), undefined);
   deepStrictEqual(tryGetOperator("Bearer key of bisi", holders), "bisi");
--- a/src/router/operator_types.ts
+++ b/src/router/operator_types.ts
@@ -1,6 +1,6 @@
 /**
- * What the operators' endpoints take and answer. The operators' programs read
- * these, so that both sides mean the same.
+ * Request and response bodies of the operators' endpoints, shared with the
+ * operators' programs.
  *
  * @module
  */
@@ -11,7 +11,7 @@
 import type { OwnedUpstream } from "../fleet/mod.ts";
 import type { ServedTeam } from "./metrics.ts";
 
-/** Requests of a team that wait at this host. */
+/** Number of a team's requests that wait at this host. */
 export interface QueueStatus {
   readonly service: string;
   readonly team: string;
@@ -24,11 +24,11 @@
   readonly service: string;
   readonly dataCentre: string;
   readonly leaving: boolean;
-  /** Host that this host takes for the owner of the slots. */
+  /** Owner of the upstream's slots according to this host. */
   readonly owner: string | undefined;
 }
 
-/** Answer of `GET /ops/status`. */
+/** Response of `GET /ops/status`. */
 export interface HostStatus {
   readonly host: string;
   readonly dataCentre: string;
@@ -45,21 +45,21 @@
   readonly served: readonly ServedTeam[];
 }
 
-/** Answer of `GET /ops/timeline`. */
+/** Response of `GET /ops/timeline`. */
 export interface TimelineAnswer {
   readonly events: readonly TimelineEvent[];
-  /** No event of this host with a stamp up to this one is still to come. */
+  /** All events of this host with a stamp up to this one have been recorded. */
   readonly until: number;
-  /** Stamp of the newest event that the host has lost; 0 for none. */
+  /** Stamp of the newest event that the host discarded; 0 for none. */
   readonly lost: number;
 }
 
-/** Answer of `GET /ops/history`. */
+/** Response of `GET /ops/history`. */
 export interface HistoryAnswer {
   readonly versions: readonly VersionRow[];
 }
 
-/** Answer of `GET /ops/config`: a version and its files. */
+/** Response of `GET /ops/config`: a version and its files. */
 export interface ConfigAnswer {
   /** `undefined` while the record is empty. */
   readonly row?: VersionRow | undefined;
@@ -70,6 +70,6 @@
 export interface ApplyBody {
   readonly files: FileSet;
   readonly baseVersion: number;
-  /** Same for a resend of the same attempt; made here when absent. */
+  /** Id of the attempt, equal for its retries; generated here if absent. */
   readonly attempt?: string | undefined;
 }
--- a/src/router/periodic.ts
+++ b/src/router/periodic.ts
@@ -1,6 +1,5 @@
 /**
- * The periodic tasks of a router, one fiber each, and how often each takes its
- * turn.
+ * The periodic tasks of a router, one fiber each, and their periods.
  *
  * @module
  */
@@ -18,25 +17,25 @@
 import type { TaskMonitor } from "./task_monitor.ts";
 import { runPeriodically } from "./tasks.ts";
 
-/** A version that was heard of and not fetched is tried again this often. */
+/** Period of retries to fetch a version that peers announced. */
 const CONFIG_RETRY_PERIOD_MS = 500;
 
-/** One probe of one host each time. */
+/** Period of probes; each probes one host. */
 const MEMBERSHIP_PERIOD_MS = 500;
 
-/** What no request and no frame has caused goes out this often. */
+/** Period of flushes for messages that no request and no frame caused. */
 const IDLE_FLUSH_PERIOD_MS = 100;
 
-/** The last period at which the exchange does not set the fairness gap. */
+/** Longest period that does not increase the fairness gap. */
 const COUNTER_EXCHANGE_PERIOD_MS = 500;
 
-/** A request that can't be served in time leaves so soon. */
+/** Period of removing queued requests that cannot be served in time. */
 const BACKLOG_SWEEP_PERIOD_MS = 200;
 
 const QUARANTINE_POLL_PERIOD_MS = 30_000;
 const CLAIM_SWEEP_PERIOD_MS = 60_000;
 
-/** The parts that have periodic work. */
+/** Modules and effects that are run periodically. */
 export interface PeriodicTaskParts {
   readonly configuration: Configuration;
   readonly membership: Membership;
@@ -47,11 +46,11 @@
   readonly taskMonitor: TaskMonitor;
   readonly reconcileUpstreams: Effect.Effect<void>;
   readonly pollMachines: Effect.Effect<void, PlatformError>;
-  /** Tells a failure of the platform; the next turn tries again. */
+  /** Reports a failure of the platform, which the next run retries. */
   reportFailure<A>(call: Effect.Effect<A, PlatformError>): Effect.Effect<void>;
 }
 
-/** Starts the tasks; disposing ends them. */
+/** Starts the tasks; disposing of the result ends them. */
 export function startPeriodicTasks(parts: PeriodicTaskParts): AsyncDisposable {
   const {
     configuration,
--- a/src/router/public_server.ts
+++ b/src/router/public_server.ts
@@ -1,5 +1,5 @@
 /**
- * The HTTP server for callers and operators: which path goes where.
+ * HTTP server for callers and operators, with the routes of all paths.
  *
  * @module
  */
@@ -16,7 +16,7 @@
 import type { Deployment } from "../types.ts";
 import { tryGetOperator } from "./operator_key.ts";
 
-/** An operators' endpoint: gives the value to send as JSON. */
+/** Handler of an operators' endpoint; returns the value to send as JSON. */
 export type OperatorHandler = (
   input: {
     readonly operator: string;
@@ -25,7 +25,7 @@
   },
 ) => Promise<{ readonly status: number; readonly value: unknown }>;
 
-/** What the server needs of the process. */
+/** Dependencies of the server, supplied by the process. */
 export interface PublicServerHost {
   readonly settings: RouterSettings;
   getDeployment(): Deployment | undefined;
@@ -36,21 +36,21 @@
   /** Why the host is not healthy; `undefined` when it is. */
   tryGetUnhealthyReason(): string | undefined;
   getMetrics(): Promise<string>;
-  /** By method and path, as "GET /ops/status". */
+  /** Handlers keyed by method and path, such as "GET /ops/status". */
   readonly operatorHandlers: Readonly<Record<string, OperatorHandler>>;
 }
 
 const CLOSE_TIMEOUT_MS = 1_000;
 const MAX_OPERATOR_BODY_BYTES = 4 * 1024 * 1024;
 
-/** Listens on the public address; rejects when it is taken. */
+/** Listens on the public address; rejects if it is already in use. */
 export async function listenForCallers(
   host: PublicServerHost,
 ): Promise<Server & AsyncDisposable> {
   const server = createServer((req, res) => {
     Effect.runFork(route(host, req, res));
   });
-  // Callers keep connections; the server's own idle limit would cut them.
+  // Callers keep connections alive; the default idle time-out would close them.
   server.keepAliveTimeout = 65_000;
   const [address, port] = host.settings.publicAddress.split(":");
   await new Promise<void>((resolve, reject) => {
@@ -59,7 +59,7 @@
   });
   return Object.assign(server, {
     async [Symbol.asyncDispose]() {
-      // Answers that end now get their time to leave this host's buffers.
+      // Responses that have just ended get time to leave this host's buffers.
       const closed = new Promise((resolve) => server.close(resolve));
       const closeTimer = setTimeout(
         () => server.closeAllConnections(),
@@ -142,13 +142,13 @@
   for await (const chunk of req) {
     text += chunk;
     if (text.length > MAX_OPERATOR_BODY_BYTES) {
-      throw new RangeError("The body is too large");
+      throw new RangeError(`Body exceeds ${MAX_OPERATOR_BODY_BYTES} bytes`);
     }
   }
   return text;
 }
 
-/** Sends a value as a whole JSON answer. */
+/** Sends a value as a complete JSON response. */
 export function sendJson(
   res: ServerResponse,
   status: number,
--- a/src/router/regions.ts
+++ b/src/router/regions.ts
@@ -1,5 +1,5 @@
 /**
- * What lies across the link between regions, seen from this host.
+ * Tells which hosts and upstreams are in another region than this host.
  *
  * @module
  */
@@ -8,22 +8,22 @@
 import { getRegion } from "../placement/mod.ts";
 import type { Deployment } from "../types.ts";
 
-/** What the view needs of the process. */
+/** Dependencies of the region checks, supplied by the process. */
 export interface RegionsHost {
   readonly dataCentre: string;
   getDeployment(): Deployment | undefined;
   getMembers(): readonly Member[];
 }
 
-/** Tells what is in another region; false while that is not known. */
+/** Checks for another region; false while the location is unknown. */
 export interface Regions {
   isHostInOtherRegion(host: string): boolean;
-  /** By the address that hosts use among themselves. */
+  /** Identifies the host by its peer address. */
   isPeerInOtherRegion(peerAddress: string): boolean;
   isUpstreamInOtherRegion(address: string): boolean;
 }
 
-/** Makes the view of a host. */
+/** Creates the region checks of a host. */
 export function createRegions(host: RegionsHost): Regions {
   function isInOtherRegion(dataCentre: string | undefined): boolean {
     const deployment = host.getDeployment();
--- a/src/router/router.ts
+++ b/src/router/router.ts
@@ -1,6 +1,6 @@
 /**
- * One router process: makes the parts, joins them and runs their tasks.
- * Disposing of a router ends its tasks and closes its sockets.
+ * One router process: creates its modules, connects them and runs their
+ * periodic tasks. Disposing of a router ends its tasks and closes its sockets.
  *
  * @module
  */
@@ -44,7 +44,7 @@
 import { createUpstreamReconciliation } from "./upstream_watch.ts";
 import { getAdvertisedHosts, serveWhere } from "./serve_where.ts";
 
-/** What a router needs of the world. */
+/** Dependencies of a router, supplied by its program. */
 export interface RouterHost {
   readonly clock: Clock;
   readonly platform: Platform;
@@ -53,9 +53,9 @@
 
 /** A running router. */
 export interface Router extends AsyncDisposable {
-  /** Takes no new work, ends what it has, within the limit of the settings. */
+  /** Refuses new requests and completes the others, up to the drain limit. */
   drain(): Promise<DrainResult>;
-  /** Answers that are not whole yet. */
+  /** Returns the number of incomplete responses. */
   countInFlight(): number;
 }
 
@@ -63,7 +63,7 @@
 
 const TIMELINE_CAPACITY = 20_000;
 
-/** Starts a router; rejects when an address is taken. */
+/** Starts a router; rejects if an address is already in use. */
 export async function startRouter(
   settings: RouterSettings,
   host: RouterHost,
@@ -287,7 +287,7 @@
     return undefined;
   }
 
-  /** The next turn tries again; a failure only shows. */
+  /** Reports a failure of the platform; the next run of the task retries. */
   function reportFailure<A>(
     call: Effect.Effect<A, PlatformError>,
   ): Effect.Effect<void> {
@@ -351,7 +351,7 @@
   };
 }
 
-/** Makes a router over the machine's own clock. */
+/** Starts a router with the system clock. */
 export function startRouterOnMachine(
   settings: RouterSettings,
   host: Omit<RouterHost, "clock">,
--- a/src/router/seeds.ts
+++ b/src/router/seeds.ts
@@ -1,6 +1,7 @@
 /**
- * The platform's list as a seed of the membership: it lags, so a host that it
- * names is asked before it counts as a member.
+ * Seeds the membership with hosts of the settings or of the platform's machine
+ * list. The list may be out of date, so a listed host counts as a member only
+ * after it responded to a probe.
  *
  * @module
  */
@@ -8,10 +9,10 @@
 import type { Membership } from "../membership/mod.ts";
 import type { ListedMachine } from "../platform/mod.ts";
 
-/** A host as the settings or the platform's list name it. */
+/** A host of the settings or of the platform's list. */
 export type SeedHost = Pick<ListedMachine, "id" | "dataCentre" | "address">;
 
-/** Takes the live routers of the list in. */
+/** Replaces the seeds by the live routers of the machine list. */
 export function setSeedsFromList(
   membership: Membership,
   machines: readonly ListedMachine[],
@@ -22,7 +23,9 @@
   setSeeds(membership, live);
 }
 
-/** Replaces the hosts that are asked when they are not known. */
+/**
+ * Replaces the seeds: hosts to probe although they are not known as members.
+ */
 export function setSeeds(
   membership: Membership,
   seeds: readonly SeedHost[],
--- a/src/router/serve_where.ts
+++ b/src/router/serve_where.ts
@@ -1,7 +1,7 @@
 /**
- * Answers "which host should I use": addresses with a time to live, for a team
- * known by its key. Hosts of the asked host's own data centre come first; a
- * host that is leaving is not named.
+ * Serves `/where`, which tells callers what hosts they may use: a list of
+ * addresses with a time to live, for a team authenticated by its key. Hosts of
+ * this host's data centre come first; hosts that are leaving are not listed.
  *
  * @module
  */
@@ -14,27 +14,27 @@
 import type { Deployment } from "../types.ts";
 import { sendJson } from "./public_server.ts";
 
-/** What the answer is made from. */
+/** Dependencies of the endpoint, supplied by the process. */
 export interface WhereHost {
   readonly membership: Membership;
   readonly ttlMs: number;
   getDeployment(): Deployment | undefined;
 }
 
-/** A host as callers are told of it. */
+/** A host as listed in a `/where` response. */
 export interface AdvertisedHost {
   readonly host: string;
   readonly address: string;
   readonly dataCentre: string;
 }
 
-/** Hosts for new work, those of this host's own data centre first. */
+/** Returns hosts for new requests, those of this host's data centre first. */
 export function getAdvertisedHosts(
   membership: Membership,
 ): readonly AdvertisedHost[] {
   const own = membership.getSelf().dataCentre;
   return membership.getUsable()
-    // A host known from the platform's list alone has no public address yet.
+    // A host that is known only as a seed has no public address yet.
     .filter((member) => member.state === "alive" && member.publicAddress !== "")
     .sort((a, b) => Number(b.dataCentre === own) - Number(a.dataCentre === own))
     .map((member) => ({
@@ -44,7 +44,7 @@
     }));
 }
 
-/** Serves one question; never fails. */
+/** Serves one request; never fails. */
 export function serveWhere(
   host: WhereHost,
   req: IncomingMessage,
--- a/src/router/serving.ts
+++ b/src/router/serving.ts
@@ -1,5 +1,5 @@
 /**
- * The parts that the life of a request needs, joined for one router.
+ * Creates and connects the modules that serve requests at one router.
  *
  * @module
  */
@@ -32,10 +32,10 @@
 import { createObservedUpstreams } from "./observed_upstreams.ts";
 import type { Regions } from "./regions.ts";
 
-/** By then a host that has just started knows all others. */
+/** Time after which a host that has just started knows all other hosts. */
 const MEMBERSHIP_SETTLE_MS = 30_000;
 
-/** What serving is joined from. */
+/** Modules and settings from which serving is created. */
 export interface ServingParts {
   readonly settings: RouterSettings;
   readonly incarnation: number;
@@ -48,13 +48,13 @@
   readonly membership: Membership;
   readonly fleet: Fleet;
   readonly drain: Drain;
-  /** The fleet's slots, flushed after each act. */
+  /** The fleet's slots, wrapped to schedule flushes. */
   readonly slots: SlotClient;
   getDeployment(): Deployment | undefined;
   isAnyHostUnreachable(): boolean;
 }
 
-/** What serving is made of. */
+/** Modules that serve requests. */
 export interface Serving {
   readonly host: ServeHost;
   readonly backlog: Backlog;
@@ -62,7 +62,7 @@
   readonly claims: Claims;
 }
 
-/** Joins the parts. */
+/** Creates the modules that serve requests. */
 export function createServing(parts: ServingParts): Serving {
   const { settings, incarnation, clock, platform, membership, drain } = parts;
   const { fleet, regions, metrics, reporter, getDeployment } = parts;
--- a/src/router/task_monitor.ts
+++ b/src/router/task_monitor.ts
@@ -1,9 +1,10 @@
 /**
- * Watches the router's periodic tasks. Failure: a defect ends a task's fiber and
- * nothing else; the host answers and looks alive, yet sends no heartbeats or
- * takes no configurations any more. It shows only as a host that slowly goes
- * wrong. Here a turn that fails is logged and the next one comes all the same,
- * and a task whose turns stop makes `/healthz` say so.
+ * Monitors the router's periodic tasks. Failure prevented: an exception ends
+ * the fiber of one task and nothing else. The host still serves requests and
+ * looks healthy, but sends no more heartbeats or receives no more
+ * configurations, which shows only as a slow degradation. The monitor logs a
+ * failed run and lets the next one proceed, and `/healthz` reports a task whose
+ * runs have stopped.
  *
  * @module
  */
@@ -12,29 +13,30 @@
 import * as Effect from "effect/Effect";
 import type { Clock } from "../core/mod.ts";
 
-/** What the watch needs of the process. */
+/** Dependencies of the monitor, supplied by the process. */
 export interface TaskMonitorHost {
   readonly clock: Clock;
-  /** Tells the log of a turn that failed. */
+  /** Logs a failed run. */
   onFailed(task: string, reason: string): void;
 }
 
-/** Watches tasks by name. */
+/** Monitors tasks by name. */
 export interface TaskMonitor {
-  /** One turn of the task, which never fails. */
+  /** Wraps one run of the task; the returned effect never fails. */
   monitor(task: string, run: Effect.Effect<void>): Effect.Effect<void>;
   /** Why the host is not healthy; `undefined` when it is. */
   tryGetStuckReason(): string | undefined;
 }
 
 /**
- * No task pauses longer than a minute (the sweep of claims), and a call to the
- * platform ends after two seconds. A task without a turn for so long will have
- * none.
+ * Time without a completed run after which a task counts as stuck, in ms. The
+ * longest period of a task is one minute (the sweep of claims), and a call to
+ * the platform times out after two seconds, so a task that exceeds this time
+ * does not recover.
  */
 export const STUCK_TIMEOUT_MS = 180_000;
 
-/** Makes a watch without tasks. */
+/** Creates a monitor without tasks. */
 export function createTaskMonitor(host: TaskMonitorHost): TaskMonitor {
   const lastRunMs = new Map<string, number>();
 
@@ -57,7 +59,7 @@
       for (const [task, runMs] of lastRunMs) {
         const seconds = Math.round((nowMs - runMs) / 1000);
         if (nowMs - runMs < STUCK_TIMEOUT_MS) continue;
-        return `The task "${task}" had no turn for ${seconds} s`;
+        return `The task "${task}" completed no run for ${seconds} s`;
       }
       return undefined;
     },
--- a/src/router/task_monitor_test.ts
+++ b/src/router/task_monitor_test.ts
@@ -5,11 +5,11 @@
 import { createTaskMonitor, STUCK_TIMEOUT_MS } from "./task_monitor.ts";
 
 /**
- * A datagram of another version makes the heartbeat's code throw once. The host
- * goes on answering callers, but the others take it for dead and it never comes
- * back, since the task's fiber has ended.
+ * Guards against a datagram of another version that makes the heartbeat throw
+ * once and so ends its fiber. The host would still serve callers, but other
+ * hosts would consider it dead from then on.
  */
-test("a turn that throws is told, and the task goes on", async () => {
+test("a run that throws is reported, and the task continues", async () => {
   const clock = createManualClock();
   const failures: string[] = [];
   const monitor = createTaskMonitor({
@@ -31,7 +31,7 @@
   match(failures[0]!, /^heartbeat: .*Unknown state/s);
 });
 
-test("a task without runs makes the host unhealthy, and says which", async () => {
+test("a task without completed runs is named as the reason for bad health", async () => {
   const clock = createManualClock();
   const monitor = createTaskMonitor({ clock, onFailed: () => {} });
   const flush = monitor.monitor("flush", Effect.void);
@@ -42,6 +42,6 @@
   clock.advance(1);
   deepStrictEqual(
     monitor.tryGetStuckReason(),
-    'The task "poll" had no turn for 180 s',
+    'The task "poll" completed no run for 180 s',
   );
 });
--- a/src/router/tasks.ts
+++ b/src/router/tasks.ts
@@ -1,5 +1,5 @@
 /**
- * The router's periodic tasks, each one fiber that works and pauses in turn.
+ * Helpers of the router's periodic tasks, each of which is one fiber.
  *
  * @module
  */
@@ -7,7 +7,7 @@
 import * as Effect from "effect/Effect";
 import type { PlatformError } from "../platform/mod.ts";
 
-/** Runs a task at once and then again after each pause, in milliseconds. */
+/** Runs a task at once and again after each pause, in ms. */
 export function runPeriodically(
   pauseMs: number | (() => number),
   task: Effect.Effect<void>,
@@ -20,7 +20,7 @@
   });
 }
 
-/** A call to the platform whose failure is told and not raised. */
+/** Runs a call to the platform; reports its failure instead of failing. */
 export function reportPlatformFailure<A>(
   call: Effect.Effect<A, PlatformError>,
   onFailure: (reason: string) => void,
--- a/src/router/upstream_watch.ts
+++ b/src/router/upstream_watch.ts
@@ -1,6 +1,7 @@
 /**
- * What this host does for the upstreams that it owns, each second: asks for
- * their state, spreads that they leave, and gives the orders that they need.
+ * Periodic work for the upstreams that this host owns, each second: polls their
+ * states, reports whether they are leaving, and sends the orders that they
+ * need.
  *
  * @module
  */
@@ -20,7 +21,7 @@
 import type { Upstream } from "../types.ts";
 import { pollLoads, tryGetUpstreamState } from "../upstreams/mod.ts";
 
-/** What the watch needs of the process. */
+/** Dependencies of the task, supplied by the process. */
 export interface UpstreamReconciliationHost {
   readonly id: string;
   readonly clock: Clock;
@@ -28,14 +29,14 @@
   readonly recorder: Recorder;
   readonly logger: Logger;
   getOwned(): readonly Upstream[];
-  /** A host that is leaving begins no order: it may not see its end. */
+  /** False on a host that is leaving: it may exit before an order has ended. */
   maySendOrders(): boolean;
   onLeavingReport(upstream: string, leaving: boolean): void;
-  /** Tells a failure of the platform and never fails. */
+  /** Reports a failure of the platform and never fails. */
   reportFailure<A>(call: Effect.Effect<A, PlatformError>): Effect.Effect<void>;
 }
 
-/** Makes the task of one turn; never fails. */
+/** Creates the effect of one run, which never fails. */
 export function createUpstreamReconciliation(
   host: UpstreamReconciliationHost,
 ): Effect.Effect<void> {
