--- a/src/router/leaving_upstreams_test.ts
+++ b/src/router/leaving_upstreams_test.ts
@@ -116,8 +116,8 @@
 
 /**
  * Requests a slot every half second for ten seconds. The upstream is leaving
- * after one second, and the owner reads this in its next poll; `usesReport`
- * tells whether the owner acts on it.
+ * from the first second on, and the owner polls its state every second;
+ * `usesReport` tells whether the owner acts on it.
  */
 function simulateLeaving(usesReport: boolean): readonly Observation[] {
   const { clock, leaving } = createFixture();
--- a/src/router/public_server.ts
+++ b/src/router/public_server.ts
@@ -142,7 +142,7 @@
   for await (const chunk of req) {
     text += chunk;
     if (text.length > MAX_OPERATOR_BODY_BYTES) {
-      throw new RangeError(`Body exceeds ${MAX_OPERATOR_BODY_BYTES} bytes`);
+      throw new RangeError("The request body exceeds 4 MiB");
     }
   }
   return text;
