--- a/src/orders/orders.ts
+++ b/src/orders/orders.ts
@@ -28,7 +28,7 @@
   readonly reservations: Reservations;
   tryGetState(upstream: Upstream): Effect.Effect<UpstreamState | undefined>;
   sendOrder(upstream: Upstream, call: OrderCall): Effect.Effect<OrderResult>;
-  onOrderSent(
+  onOrderResult(
     upstream: string,
     given: { order: string; token: number; result: OrderResult },
   ): void;
@@ -102,7 +102,7 @@
         token: lease.token,
         isLeaseValid: () => lease.getRemainingMs() >= MIN_REMAINING_LEASE_MS,
       });
-      host.onOrderSent(upstream.id, {
+      host.onOrderResult(upstream.id, {
         order: text,
         token: lease.token,
         result,
--- a/src/orders/orders_test.ts
+++ b/src/orders/orders_test.ts
@@ -164,7 +164,7 @@
       }),
       tryGetState: () => Effect.sync(() => createState({ models })),
       sendOrder: (_, call) => Effect.promise(() => send(call)),
-      onOrderSent() {},
+      onOrderResult() {},
     };
     const orders = createOrderReconciler(host);
     const upstream = createUpstream({
--- a/src/router/metrics.ts
+++ b/src/router/metrics.ts
@@ -175,7 +175,7 @@
     }),
     orders: new Counter({
       name: "azurestile_orders_total",
-      help: "Orders that this host sent to upstreams, by result",
+      help: "Orders that this host tried to send to upstreams, by result",
       labelNames: ["result"],
       registers,
     }),
--- a/src/router/upstream_watch.ts
+++ b/src/router/upstream_watch.ts
@@ -55,7 +55,7 @@
     }),
     tryGetState: tryGetUpstreamState,
     sendOrder,
-    onOrderSent(upstream, { order, token, result }) {
+    onOrderResult(upstream, { order, token, result }) {
       host.logger.write("info", "orderGiven", {
         args: [upstream, order, result],
         fields: { upstream },
