--- a/src/router/configuration.ts
+++ b/src/router/configuration.ts
@@ -34,7 +34,7 @@
 /** Configuration watcher of one router, with its peers and its poll period. */
 export interface Configuration extends ConfigWatcher {
   /** Handles a version that a peer announced in a datagram. */
-  receiveClaim(claim: VersionClaim, peer: string): void;
+  receiveAnnouncement(announced: VersionClaim, peer: string): void;
   /** Returns the encoded copy for a peer that requests the digest. */
   tryEncode(digest: string): Uint8Array | undefined;
   /** Milliseconds until this host polls the platform again. */
@@ -43,7 +43,7 @@
 
 /** Creates the configuration of one router; no version is in force. */
 export function createConfiguration(host: ConfigurationHost): Configuration {
-  let lastClaimMs = -Infinity;
+  let lastAnnouncementMs = -Infinity;
   let encoded: { digest: string; bytes: Uint8Array } | undefined;
 
   const watcher = createConfigWatcher({
@@ -57,12 +57,12 @@
     onRefused: host.onRefused,
   });
 
-  function tryFetch(peer: string, asked: VersionClaim) {
+  function tryFetch(peer: string, announced: VersionClaim) {
     const member = host.getMembership().getMembers().find((each) =>
       each.host === peer
     );
     if (member === undefined) return Effect.succeed(undefined);
-    const { digest } = asked;
+    const { digest } = announced;
     return Effect.promise(() =>
       tryFetchConfiguration(member.peerAddress, {
         digest,
@@ -70,7 +70,7 @@
       })
     ).pipe(
       Effect.map((fetched) => {
-        const copy = fetched && tryDecodeCopy(fetched.content, asked);
+        const copy = fetched && tryDecodeCopy(fetched.content, announced);
         return copy && { copy, knownHosts: fetched!.knownHosts };
       }),
     );
@@ -92,24 +92,24 @@
   }
 
   /** True for the one host of each data centre that polls the store often. */
-  function isSelectedReader(): boolean {
+  function isDesignatedPoller(): boolean {
     const membership = host.getMembership();
     const self = membership.getSelf();
     const sameDataCentre = membership.getUsable().filter((each) =>
       each.dataCentre === self.dataCentre
     );
-    const selected = tryGetOwner(
+    const designated = tryGetOwner(
       "poll",
       sameDataCentre.map((each) => each.host),
     );
-    return selected === self.host;
+    return designated === self.host;
   }
 
   return {
     ...watcher,
-    receiveClaim(claim, peer) {
-      lastClaimMs = host.clock.monotonicMs();
-      watcher.learn(claim, peer);
+    receiveAnnouncement(announced, peer) {
+      lastAnnouncementMs = host.clock.monotonicMs();
+      watcher.learn(announced, peer);
       if (watcher.isBehind()) Effect.runFork(watcher.catchUp());
     },
     tryEncode(digest) {
@@ -123,8 +123,8 @@
     getPollMs: () =>
       getPollMs({
         hasVersion: watcher.getCurrent() !== undefined,
-        isPicked: isSelectedReader(),
-        sinceHeardMs: host.clock.monotonicMs() - lastClaimMs,
+        isPicked: isDesignatedPoller(),
+        sinceHeardMs: host.clock.monotonicMs() - lastAnnouncementMs,
         random: Math.random(),
       }),
   };
--- a/src/router/periodic.ts
+++ b/src/router/periodic.ts
@@ -36,7 +36,7 @@
 const CLAIM_SWEEP_PERIOD_MS = 60_000;
 
 /** Modules and effects that are run periodically. */
-export interface PeriodicTaskParts {
+export interface PeriodicTaskDependencies {
   readonly configuration: Configuration;
   readonly membership: Membership;
   readonly fleet: Fleet;
@@ -51,7 +51,9 @@
 }
 
 /** Starts the tasks; disposing of the result ends them. */
-export function startPeriodicTasks(parts: PeriodicTaskParts): AsyncDisposable {
+export function startPeriodicTasks(
+  parts: PeriodicTaskDependencies,
+): AsyncDisposable {
   const {
     configuration,
     fleet,
--- a/src/router/router.ts
+++ b/src/router/router.ts
@@ -157,7 +157,7 @@
       else leavingUpstreams.receiveFact(fact);
     },
     onConfigVersion: (version, digest, from) =>
-      configuration.receiveClaim({ version, digest }, from),
+      configuration.receiveAnnouncement({ version, digest }, from),
     getConfigVersion: () => ({
       version: configuration.getCurrent()?.version ?? 0,
       digest: configuration.getCurrent()?.digest ?? "",
--- a/src/router/serving.ts
+++ b/src/router/serving.ts
@@ -36,7 +36,7 @@
 const MEMBERSHIP_SETTLE_MS = 30_000;
 
 /** Modules and settings from which serving is created. */
-export interface ServingParts {
+export interface ServingDependencies {
   readonly settings: RouterSettings;
   readonly incarnation: number;
   readonly clock: Clock;
@@ -63,7 +63,7 @@
 }
 
 /** Creates the modules that serve requests. */
-export function createServing(parts: ServingParts): Serving {
+export function createServing(parts: ServingDependencies): Serving {
   const { settings, incarnation, clock, platform, membership, drain } = parts;
   const { fleet, regions, metrics, reporter, getDeployment } = parts;
   const { host: id, dataCentre, fleetSecret } = settings;
@@ -88,11 +88,11 @@
   });
   const backlog = createBacklog({ clock, random: Math.random });
 
-  function isProcessDead(other: string, start: number): boolean {
-    const member = membership.getMembers().find((each) => each.host === other);
+  function isProcessDead(hostId: string, startedMs: number): boolean {
+    const member = membership.getMembers().find((each) => each.host === hostId);
     const isSettled = clock.wallMs() - incarnation > MEMBERSHIP_SETTLE_MS;
     if (member === undefined) return isSettled;
-    return member.state === "dead" || member.incarnation > start;
+    return member.state === "dead" || member.incarnation > startedMs;
   }
 
   function charge(service: string, team: string, cost: number): void {
