--- a/src/router/regions.ts
+++ b/src/router/regions.ts
@@ -1,5 +1,6 @@
 /**
- * Tells which hosts and upstreams are in another region than this host.
+ * Determines which hosts and upstreams are in a different region than this
+ * host.
  *
  * @module
  */
