--- a/src/claims/claims.ts
+++ b/src/claims/claims.ts
@@ -179,8 +179,8 @@
   });
 
   function record(row: ClaimRow): Effect.Effect<boolean> {
-    const tryOnce = Effect.suspend(() => write(version, row));
-    return retry(tryOnce).pipe(
+    const attemptWrite = Effect.suspend(() => write(version, row));
+    return retry(attemptWrite).pipe(
       Effect.map((result) => result.kind === "committed"),
     );
   }
@@ -191,7 +191,7 @@
     // If the first write is uncertain, the row is read and overwritten at the
     // version found. If the first write arrives after that, it conflicts, since
     // its expected version no longer matches.
-    const tryOnce = Effect.gen(function* () {
+    const attemptRelease = Effect.gen(function* () {
       const row = yield* context.tables.get(TABLE, key);
       const found = row.value as ClaimRow | null;
       const isOther = found !== null && found.attempt !== input.attempt;
@@ -206,7 +206,7 @@
         (err) => Effect.succeed<WriteResult>({ kind: "failed", err }),
       ),
     );
-    return retryUntilCommitted(tryOnce);
+    return retryUntilCommitted(attemptRelease);
   }
 
   return {
@@ -232,11 +232,11 @@
 
 /** Retries failures with exponential back-off, up to the limit of attempts. */
 function retry(
-  tryOnce: Effect.Effect<WriteResult>,
+  attemptOnce: Effect.Effect<WriteResult>,
   isDone = (result: WriteResult) => result.kind !== "failed",
 ): Effect.Effect<WriteResult> {
   return Effect.gen(function* () {
-    let result = yield* tryOnce;
+    let result = yield* attemptOnce;
     let delayMs = INITIAL_RETRY_DELAY_MS;
     for (
       let attempt = 1;
@@ -245,16 +245,16 @@
     ) {
       yield* Effect.sleep(delayMs);
       delayMs = Math.min(MAX_RETRY_DELAY_MS, delayMs * 3);
-      result = yield* tryOnce;
+      result = yield* attemptOnce;
     }
     return result;
   });
 }
 
 function retryUntilCommitted(
-  tryOnce: Effect.Effect<WriteResult>,
+  attemptOnce: Effect.Effect<WriteResult>,
 ): Effect.Effect<boolean> {
-  return retry(tryOnce, (result) => result.kind === "committed").pipe(
+  return retry(attemptOnce, (result) => result.kind === "committed").pipe(
     Effect.map((result) => result.kind === "committed"),
   );
 }
--- a/src/router/drain_test.ts
+++ b/src/router/drain_test.ts
@@ -71,7 +71,7 @@
    * Runs all pending effects, which take a few iterations of the event loop.
    */
   async function settle(): Promise<void> {
-    for (let turn = 0; turn < 10; turn++) {
+    for (let iteration = 0; iteration < 10; iteration++) {
       await new Promise((resolve) => setImmediate(resolve));
     }
   }
--- a/src/router/leaving_upstreams_test.ts
+++ b/src/router/leaving_upstreams_test.ts
@@ -23,7 +23,7 @@
   const leaving = createLeavingUpstreams({
     clock,
     spreadFact: (fact) => spread.push(fact),
-    onChange: (upstream, is) => changes.push(`${upstream} ${is}`),
+    onChange: (upstream, isLeaving) => changes.push(`${upstream} ${isLeaving}`),
   });
   return { clock, spread, changes, leaving };
 }
@@ -86,10 +86,10 @@
   // polled in sequence, the second would be delayed by the first one's
   // time-out.
   const upstreams = ["engine-1", "engine-2"].map((id) => ({ id }) as Upstream);
-  const said: string[] = [];
-  let answer = (_: UpstreamState | undefined) => {};
-  const silent = new Promise<UpstreamState | undefined>((resolve) =>
-    answer = resolve
+  const reported: string[] = [];
+  let respond = (_: UpstreamState | undefined) => {};
+  const pending = new Promise<UpstreamState | undefined>((resolve) =>
+    respond = resolve
   );
   const state: UpstreamState = {
     running: 0,
@@ -101,14 +101,15 @@
   const polled = Effect.runPromise(pollLoads({
     getOwned: () => upstreams,
     tryGetState: ({ id }) =>
-      id === "engine-1" ? Effect.promise(() => silent) : Effect.succeed(state),
-    onState: (upstream, { leaving }) => said.push(`${upstream.id} ${leaving}`),
+      id === "engine-1" ? Effect.promise(() => pending) : Effect.succeed(state),
+    onState: (upstream, { leaving }) =>
+      reported.push(`${upstream.id} ${leaving}`),
   }));
   await new Promise((resolve) => setImmediate(resolve));
-  assert.deepEqual(said, ["engine-2 true"]);
-  answer(undefined);
+  assert.deepEqual(reported, ["engine-2 true"]);
+  respond(undefined);
   await polled;
-  assert.deepEqual(said, ["engine-2 true"]);
+  assert.deepEqual(reported, ["engine-2 true"]);
 });
 
 const PERIOD_MS = 500;
@@ -126,14 +127,14 @@
   const getAtMs = () => clock.monotonicMs() - startMs;
   const isLimited = () => usesReport && leaving.isLeaving("engine-1");
   const { owner, grants } = createOwnerFixture(() => isLimited() ? 0 : 4);
-  for (let turn = 0; turn < 20; turn++) {
+  for (let step = 0; step < 20; step++) {
     clock.advance(PERIOD_MS);
-    const hasWord = getAtMs() >= STATE_POLL_MS;
+    const isReportDue = getAtMs() >= STATE_POLL_MS;
     if (getAtMs() === STATE_POLL_MS) {
       const kind = "upstream-leaving" as const;
       history.push({ kind, upstream: "engine-1", atMs: getAtMs() });
     }
-    if (hasWord && getAtMs() % STATE_POLL_MS === 0) {
+    if (isReportDue && getAtMs() % STATE_POLL_MS === 0) {
       leaving.receiveReport("engine-1", true);
     }
     const before = grants.length;
@@ -170,7 +171,7 @@
 });
 
 test("without the upstream's report the checker finds requests sent to it", () => {
-  const broken = checkHistory(simulateLeaving(false), statedLimits);
-  const promises = new Set(broken.map((each) => each.promise));
+  const violations = checkHistory(simulateLeaving(false), statedLimits);
+  const promises = new Set(violations.map((each) => each.promise));
   assert.deepEqual([...promises], ["leaving-upstream-gets-nothing"]);
 });
--- a/src/router/metrics_test.ts
+++ b/src/router/metrics_test.ts
@@ -4,8 +4,8 @@
 import { createRouterMetrics, type MetricsHost } from "./metrics.ts";
 
 function createDeployment(teams: number, services: number): Deployment {
-  const names = (word: string, count: number) =>
-    Array.from({ length: count }, (_, index) => `${word}-${index}`);
+  const names = (prefix: string, count: number) =>
+    Array.from({ length: count }, (_, index) => `${prefix}-${index}`);
   return {
     name: "test",
     dataCentres: [],
--- a/src/router/observed_upstreams.ts
+++ b/src/router/observed_upstreams.ts
@@ -62,10 +62,10 @@
       Effect.suspend(() => {
         countBody(call.address, call.body);
         return client.call(call);
-      }).pipe(Effect.tap((answer) =>
+      }).pipe(Effect.tap((response) =>
         Effect.sync(() => {
           if (!host.crossesRegion(call.address)) return;
-          count("from-upstream", answer.body);
+          count("from-upstream", response.body);
         })
       )),
   };
--- a/src/router/observed_upstreams_test.ts
+++ b/src/router/observed_upstreams_test.ts
@@ -4,8 +4,8 @@
 import type { AnswerStream, UpstreamClient } from "../upstreams/mod.ts";
 import { createObservedUpstreams } from "./observed_upstreams.ts";
 
-const FAR = "10.1.0.1:80";
-const NEAR = "10.0.0.1:80";
+const OTHER_REGION_ADDRESS = "10.1.0.1:80";
+const SAME_REGION_ADDRESS = "10.0.0.1:80";
 
 function createStream(): AnswerStream {
   const events = ["ä", "bc"].map((data, offset) => ({
@@ -25,7 +25,7 @@
   };
   const bytes = { "to-upstream": 0, "from-upstream": 0 };
   const observed = createObservedUpstreams(client, {
-    crossesRegion: (address) => address === FAR,
+    crossesRegion: (address) => address === OTHER_REGION_ADDRESS,
     onRegionalBytes: (direction, count) => bytes[direction] += count,
   });
   return { observed, bytes };
@@ -45,7 +45,7 @@
     body: "12345",
     limitMs: 1,
   };
-  for (const address of [NEAR, FAR]) {
+  for (const address of [SAME_REGION_ADDRESS, OTHER_REGION_ADDRESS]) {
     const generated = observed.generate({ ...common, address });
     await readAll(await Effect.runPromise(generated));
     const resumed = observed.resume({ address, stream: "s" }, 1);
--- a/src/router/operator_handlers.ts
+++ b/src/router/operator_handlers.ts
@@ -227,9 +227,9 @@
 }
 
 function runPlatformCall(
-  answer: Effect.Effect<OperatorResponse, PlatformError>,
+  response: Effect.Effect<OperatorResponse, PlatformError>,
 ): Promise<OperatorResponse> {
-  return Effect.runPromise(answer.pipe(
+  return Effect.runPromise(response.pipe(
     Effect.catchTag(
       "PlatformError",
       (err) => Effect.succeed(fail(503, "platformUnavailable", [err.reason])),
