--- a/src/orders/mod.ts
+++ b/src/orders/mod.ts
@@ -5,9 +5,9 @@
  * @module
  */
 
-export * from "./decide_order.ts";
+export * from "./next_order.ts";
 export * from "./lease.ts";
 export * from "./order_client.ts";
-export * from "./orders.ts";
+export * from "./order_reconciler.ts";
 export * from "./reservations.ts";
 export * from "./types.ts";
--- a/src/orders/orders.ts
+++ b/src/orders/order_reconciler.ts
@@ -16,7 +16,7 @@
 import type { PlatformError } from "../platform/mod.ts";
 import type { Upstream } from "../types.ts";
 import type { UpstreamState } from "../upstreams/mod.ts";
-import { tryGetNextOrder } from "./decide_order.ts";
+import { tryGetNextOrder } from "./next_order.ts";
 import type { Lease, Leases } from "./lease.ts";
 import { ORDER_TIMEOUT_MS, type OrderCall } from "./order_client.ts";
 import type { Reservations } from "./reservations.ts";
--- a/src/orders/orders_test.ts
+++ b/src/orders/order_reconciler_test.ts
@@ -14,10 +14,13 @@
 import { createFakePlatform } from "../testing/fake_platform.ts";
 import type { FencingKind, Upstream } from "../types.ts";
 import type { UpstreamState } from "../upstreams/mod.ts";
-import { tryGetNextOrder } from "./decide_order.ts";
+import { tryGetNextOrder } from "./next_order.ts";
 import { createLeases, LEASE_DURATION_MS } from "./lease.ts";
 import type { OrderCall } from "./order_client.ts";
-import { createOrderReconciler, type OrderReconcilerHost } from "./orders.ts";
+import {
+  createOrderReconciler,
+  type OrderReconcilerHost,
+} from "./order_reconciler.ts";
 import { createReservations } from "./reservations.ts";
 
 /** Longer than a lease, so that the test detects a missing wait-out. */
--- a/src/router/router.ts
+++ b/src/router/router.ts
@@ -33,7 +33,7 @@
 import { createRouterMetrics } from "./metrics.ts";
 import { createObservedPlatform } from "./observed_platform.ts";
 import { createOperatorHandlers } from "./operator_handlers.ts";
-import { startPeriodicTasks } from "./periodic.ts";
+import { startPeriodicTasks } from "./periodic_tasks.ts";
 import { listenForCallers } from "./public_server.ts";
 import { createRegions } from "./regions.ts";
 import { createFlusher, createFlushingSlots } from "./flusher.ts";
@@ -41,7 +41,7 @@
 import { createServing } from "./serving.ts";
 import { createTaskMonitor } from "./task_monitor.ts";
 import { reportPlatformFailure } from "./tasks.ts";
-import { createUpstreamReconciliation } from "./upstream_watch.ts";
+import { createUpstreamReconciliation } from "./upstream_reconciliation.ts";
 import { getAdvertisedHosts, serveWhere } from "./serve_where.ts";
 
 /** Dependencies of a router, supplied by its program. */
--- a/src/streams/mod.ts
+++ b/src/streams/mod.ts
@@ -5,6 +5,6 @@
  * @module
  */
 
-export * from "./abandon_stream.ts";
+export * from "./cancel_abandoned_stream.ts";
 export * from "./follow_stream.ts";
 export * from "./token.ts";
