--- a/src/pacing/types.ts
+++ b/src/pacing/types.ts
@@ -1,26 +1,36 @@
 /**
- * What pacing has learned of a service's upstreams, in a form that adds up over
+ * The statistics of pacing for a service, in a form that can be added up over
  * hosts.
  *
  * @module
  */
 
-/** Counts fade, so that each stands for the last seconds. */
-export interface PacingEvidence {
-  /** Hosts that it adds up. */
+/**
+ * Statistics of one or more hosts. Counts decay exponentially, so that they
+ * describe the last seconds.
+ */
+export interface PacingStats {
+  /** Number of hosts included. */
   readonly hosts: number;
   /**
-   * Sum of their limits by pauses, in tokens, each times the answers that it was
-   * found from: a host without answers says nothing of the limit.
+   * Sum of the hosts' limits by pauses, in tokens, each weighted by the number
+   * of responses behind it: the limit of a host without responses carries no
+   * information.
    */
   readonly limitTokens: number;
-  /** Answers, and those that paused past their target. */
+  /**
+   * Number of responses, and below it the number that paused for longer than
+   * their target.
+   */
   readonly answers: number;
   readonly lateAnswers: number;
   readonly firstEvents: FirstEventSums;
 }
 
-/** Sums over first events: tokens read before each, and its time in ms. */
+/**
+ * Sums over first events, from which a regression line is computed: the tokens
+ * prefilled before each one, and the time to it in ms.
+ */
 export interface FirstEventSums {
   readonly count: number;
   readonly tokens: number;
@@ -29,8 +39,8 @@
   readonly tokensMs: number;
 }
 
-/** Sums over no first event. */
-export const NO_FIRST_EVENTS: FirstEventSums = {
+/** The sums over no first events. */
+export const EMPTY_FIRST_EVENT_SUMS: FirstEventSums = {
   count: 0,
   tokens: 0,
   ms: 0,
@@ -38,32 +48,37 @@
   tokensMs: 0,
 };
 
-/** Evidence of no host. */
-export const NO_EVIDENCE: PacingEvidence = {
+/** The statistics of no hosts. */
+export const EMPTY_PACING_STATS: PacingStats = {
   hosts: 0,
   limitTokens: 0,
   answers: 0,
   lateAnswers: 0,
-  firstEvents: NO_FIRST_EVENTS,
+  firstEvents: EMPTY_FIRST_EVENT_SUMS,
 };
 
-/** The first with the second added, or with a sign of -1 taken out. */
-export function addEvidence(
-  a: PacingEvidence,
-  b: PacingEvidence,
+/**
+ * Adds two statistics; with a sign of -1, subtracts the second from the first.
+ */
+export function addPacingStats(
+  a: PacingStats,
+  b: PacingStats,
   sign: 1 | -1 = 1,
-): PacingEvidence {
+): PacingStats {
   return {
     hosts: a.hosts + sign * b.hosts,
     limitTokens: a.limitTokens + sign * b.limitTokens,
     answers: a.answers + sign * b.answers,
     lateAnswers: a.lateAnswers + sign * b.lateAnswers,
-    firstEvents: addFirstEvents(a.firstEvents, b.firstEvents, sign),
+    firstEvents: addFirstEventSums(a.firstEvents, b.firstEvents, sign),
   };
 }
 
-/** The same for sums over first events. */
-export function addFirstEvents(
+/**
+ * Adds two sums over first events; with a sign of -1, subtracts the second from
+ * the first.
+ */
+export function addFirstEventSums(
   a: FirstEventSums,
   b: FirstEventSums,
   sign: 1 | -1 = 1,
--- a/src/placement/mod.ts
+++ b/src/placement/mod.ts
@@ -1,10 +1,10 @@
 /**
- * Where a request may run.
+ * Ranks the upstreams on which a request may run.
  *
  * @module
  */
 
 export * from "./placement.ts";
-export * from "./least_busy.ts";
+export * from "./least_loaded.ts";
 export * from "./prefix_affinity.ts";
-export * from "./reading_tokens.ts";
+export * from "./prefill_tokens.ts";
--- a/src/router/periodic_tasks.ts
+++ b/src/router/periodic_tasks.ts
@@ -12,7 +12,7 @@
 import type { Membership } from "../membership/mod.ts";
 import type { PlatformError } from "../platform/mod.ts";
 import type { Quarantine } from "../quarantine/mod.ts";
-import { LOAD_POLL_MS } from "../upstreams/mod.ts";
+import { STATE_POLL_PERIOD_MS } from "../upstreams/mod.ts";
 import type { Configuration } from "./configuration.ts";
 import type { TaskMonitor } from "./task_monitor.ts";
 import { runPeriodically } from "./tasks.ts";
@@ -77,7 +77,7 @@
       monitor("catch up", configuration.catchUp()),
     ),
     runPeriodically(
-      LOAD_POLL_MS,
+      STATE_POLL_PERIOD_MS,
       monitor("upstreams", parts.reconcileUpstreams),
     ),
     runPeriodically(
--- a/src/router/upstream_reconciliation.ts
+++ b/src/router/upstream_reconciliation.ts
@@ -19,7 +19,7 @@
 import type { Platform, PlatformError } from "../platform/mod.ts";
 import type { Recorder } from "../timeline/mod.ts";
 import type { Upstream } from "../types.ts";
-import { pollLoads, tryGetUpstreamState } from "../upstreams/mod.ts";
+import { pollUpstreamStates, tryGetUpstreamState } from "../upstreams/mod.ts";
 
 /** Dependencies of the task, supplied by the process. */
 export interface UpstreamReconciliationHost {
@@ -70,7 +70,7 @@
     },
   });
 
-  return pollLoads({
+  return pollUpstreamStates({
     getOwned: host.getOwned,
     tryGetState: tryGetUpstreamState,
     onState(upstream, state) {
--- a/src/streams/cancel_abandoned_stream.ts
+++ b/src/streams/cancel_abandoned_stream.ts
@@ -12,7 +12,7 @@
 import * as Effect from "effect/Effect";
 import type {
   CancelResult,
-  StreamPlace,
+  StreamLocation,
   UpstreamClient,
 } from "../upstreams/mod.ts";
 
@@ -37,7 +37,7 @@
  * unknown.
  */
 export function cancelAbandonedStream(
-  location: StreamPlace,
+  location: StreamLocation,
   host: AbandonedStreamHost,
 ): Effect.Effect<number> {
   const cancel = host.upstreams.cancelIfUnread(location).pipe(
--- a/src/streams/follow_stream.ts
+++ b/src/streams/follow_stream.ts
@@ -8,8 +8,8 @@
 
 import * as Effect from "effect/Effect";
 import {
-  type AnswerEvent,
-  type AnswerStream,
+  type EventStream,
+  type StreamEvent,
   UpstreamError,
 } from "../upstreams/mod.ts";
 
@@ -24,9 +24,9 @@
 /** Dependencies of following a stream. */
 export interface FollowHost<E> {
   /** Opens the stream at the offset; fails with "forgotten" if it is gone. */
-  resume(offset: number): Effect.Effect<AnswerStream, UpstreamError>;
+  resume(offset: number): Effect.Effect<EventStream, UpstreamError>;
   /** Sends a token to the caller; completes at the caller's reading speed. */
-  deliver(event: AnswerEvent): Effect.Effect<void, E>;
+  deliver(event: StreamEvent): Effect.Effect<void, E>;
   onResumed(offset: number, reason: string): void;
 }
 
@@ -35,7 +35,7 @@
 
 /** Reads the stream to its end; returns its cost in tokens. */
 export function followStream<E>(
-  first: AnswerStream,
+  first: EventStream,
   progress: StreamProgress,
   host: FollowHost<E>,
 ): Effect.Effect<number, UpstreamError | E> {
@@ -63,7 +63,7 @@
   | { readonly kind: "interrupted"; readonly err: UpstreamError };
 
 function readToEnd<E>(
-  stream: AnswerStream,
+  stream: EventStream,
   progress: StreamProgress,
   host: FollowHost<E>,
 ): Effect.Effect<ReadResult, E> {
@@ -91,7 +91,7 @@
 }
 
 function deliverToken<E>(
-  event: AnswerEvent,
+  event: StreamEvent,
   progress: StreamProgress,
   host: FollowHost<E>,
 ): Effect.Effect<void, UpstreamError | E> {
@@ -108,7 +108,7 @@
 
 /** Fails if events before the last one are missing, so that they are resent. */
 function checkComplete(
-  end: AnswerEvent,
+  end: StreamEvent,
   progress: StreamProgress,
 ): Effect.Effect<void, UpstreamError> {
   if (end.offset < 0 || end.offset === progress.nextOffset) return Effect.void;
@@ -124,7 +124,7 @@
   return Effect.fail(new UpstreamError({ failure, reason }));
 }
 
-function getTokenCount(end: AnswerEvent): number {
+function getTokenCount(end: StreamEvent): number {
   const parsed = JSON.parse(end.data) as { tokens?: number };
   return parsed.tokens ?? 0;
 }
