--- a/src/orders/order_reconciler_test.ts
+++ b/src/orders/order_reconciler_test.ts
@@ -75,14 +75,14 @@
 const RECONCILIATIONS = 6;
 
 /** An order with the times of its last lease check and of its arrival. */
-interface SentOrder {
+interface ArrivedOrder {
   readonly token: number;
   readonly beganMs: number;
   arrivedMs: number;
 }
 
 interface Simulation {
-  readonly sentOrders: SentOrder[];
+  readonly arrivedOrders: ArrivedOrder[];
   readonly clock: ReturnType<typeof createManualClock>;
   readonly reconcilers: readonly (() => Promise<void>)[];
 }
@@ -116,11 +116,11 @@
   const platform = createFakePlatform();
   platform.control.pass = step;
   Object.assign(platform.control, input.faults);
-  const sentOrders: SentOrder[] = [];
+  const arrivedOrders: ArrivedOrder[] = [];
   let highestToken = 0;
   let models: readonly string[] = [];
 
-  function receive(order: SentOrder, call: OrderCall): boolean {
+  function receive(order: ArrivedOrder, call: OrderCall): boolean {
     if (
       fencing === "checks" && skip !== "token" && order.token < highestToken
     ) {
@@ -128,7 +128,7 @@
     }
     highestToken = Math.max(highestToken, order.token);
     order.arrivedMs = clock.monotonicMs();
-    sentOrders.push(order);
+    arrivedOrders.push(order);
     if (call.order.kind === "load") models = [call.order.model];
     return true;
   }
@@ -180,22 +180,22 @@
         orders.reconcile(upstream, createState({ models })).pipe(Effect.ignore),
       );
   });
-  return { sentOrders, clock, reconcilers };
+  return { arrivedOrders, clock, reconcilers };
 }
 
 /** Returns how orders mixed at the upstream, or `undefined` if they did not. */
 function findViolation(
-  sentOrders: readonly SentOrder[],
+  arrivedOrders: readonly ArrivedOrder[],
   fencing: FencingKind,
 ) {
   let highest = 0;
-  for (const order of sentOrders) {
+  for (const order of arrivedOrders) {
     if (order.token < highest) return `Token ${order.token} after ${highest}`;
     highest = order.token;
   }
   if (fencing === "checks") return undefined;
-  for (const [index, order] of sentOrders.entries()) {
-    const overlaps = sentOrders.slice(index + 1).some((other) =>
+  for (const [index, order] of arrivedOrders.entries()) {
+    const overlaps = arrivedOrders.slice(index + 1).some((other) =>
       other.token !== order.token && other.beganMs < order.arrivedMs
     );
     if (overlaps) return `Token ${order.token} overlaps a later one`;
@@ -223,7 +223,7 @@
 async function simulateOrders(
   input: { fencing: FencingKind; skip: SkippedGuard },
   schedule: { scheduler: fc.Scheduler; pauses: number[]; faults: OrderFaults },
-): Promise<readonly SentOrder[]> {
+): Promise<readonly ArrivedOrder[]> {
   const { scheduler, pauses, faults } = schedule;
   const step = async (name: string) => {
     await scheduler.schedule(Promise.resolve(), name);
@@ -244,20 +244,20 @@
   });
   const tried = Promise.all(attempts).then(() => isDone = true);
   await scheduler.waitFor(Promise.all([pass(), tried]));
-  return simulation.sentOrders;
+  return simulation.arrivedOrders;
 }
 
 for (const fencing of ["ignores", "checks"] as const) {
   test(`orders reach an upstream that ${fencing} tokens in token order`, async () => {
     // Three hosts believe that they own one upstream. Each may be suspended
     // between any two steps for up to 25 s, and replies may be lost.
-    let sentCount = 0;
+    let arrivalCount = 0;
     let tokenCount = 0;
     await fc.assert(
       fc.asyncProperty(
         ...simulationInput,
         async (scheduler, pauses, faults) => {
-          const sentOrders = await simulateOrders({
+          const arrivedOrders = await simulateOrders({
             fencing,
             skip: "none",
           }, {
@@ -265,14 +265,17 @@
             pauses,
             faults,
           });
-          sentCount += sentOrders.length;
-          tokenCount += new Set(sentOrders.map((order) => order.token)).size;
-          assert.equal(findViolation(sentOrders, fencing), undefined);
+          arrivalCount += arrivedOrders.length;
+          tokenCount += new Set(arrivedOrders.map((order) => order.token)).size;
+          assert.equal(findViolation(arrivedOrders, fencing), undefined);
         },
       ),
       { seed: 11, numRuns: 200 },
     );
-    assert(sentCount > 200 && tokenCount > 200, "The runs sent too few orders");
+    assert(
+      arrivalCount > 200 && tokenCount > 200,
+      "The runs sent too few orders",
+    );
   });
 }
 
@@ -282,12 +285,12 @@
   const fixture = { fencing: "ignores", skip: "last-check" } as const;
   const checked = await fc.check(
     fc.asyncProperty(...simulationInput, async (scheduler, pauses, faults) => {
-      const sentOrders = await simulateOrders(fixture, {
+      const arrivedOrders = await simulateOrders(fixture, {
         scheduler,
         pauses,
         faults,
       });
-      assert.equal(findViolation(sentOrders, fixture.fencing), undefined);
+      assert.equal(findViolation(arrivedOrders, fixture.fencing), undefined);
     }),
     { seed: 11, numRuns: 2_000, endOnFailure: true },
   );
@@ -323,7 +326,7 @@
   await second!();
   flight.open();
   await slow;
-  return simulation.sentOrders;
+  return simulation.arrivedOrders;
 }
 
 for (
@@ -336,9 +339,9 @@
     // An order is in flight for longer than its lease, and another host
     // acquires the lease. An upstream that ignores tokens must not get the
     // newer order first, and one that checks them must reject the older one.
-    const sentOrders = await simulateOvertaking(fencing, "none");
-    assert.equal(sentOrders.length, 1);
-    assert.equal(findViolation(sentOrders, fencing), undefined);
+    const arrivedOrders = await simulateOvertaking(fencing, "none");
+    assert.equal(arrivedOrders.length, 1);
+    assert.equal(findViolation(arrivedOrders, fencing), undefined);
     const unguarded = await simulateOvertaking(fencing, skip);
     assert.notEqual(findViolation(unguarded, fencing), undefined);
   });
