--- a/src/claims/group_commit.ts
+++ b/src/claims/group_commit.ts
@@ -100,7 +100,10 @@
     for (const each of group) each.settle({ kind: "committed" });
   }
 
-  /** Settles the writes that conflict and requeues the others of the group. */
+  /**
+   * Settles the writes that conflict and requeues the others, so that one
+   * conflict does not fail the whole group.
+   */
   function resolveConflict(
     group: readonly Pending[],
     rows: readonly (Row | undefined)[],
--- a/src/router/configuration.ts
+++ b/src/router/configuration.ts
@@ -1,6 +1,6 @@
 /**
  * Connects the configuration watcher to this process: versions that other hosts
- * announce, peers from which files are fetched, and how often the store is
+ * announce, peers from which files are fetched, and how often the platform is
  * polled.
  *
  * @module
@@ -91,7 +91,9 @@
     );
   }
 
-  /** True for the one host of each data centre that polls the store often. */
+  /**
+   * True for the one host of each data centre that polls the platform often.
+   */
   function isDesignatedPoller(): boolean {
     const membership = host.getMembership();
     const self = membership.getSelf();
--- a/src/router/drain.ts
+++ b/src/router/drain.ts
@@ -69,7 +69,8 @@
   countInFlight(): number;
   /**
    * Runs an effect that may outlive its request, such as recording its end. A
-   * drain waits up to 5 s for it, but not for a store that stays unavailable.
+   * drain waits up to 5 s for it, so that it also ends while the table service
+   * is unavailable.
    */
   runDetached(effect: Effect.Effect<unknown>): void;
   /** Whether new requests are refused. */
--- a/src/streams/cancel_abandoned_stream.ts
+++ b/src/streams/cancel_abandoned_stream.ts
@@ -32,9 +32,10 @@
 }
 
 /**
- * Retries the cancellation until the engine no longer works on the stream, or
- * until `isPastDeadline`. Returns the number of generated tokens, or 0 if it is
- * unknown.
+ * Retries the cancellation until the engine no longer works on the stream.
+ * While the engine cannot be reached or another host reads the stream, it
+ * retries until `isPastDeadline`. Returns the number of generated tokens, or 0
+ * if it is unknown.
  */
 export function cancelAbandonedStream(
   location: StreamLocation,
