--- a/src/claims/claims.ts
+++ b/src/claims/claims.ts
@@ -53,7 +53,7 @@
 export const CLAIM_TIMEOUT_MS = 1_000;
 
 /** Time after a failure of the table service without new claims, in ms. */
-export const STORE_BACKOFF_MS = 1_000;
+export const TABLES_BACKOFF_MS = 1_000;
 
 /** Delay before the first retry of recording an end or a release, in ms. */
 const INITIAL_RETRY_DELAY_MS = 100;
@@ -76,7 +76,7 @@
   let backoffUntilMs = 0;
 
   function recordFailure(): void {
-    backoffUntilMs = host.clock.monotonicMs() + STORE_BACKOFF_MS;
+    backoffUntilMs = host.clock.monotonicMs() + TABLES_BACKOFF_MS;
   }
 
   return {
