--- a/src/orders/lease.ts
+++ b/src/orders/lease.ts
@@ -1,14 +1,16 @@
 /**
- * Fenced leases on the table service: at most one host at a time may give
- * orders to an upstream, and each holder has a higher token than all before.
+ * Fenced leases stored in the table service: at most one host at a time may
+ * send orders to an upstream, and each holder gets a higher fencing token than
+ * all holders before it.
  *
- * No wall clocks are compared. A holder counts from before it sent its write;
- * an observer counts from when it first saw the row, on its own monotonic
- * clock, so that the observer's count always ends later. A row is read back by
- * its attempt id when a reply is lost.
+ * Hosts do not compare wall clocks. A holder measures the lease from before it
+ * sent its write; another host measures it on its own monotonic clock from when
+ * it first read the row, which is always later. So the holder regards the lease
+ * as expired before any other host does. If the reply to a write is lost, the
+ * row is read back and recognized by its attempt id.
  *
- * A lease is held for one order and released: 600 upstreams cost the service
- * nothing while there is nothing to order.
+ * A lease is acquired for one order and then released, so that 600 upstreams
+ * cause no writes to the table service while no orders are pending.
  *
  * @module
  */
@@ -19,107 +21,116 @@
 
 const TABLE = "leases";
 
-/** The row of a lease. */
+/** Value of a lease's row in the table service. */
 export interface LeaseRow {
   readonly holder: string;
-  /** The fencing token: one higher for each holding. */
+  /** Fencing token, incremented by each acquisition. */
   readonly token: number;
   readonly attempt: string;
   readonly durationMs: number;
-  /** What the holder may have begun ends so long after the lease. */
+  /**
+   * Wait-out: how long after the lease expired an order that its holder sent
+   * may still execute.
+   */
   readonly waitOutMs: number;
   readonly isReleased: boolean;
 }
 
-/** A lease in the hands of this host. */
+/** A lease that this host acquired. */
 export interface Lease {
   readonly name: string;
   readonly token: number;
-  /** Time left by this host's monotonic clock; negative when it lapsed. */
+  /** Time left by this host's monotonic clock; negative once it expired. */
   getRemainingMs(): number;
 }
 
-/** What leases need of the process. */
+/** Dependencies of the leases, supplied by the process. */
 export interface LeaseHost {
   readonly id: string;
   readonly clock: Clock;
   readonly tables: TableService;
-  createAttempt(): string;
+  createAttemptId(): string;
 }
 
 /** Acquires and releases leases. */
 export interface Leases {
   /**
-   * The lease, or `undefined` while another host may hold it or may have begun
-   * something that has not ended: `waitOutMs` after its lease.
+   * Acquires the lease. Returns `undefined` while another host may hold it, or
+   * while an order that the last holder sent may still execute: until the
+   * wait-out after the lease's expiry has passed. The wait-out is the larger of
+   * `waitOutMs` and the value in the row.
    */
   tryAcquire(
     name: string,
     waitOutMs: number,
   ): Effect.Effect<Lease | undefined, PlatformError>;
-  /** Lets the next holder begin at once; the row keeps its token. */
+  /** Lets another host acquire the lease at once; the row keeps its token. */
   release(lease: Lease): Effect.Effect<void, PlatformError>;
 }
 
-/** Long enough for one order with its reads, short for a host that died. */
-export const LEASE_MS = 10_000;
+/**
+ * Long enough for one order and the reads before it; short, since a lease whose
+ * holder died blocks all hosts until it expires.
+ */
+export const LEASE_DURATION_MS = 10_000;
 
 /**
- * Two monotonic clocks may run apart by so much. Machines keep within 0.05%;
- * twenty times that costs the next holder a tenth of a second.
+ * Assumed limit on the rate error of a monotonic clock. Machines keep within
+ * 0.05%; this margin of twenty times delays the next holder by 0.1 s for each
+ * of the two clocks.
  */
-const CLOCK_RATE_ERROR = 0.01;
+const MAX_CLOCK_RATE_ERROR = 0.01;
 
-interface Observed {
+interface ObservedRow {
   readonly rowVersion: number;
   readonly sinceMs: number;
 }
 
-interface Held {
+interface HeldRow {
   readonly row: LeaseRow;
   readonly rowVersion: number;
 }
 
-/** Makes the leases of one host; it holds none. */
+/** Creates the leases of one host, which holds none initially. */
 export function createLeases(host: LeaseHost): Leases {
-  const observed = new Map<string, Observed>();
-  const held = new Map<Lease, Held>();
+  const observedRows = new Map<string, ObservedRow>();
+  const heldRows = new Map<Lease, HeldRow>();
 
-  /** Whether the row is free by this host's own count. */
-  function isFree(name: string, row: Row, waitOutMs: number): boolean {
+  /** Whether this host may acquire the lease, by its own monotonic clock. */
+  function isAvailable(name: string, row: Row, waitOutMs: number): boolean {
     if (row.version === 0) return true;
     const value = row.value as LeaseRow;
     if (value.isReleased) return true;
     const nowMs = host.clock.monotonicMs();
-    const known = observed.get(name);
-    if (known?.rowVersion !== row.version) {
-      observed.set(name, { rowVersion: row.version, sinceMs: nowMs });
+    const seen = observedRows.get(name);
+    if (seen?.rowVersion !== row.version) {
+      observedRows.set(name, { rowVersion: row.version, sinceMs: nowMs });
       return false;
     }
-    const lapsesMs = value.durationMs * (1 + 2 * CLOCK_RATE_ERROR) +
+    const expiresAfterMs = value.durationMs * (1 + 2 * MAX_CLOCK_RATE_ERROR) +
       Math.max(waitOutMs, value.waitOutMs);
-    return nowMs - known.sinceMs >= lapsesMs;
+    return nowMs - seen.sinceMs >= expiresAfterMs;
   }
 
   function tryAcquire(name: string, waitOutMs: number) {
     return Effect.gen(function* () {
       const found = yield* host.tables.get(TABLE, name);
-      if (!isFree(name, found, waitOutMs)) return undefined;
+      if (!isAvailable(name, found, waitOutMs)) return undefined;
       const row: LeaseRow = {
         holder: host.id,
         token: ((found.value as LeaseRow | null)?.token ?? 0) + 1,
-        attempt: host.createAttempt(),
-        durationMs: LEASE_MS,
+        attempt: host.createAttemptId(),
+        durationMs: LEASE_DURATION_MS,
         waitOutMs,
         isReleased: false,
       };
-      // Counted from before the write is sent: it may take effect at any time
-      // after, and the others count from then.
+      // Measured before the write is sent: the write may take effect at any
+      // time after that, and other hosts measure from when they read it.
       const sentMs = host.clock.monotonicMs();
-      const isOurs = yield* write(name, row, found.version);
-      if (!isOurs) return undefined;
+      const isAcquired = yield* write(name, row, found.version);
+      if (!isAcquired) return undefined;
       const lease = createLease(name, row.token, sentMs);
-      held.set(lease, { row, rowVersion: found.version + 1 });
+      heldRows.set(lease, { row, rowVersion: found.version + 1 });
       return lease;
     });
   }
@@ -128,11 +139,15 @@
     return {
       name,
       token,
-      getRemainingMs: () => sentMs + LEASE_MS - host.clock.monotonicMs(),
+      getRemainingMs: () =>
+        sentMs + LEASE_DURATION_MS - host.clock.monotonicMs(),
     };
   }
 
-  /** Whether the row is ours, also when the reply to our write was lost. */
+  /**
+   * Writes the row; true if the write took effect. If the reply is lost, the
+   * attempt id in the row decides.
+   */
   function write(
     name: string,
     row: LeaseRow,
@@ -156,11 +171,11 @@
     tryAcquire,
     release: (lease) =>
       Effect.suspend(() => {
-        const known = held.get(lease);
-        if (known === undefined) return Effect.void;
-        held.delete(lease);
-        const row = { ...known.row, isReleased: true };
-        return write(lease.name, row, known.rowVersion).pipe(Effect.asVoid);
+        const heldRow = heldRows.get(lease);
+        if (heldRow === undefined) return Effect.void;
+        heldRows.delete(lease);
+        const row = { ...heldRow.row, isReleased: true };
+        return write(lease.name, row, heldRow.rowVersion).pipe(Effect.asVoid);
       }),
   };
 }
--- a/src/orders/mod.ts
+++ b/src/orders/mod.ts
@@ -1,12 +1,13 @@
 /**
- * Orders to upstreams, under fenced leases.
+ * Reconciles upstreams with their declared model and role by orders that are
+ * protected by fenced leases.
  *
  * @module
  */
 
-export * from "./decide_order.ts";
+export * from "./next_order.ts";
 export * from "./lease.ts";
 export * from "./order_client.ts";
-export * from "./orders.ts";
+export * from "./order_reconciler.ts";
 export * from "./reservations.ts";
 export * from "./types.ts";
--- a/src/router/crash_facts.ts
+++ b/src/router/crash_facts.ts
@@ -1,5 +1,5 @@
 /**
- * How crash records travel between hosts: as facts of the membership protocol.
+ * Distributes crash records between hosts as facts of the membership protocol.
  *
  * @module
  */
@@ -8,17 +8,20 @@
 import type { Fact, Member } from "../membership/mod.ts";
 import type { CrashRecord } from "../quarantine/mod.ts";
 
-/** Facts about content that was running when an upstream failed. */
-const CRASH_FACTS = "crash/";
+/**
+ * Key prefix of facts about content that was running when an upstream failed.
+ */
+const CRASH_KEY_PREFIX = "crash/";
 
-/** Fact versions count tenths of a second from here, to fit in 32 bits. */
+/** Fact versions are tenths of a second since this time, to fit in 32 bits. */
 const FACT_EPOCH_MS = Date.UTC(2026, 0, 1);
 
-/** The fact that carries the record. */
+/** Creates the fact that carries the record. */
 export function createCrashFact(record: CrashRecord, clock: Clock): Fact {
   return {
-    // Two counts may be made within one tick of the version.
-    key: `${CRASH_FACTS}${record.fingerprint}/${record.crashes}`,
+    // The count is part of the key, since two crashes may be recorded within
+    // one tick of the version.
+    key: `${CRASH_KEY_PREFIX}${record.fingerprint}/${record.crashes}`,
     version: Math.max(1, Math.floor((clock.wallMs() - FACT_EPOCH_MS) / 100)),
     value: JSON.stringify(record),
   };
@@ -26,38 +29,41 @@
 
 /** Whether the fact carries a crash record. */
 export function isCrashFact(fact: Fact): boolean {
-  return fact.key.startsWith(CRASH_FACTS);
+  return fact.key.startsWith(CRASH_KEY_PREFIX);
 }
 
 /**
- * A host that is cut off may be taken for dead, and may live and know crashes
- * that this host does not. Regions lose each other for an hour now and then, but
- * what counts is sent again within minutes, in ms.
+ * Time for which a suspect or dead host counts as unreachable, in ms. A host
+ * that is only partitioned may know crashes that this host does not. Partitions
+ * between regions can last an hour, but crash records that matter are sent
+ * again within minutes.
  */
-const OUT_OF_SIGHT_MS = 10 * 60_000;
+const UNREACHABLE_RETENTION_MS = 10 * 60_000;
 
-/** Hosts that went out of sight without saying that they leave. */
-export interface OutOfSight {
+/** Hosts that became unreachable without announcing that they leave. */
+export interface UnreachableHosts {
+  /** Handles a change of a member's state. */
   receive(member: Member): void;
-  isAny(): boolean;
+  isAnyUnreachable(): boolean;
 }
 
-/** Makes a record in which every host is in sight. */
-export function createOutOfSight(clock: Clock): OutOfSight {
-  const sinceMs = new Map<string, number>();
+/** Creates a record in which every host is reachable. */
+export function createUnreachableHosts(clock: Clock): UnreachableHosts {
+  const unreachableSinceMs = new Map<string, number>();
   return {
     receive(member) {
-      const isLost = member.state === "suspect" || member.state === "dead";
-      if (!isLost) sinceMs.delete(member.host);
-      else if (!sinceMs.has(member.host)) {
-        sinceMs.set(member.host, clock.monotonicMs());
+      const isUnreachable = member.state === "suspect" ||
+        member.state === "dead";
+      if (!isUnreachable) unreachableSinceMs.delete(member.host);
+      else if (!unreachableSinceMs.has(member.host)) {
+        unreachableSinceMs.set(member.host, clock.monotonicMs());
       }
     },
-    isAny() {
+    isAnyUnreachable() {
       const nowMs = clock.monotonicMs();
-      for (const [host, since] of sinceMs) {
-        if (nowMs - since < OUT_OF_SIGHT_MS) return true;
-        sinceMs.delete(host);
+      for (const [host, since] of unreachableSinceMs) {
+        if (nowMs - since < UNREACHABLE_RETENTION_MS) return true;
+        unreachableSinceMs.delete(host);
       }
       return false;
     },
--- a/src/router/metrics.ts
+++ b/src/router/metrics.ts
@@ -1,9 +1,11 @@
 /**
- * The metrics of one router. Each has its unit in its name and a help text.
+ * Prometheus metrics of one router. Each metric has its unit in its name and a
+ * help text.
  *
- * Series per host at the goal size (290 teams, 11 models): no metric has both
- * team and outcome, or team and upstream, as labels; the one with service and
- * team grows only with the pairs that this host has served.
+ * The number of series per host is bounded for the target size of 290 teams and
+ * 11 models: no metric has both team and outcome, or both team and upstream, as
+ * labels. The metric with service and team as labels grows only with the pairs
+ * that this host has served.
  *
  * @module
  */
@@ -22,7 +24,7 @@
 import type { Deployment } from "../types.ts";
 import type { OwnedUpstream } from "../fleet/mod.ts";
 
-/** What the metrics read at each scrape. */
+/** State that the metrics read at each scrape. */
 export interface MetricsHost {
   getDeployment(): Deployment | undefined;
   getConfigVersion(): number;
@@ -31,14 +33,14 @@
   getQueued(service: string): ReadonlyMap<string, number>;
   /** Arrival of the oldest waiting request, in monotonic milliseconds. */
   tryGetOldestMs(service: string): number | undefined;
-  /** Service of the team divided by its weight, as this host knows it. */
+  /** Service that the team received, divided by its weight. */
   getCounter(service: string, team: string): number;
   getMembers(): readonly Member[];
   isReady(): boolean;
   nowMs(): number;
 }
 
-/** Service that a team has had from one service by requests of this host. */
+/** Cost and number of a team's requests to one service through this host. */
 export interface ServedTeam {
   readonly service: string;
   readonly team: string;
@@ -47,7 +49,7 @@
   readonly cost: number;
 }
 
-/** Takes in what happens and renders it for a scrape. */
+/** Collects metrics and renders them for a scrape. */
 export interface RouterMetrics {
   observeEnd(end: RequestEnd): void;
   observeEvent(event: TimelineEvent): void;
@@ -67,7 +69,7 @@
 
 type Registers = [Registry];
 
-/** Makes the metrics with a registry of their own. */
+/** Creates the metrics, with their own registry. */
 export function createRouterMetrics(host: MetricsHost): RouterMetrics {
   const registry = new Registry();
   const registers: Registers = [registry];
@@ -135,7 +137,8 @@
     }),
     cost: new Counter({
       name: "azurestile_service_cost_units_total",
-      help: "Service given, in the service's cost unit, by service and team",
+      help:
+        "Cost of ended requests, in the service's cost unit, by service and team",
       labelNames: ["service", "team"],
       registers,
     }),
@@ -148,13 +151,13 @@
     }),
     waits: new Histogram({
       name: "azurestile_slot_wait_seconds",
-      help: "Time that a request waited for a slot, in seconds",
+      help: "Time that requests waited for a slot, in seconds",
       buckets: SECONDS_BUCKETS,
       registers,
     }),
     events: new Counter({
       name: "azurestile_events_total",
-      help: "Events of the time line, by kind",
+      help: "Events of the timeline, by kind",
       labelNames: ["kind"],
       registers,
     }),
@@ -172,7 +175,7 @@
     }),
     orders: new Counter({
       name: "azurestile_orders_total",
-      help: "Orders to upstreams under a lease of this host, by result",
+      help: "Orders that this host tried to send to upstreams, by result",
       labelNames: ["result"],
       registers,
     }),
@@ -184,13 +187,13 @@
     }),
     regional: new Counter({
       name: "azurestile_regional_control_bytes_total",
-      help: "Bytes of control messages sent across the regional link, by kind",
+      help: "Bytes of control messages sent across regions, by kind",
       labelNames: ["kind"],
       registers,
     }),
     payload: new Counter({
       name: "azurestile_regional_payload_bytes_total",
-      help: "Bytes of requests and answers across the regional link, by way",
+      help: "Bytes of requests and responses across regions, by direction",
       labelNames: ["direction"],
       registers,
     }),
@@ -201,7 +204,7 @@
     }),
     peersLost: new Counter({
       name: "azurestile_peer_links_lost_total",
-      help: "Links to other hosts that were lost and dialed again",
+      help: "Links to other hosts that were lost and are reconnected",
       registers,
     }),
   };
@@ -218,7 +221,7 @@
   });
   new Gauge({
     name: "azurestile_ready",
-    help: "1 while the host takes requests, else 0",
+    help: "1 while the host is ready for requests, else 0",
     registers,
     collect() {
       this.set(host.isReady() ? 1 : 0);
@@ -226,7 +229,7 @@
   });
   new Gauge({
     name: "azurestile_members",
-    help: "Hosts that this host knows by heartbeats, by state",
+    help: "Members of the fleet that this host knows, by state",
     labelNames: ["state"],
     registers,
     collect() {
@@ -243,7 +246,7 @@
   const labelNames = ["upstream"];
   const gauges = [
     ["limit", "Adaptive limit of an owned upstream, in requests in flight"],
-    ["inUse", "Slots in use of an owned upstream"],
+    ["inUse", "Slots of an owned upstream that are in use"],
     ["waiting", "Requests that wait for a slot of an owned upstream"],
   ] as const;
   for (const [key, help] of gauges) {
@@ -266,7 +269,7 @@
   const getServices = () => host.getDeployment()?.services ?? [];
   new Gauge({
     name: "azurestile_queued_requests",
-    help: "Requests that wait at this host, by service and team",
+    help: "Requests waiting at this host, by service and team",
     labelNames: ["service", "team"],
     registers,
     collect() {
@@ -280,7 +283,8 @@
   });
   new Gauge({
     name: "azurestile_oldest_wait_seconds",
-    help: "Wait of the oldest waiting request, by service; 0 for none",
+    help:
+      "Wait of the oldest waiting request in seconds, by service; 0 for none",
     labelNames: ["service"],
     registers,
     collect() {
@@ -293,8 +297,8 @@
   });
   new Gauge({
     name: "azurestile_fairness_gap_cost_units",
-    help: "Largest difference of service divided by weight between teams " +
-      "that wait at this host, by service",
+    help: "Largest difference of cost divided by weight between teams " +
+      "with requests waiting at this host, by service",
     labelNames: ["service"],
     registers,
     collect() {
@@ -305,7 +309,9 @@
   });
 }
 
-/** Spread of the counters of the teams that wait here; 0 for fewer than two. */
+/**
+ * Largest difference between counters of waiting teams; 0 for fewer than two.
+ */
 function getFairnessGap(host: MetricsHost, service: string): number {
   const teams = [...host.getQueued(service).keys()];
   if (teams.length < 2) return 0;
--- a/src/router/regions.ts
+++ b/src/router/regions.ts
@@ -1,5 +1,6 @@
 /**
- * What lies across the link between regions, seen from this host.
+ * Determines which hosts and upstreams are in a different region than this
+ * host.
  *
  * @module
  */
@@ -8,41 +9,42 @@
 import { getRegion } from "../placement/mod.ts";
 import type { Deployment } from "../types.ts";
 
-/** What the view needs of the process. */
+/** Dependencies of the region checks, supplied by the process. */
 export interface RegionsHost {
   readonly dataCentre: string;
   getDeployment(): Deployment | undefined;
   getMembers(): readonly Member[];
 }
 
-/** Tells what is in another region; false while that is not known. */
+/** Checks for another region; false while the location is unknown. */
 export interface Regions {
-  isHostFar(host: string): boolean;
-  /** By the address that hosts use among themselves. */
-  isPeerFar(peerAddress: string): boolean;
-  isUpstreamFar(address: string): boolean;
+  isHostInOtherRegion(host: string): boolean;
+  /** Identifies the host by its peer address. */
+  isPeerInOtherRegion(peerAddress: string): boolean;
+  isUpstreamInOtherRegion(address: string): boolean;
 }
 
-/** Makes the view of a host. */
+/** Creates the region checks of a host. */
 export function createRegions(host: RegionsHost): Regions {
-  function isFar(dataCentre: string | undefined): boolean {
+  function isInOtherRegion(dataCentre: string | undefined): boolean {
     const deployment = host.getDeployment();
     if (deployment === undefined || dataCentre === undefined) return false;
     return getRegion(deployment, dataCentre) !==
       getRegion(deployment, host.dataCentre);
   }
 
-  function findMember(matches: (member: Member) => boolean) {
+  function findDataCentre(matches: (member: Member) => boolean) {
     return host.getMembers().find(matches)?.dataCentre;
   }
 
   return {
-    isHostFar: (id) => isFar(findMember((each) => each.host === id)),
-    isPeerFar: (address) =>
-      isFar(findMember((each) => each.peerAddress === address)),
-    isUpstreamFar(address) {
+    isHostInOtherRegion: (id) =>
+      isInOtherRegion(findDataCentre((each) => each.host === id)),
+    isPeerInOtherRegion: (address) =>
+      isInOtherRegion(findDataCentre((each) => each.peerAddress === address)),
+    isUpstreamInOtherRegion(address) {
       const upstreams = host.getDeployment()?.upstreams ?? [];
-      return isFar(
+      return isInOtherRegion(
         upstreams.find((each) => each.address === address)?.dataCentre,
       );
     },
--- a/src/router/seeds.ts
+++ b/src/router/seeds.ts
@@ -1,6 +1,7 @@
 /**
- * The platform's list as a seed of the membership: it lags, so a host that it
- * names is asked before it counts as a member.
+ * Seeds the membership with hosts of the settings or of the platform's machine
+ * list. The list may be out of date, so a listed host counts as a member only
+ * after it responded to a probe.
  *
  * @module
  */
@@ -8,22 +9,24 @@
 import type { Membership } from "../membership/mod.ts";
 import type { ListedMachine } from "../platform/mod.ts";
 
-/** A host as the settings or the platform's list name it. */
+/** A host of the settings or of the platform's list. */
 export type SeedHost = Pick<ListedMachine, "id" | "dataCentre" | "address">;
 
-/** Takes the live routers of the list in. */
-export function learnListedHosts(
+/** Replaces the seeds by the live routers of the machine list. */
+export function setSeedsFromList(
   membership: Membership,
   machines: readonly ListedMachine[],
 ): void {
   const live = machines.filter((machine) =>
     machine.role === "router" && machine.state === "live"
   );
-  learnSeeds(membership, live);
+  setSeeds(membership, live);
 }
 
-/** Replaces the hosts that are asked when they are not known. */
-export function learnSeeds(
+/**
+ * Replaces the seeds: hosts to probe although they are not known as members.
+ */
+export function setSeeds(
   membership: Membership,
   seeds: readonly SeedHost[],
 ): void {
--- a/src/streams/follow_stream.ts
+++ b/src/streams/follow_stream.ts
@@ -1,7 +1,7 @@
 /**
- * Follows one stream of an engine to its last event, through connections that
- * break, go silent or lose events: each time it asks the same engine to go on
- * from the next offset. What it passes on has no gap and no repeat.
+ * Reads one stream of an engine to its last event. When a connection breaks,
+ * goes silent or loses events, the stream is resumed at the same engine from
+ * the next offset. Delivered events have no gaps and no repeats.
  *
  * @module
  */
@@ -13,27 +13,27 @@
   UpstreamError,
 } from "../upstreams/mod.ts";
 
-/** How far a stream has come; outlives one connection. */
+/** Progress of a stream across its connections. */
 export interface StreamProgress {
   /** Next offset that the caller needs. */
   nextOffset: number;
-  /** Work done so far in tokens, delivered or not. */
+  /** Tokens that the engine has generated, delivered or not. */
   cost: number;
 }
 
-/** What following needs. */
+/** Dependencies of following a stream. */
 export interface FollowHost<E> {
-  /** Opens the stream from the offset on; "forgotten" when it is gone. */
+  /** Opens the stream at the offset; fails with "forgotten" if it is gone. */
   resume(offset: number): Effect.Effect<EventStream, UpstreamError>;
-  /** Passes a part on to the caller, at the caller's pace. */
+  /** Sends a token to the caller; completes at the caller's reading speed. */
   deliver(event: StreamEvent): Effect.Effect<void, E>;
   onResumed(offset: number, reason: string): void;
 }
 
-/** Resumptions in a row that bring no event, before the stream is given up. */
-export const MAX_FRUITLESS_RESUMES = 3;
+/** Consecutive resumptions without a new token before the stream fails. */
+export const MAX_STALLED_RESUMES = 3;
 
-/** Follows the stream; gives its cost in tokens. */
+/** Reads the stream to its end; returns its cost in tokens. */
 export function followStream<E>(
   first: EventStream,
   progress: StreamProgress,
@@ -41,13 +41,15 @@
 ): Effect.Effect<number, UpstreamError | E> {
   return Effect.gen(function* () {
     let stream = first;
-    let fruitless = 0;
+    let stalledResumes = 0;
     while (true) {
       const startOffset = progress.nextOffset;
       const result = yield* readToEnd(stream, progress, host);
       if (result.kind === "ended") return result.cost;
-      fruitless = progress.nextOffset > startOffset ? 0 : fruitless + 1;
-      if (fruitless > MAX_FRUITLESS_RESUMES) {
+      stalledResumes = progress.nextOffset > startOffset
+        ? 0
+        : stalledResumes + 1;
+      if (stalledResumes > MAX_STALLED_RESUMES) {
         return yield* Effect.fail(result.err);
       }
       stream = yield* host.resume(progress.nextOffset);
@@ -73,10 +75,10 @@
       }
       if (event.name === "end") {
         yield* checkComplete(event, progress);
-        progress.cost = Math.max(progress.cost, getTokens(event));
+        progress.cost = Math.max(progress.cost, getTokenCount(event));
         return { kind: "ended" as const, cost: progress.cost };
       }
-      if (event.name === "token") yield* takeToken(event, progress, host);
+      if (event.name === "token") yield* deliverToken(event, progress, host);
     }
   }).pipe(
     Effect.catch((err) =>
@@ -88,29 +90,30 @@
   );
 }
 
-function takeToken<E>(
+function deliverToken<E>(
   event: StreamEvent,
   progress: StreamProgress,
   host: FollowHost<E>,
 ): Effect.Effect<void, UpstreamError | E> {
   const { offset } = event;
-  // Late and repeated events of an earlier connection, or of a resumption.
+  // An event of an earlier connection, or one that a resumption repeated.
   if (offset < progress.nextOffset) return Effect.void;
   if (offset > progress.nextOffset) {
-    return fail("gap", `Expected ${progress.nextOffset}, got ${offset}`);
+    return fail("gap", `Expected offset ${progress.nextOffset}, got ${offset}`);
   }
   progress.nextOffset = offset + 1;
   progress.cost = Math.max(progress.cost, progress.nextOffset);
   return host.deliver(event);
 }
 
-/** An engine that lost events before the last one must send them again. */
+/** Fails if events before the last one are missing, so that they are resent. */
 function checkComplete(
   end: StreamEvent,
   progress: StreamProgress,
 ): Effect.Effect<void, UpstreamError> {
   if (end.offset < 0 || end.offset === progress.nextOffset) return Effect.void;
-  const reason = `Ended at ${end.offset}, got up to ${progress.nextOffset}`;
+  const reason =
+    `Stream ended at offset ${end.offset}, expected ${progress.nextOffset}`;
   return fail("gap", reason);
 }
 
@@ -121,7 +124,7 @@
   return Effect.fail(new UpstreamError({ failure, reason }));
 }
 
-function getTokens(end: StreamEvent): number {
+function getTokenCount(end: StreamEvent): number {
   const parsed = JSON.parse(end.data) as { tokens?: number };
   return parsed.tokens ?? 0;
 }
