--- a/src/claims/group_commit.ts
+++ b/src/claims/group_commit.ts
@@ -1,10 +1,11 @@
 /**
- * Gathers conditional writes: while one transaction is under way the next
- * writes wait, and then go together in one.
+ * Group commit of conditional writes: writes that arrive while a transaction is
+ * in flight wait and are committed together in the next one.
  *
- * Load: a burst of calls that each need a claim, and a store that takes several
- * hundred writes a second from the whole fleet. Harm prevented: one write for
- * each call uses up the store's rate, or a queue of round trips builds up.
+ * Load: a burst of calls that each need a claim, and a table service that
+ * accepts several hundred writes per second from the whole fleet. Failure
+ * prevented: one write per call exceeds the service's rate, or a queue of round
+ * trips builds up.
  *
  * @module
  */
@@ -17,69 +18,72 @@
   TableService,
 } from "../platform/mod.ts";
 
-/** A write whose value tells it from every other write. */
+/** A conditional write whose value carries a unique id. */
 export interface IdentifiedWrite extends ConditionalWrite {
   readonly value: { readonly writeId: string };
 }
 
-/** What became of one write. */
+/** Result of one write. */
 export type WriteResult =
   | { readonly kind: "committed" }
-  /** The row as it is; the write can no longer take effect. */
+  /** The write can no longer take effect; `row` is the current row. */
   | { readonly kind: "conflict"; readonly row: Row }
-  /** The write may take effect now, later or never. */
+  /** The write may have taken effect, or may do so later or never. */
   | { readonly kind: "failed"; readonly err: PlatformError };
 
 /** Commits writes in groups. */
 export interface GroupCommit {
-  /** Interrupting a waiting caller does not take the write back. */
+  /** Queues a write. Interrupting the caller does not withdraw it. */
   write(write: IdentifiedWrite): Effect.Effect<WriteResult>;
 }
 
 interface Pending {
   readonly write: IdentifiedWrite;
-  tries: number;
+  attempts: number;
   settle(result: WriteResult): void;
 }
 
-/** Writes in one transaction at most; table services limit them. */
-export const MAX_GROUP = 50;
+/** Maximum writes in one transaction, which table services limit. */
+export const MAX_GROUP_SIZE = 50;
 
-/** Tries of one write whose reply is lost and that reads back as not there. */
-const MAX_TRIES = 3;
+/** Attempts of a write whose replies are lost and that did not take effect. */
+const MAX_ATTEMPTS = 3;
 
-/** Makes a committer with nothing to commit. */
+/** Creates a group commit without pending writes. */
 export function createGroupCommit(tables: TableService): GroupCommit {
   let pending: Pending[] = [];
   let isRunning = false;
 
-  /** Two writes of one row never share a group: each needs its own version. */
-  function takeGroup(): Pending[] {
+  /**
+   * Removes the next group from the queue. Two writes of one row never share a
+   * group, since each expects its own version of the row.
+   */
+  function dequeueGroup(): Pending[] {
     const rows = new Set<string>();
     const group: Pending[] = [];
-    const left: Pending[] = [];
+    const remaining: Pending[] = [];
     for (const each of pending) {
       const row = `${each.write.table}/${each.write.key}`;
-      if (group.length >= MAX_GROUP || rows.has(row)) left.push(each);
+      if (group.length >= MAX_GROUP_SIZE || rows.has(row)) remaining.push(each);
       else group.push(each);
       rows.add(row);
     }
-    pending = left;
+    pending = remaining;
     return group;
   }
 
   const commitAll = Effect.gen(function* () {
     while (pending.length > 0) {
-      const group = takeGroup();
+      const group = dequeueGroup();
       const writes = group.map((each) => each.write);
       yield* tables.transact(writes).pipe(
         Effect.flatMap((result) =>
           Effect.sync(() => {
             if (result.kind === "committed") settleAll(group);
-            else splitConflict(group, result.rows);
+            else resolveConflict(group, result.rows);
           })
         ),
-        Effect.catchTag("PlatformError", (err) => resolveLost(group, err)),
+        Effect.catchTag("PlatformError", (err) => resolveUncertain(group, err)),
       );
     }
   });
@@ -96,35 +100,39 @@
     for (const each of group) each.settle({ kind: "committed" });
   }
 
-  /** One write's conflict must not fail the others: they go again at once. */
-  function splitConflict(
+  /**
+   * Settles the writes that conflict and requeues the others, so that one
+   * conflict does not fail the whole group.
+   */
+  function resolveConflict(
     group: readonly Pending[],
     rows: readonly (Row | undefined)[],
   ): void {
-    const again = group.filter((each, index) => {
-      const row = rows[index] ?? createAbsent(each.write.key);
+    const unsettled = group.filter((each, index) => {
+      const row = rows[index] ?? createAbsentRow(each.write.key);
       return !trySettleByRow(each, row);
     });
-    pending = [...again, ...pending];
+    pending = [...unsettled, ...pending];
   }
 
   /**
-   * The reply was lost, so each write may stand or not. Its row tells; a write
-   * that is not there goes again with the same expected version, so that the
-   * lost one, should it still arrive, meets a conflict.
+   * Handles a failed transaction. If its reply was lost, each write may or may
+   * not have taken effect, and its row is read to find out. A write that did
+   * not take effect is retried with the same expected version, so that the lost
+   * write conflicts if it still arrives.
    */
-  function resolveLost(
+  function resolveUncertain(
     group: readonly Pending[],
     err: PlatformError,
   ): Effect.Effect<void> {
     if (!err.mayHaveRun) return Effect.sync(() => failAll(group, err));
-    return Effect.forEach(group, (each) => resolveOne(each, err), {
+    return Effect.forEach(group, (each) => resolveByRow(each, err), {
       concurrency: 8,
       discard: true,
     });
   }
 
-  function resolveOne(
+  function resolveByRow(
     each: Pending,
     err: PlatformError,
   ): Effect.Effect<void> {
@@ -132,8 +140,8 @@
     return tables.get(table, key).pipe(
       Effect.map((row) => {
         if (trySettleByRow(each, row)) return;
-        each.tries++;
-        if (each.tries < MAX_TRIES) pending.push(each);
+        each.attempts++;
+        if (each.attempts < MAX_ATTEMPTS) pending.push(each);
         else each.settle({ kind: "failed", err });
       }),
       Effect.catchTag(
@@ -148,7 +156,7 @@
       Effect.callback<WriteResult>((resume) => {
         pending.push({
           write,
-          tries: 0,
+          attempts: 0,
           settle: (result) => resume(Effect.succeed(result)),
         });
         start();
@@ -156,7 +164,7 @@
   };
 }
 
-/** True when the row as it is decides the write's fate. */
+/** Settles the write if the current row shows its outcome; true if it did. */
 function trySettleByRow(each: Pending, row: Row): boolean {
   const { expectedVersion, value } = each.write;
   if (row.version === expectedVersion) return false;
@@ -170,6 +178,6 @@
   for (const each of group) each.settle({ kind: "failed", err });
 }
 
-function createAbsent(key: string): Row {
+function createAbsentRow(key: string): Row {
   return { key, value: null, version: 0 };
 }
--- a/src/router/router.ts
+++ b/src/router/router.ts
@@ -1,6 +1,6 @@
 /**
- * One router process: makes the parts, joins them and runs their tasks.
- * Disposing of a router ends its tasks and closes its sockets.
+ * One router process: creates its modules, connects them and runs their
+ * periodic tasks. Disposing of a router ends its tasks and closes its sockets.
  *
  * @module
  */
@@ -26,25 +26,25 @@
 import { serveRequest } from "../requests/serve.ts";
 import { createRecorder } from "../timeline/mod.ts";
 import { createConfiguration } from "./configuration.ts";
-import { createOutOfSight, isCrashFact } from "./crash_facts.ts";
+import { createUnreachableHosts, isCrashFact } from "./crash_facts.ts";
 import { createDrain, type DrainResult } from "./drain.ts";
-import { createJournal } from "./journal.ts";
-import { createLeavingUpstreams } from "./leaving.ts";
+import { createEventReporter } from "./event_reporter.ts";
+import { createLeavingUpstreams } from "./leaving_upstreams.ts";
 import { createRouterMetrics } from "./metrics.ts";
 import { createObservedPlatform } from "./observed_platform.ts";
 import { createOperatorHandlers } from "./operator_handlers.ts";
-import { startPeriodicTasks } from "./periodic.ts";
+import { startPeriodicTasks } from "./periodic_tasks.ts";
 import { listenForCallers } from "./public_server.ts";
 import { createRegions } from "./regions.ts";
-import { createFlushedSlots, createFlusher } from "./flusher.ts";
-import { learnListedHosts, learnSeeds } from "./seeds.ts";
+import { createFlusher, createFlushingSlots } from "./flusher.ts";
+import { setSeeds, setSeedsFromList } from "./seeds.ts";
 import { createServing } from "./serving.ts";
-import { createTaskWatch } from "./task_watch.ts";
-import { onPlatformFailure } from "./tasks.ts";
-import { createUpstreamWatch } from "./upstream_watch.ts";
-import { getNamedHosts, serveWhere } from "./where.ts";
+import { createTaskMonitor } from "./task_monitor.ts";
+import { reportPlatformFailure } from "./tasks.ts";
+import { createUpstreamReconciliation } from "./upstream_reconciliation.ts";
+import { getAdvertisedHosts, serveWhere } from "./serve_where.ts";
 
-/** What a router needs of the world. */
+/** Dependencies of a router, supplied by its program. */
 export interface RouterHost {
   readonly clock: Clock;
   readonly platform: Platform;
@@ -53,17 +53,17 @@
 
 /** A running router. */
 export interface Router extends AsyncDisposable {
-  /** Takes no new work, ends what it has, within the limit of the settings. */
+  /** Refuses new requests and completes the others, up to the drain limit. */
   drain(): Promise<DrainResult>;
-  /** Answers that are not whole yet. */
+  /** Returns the number of incomplete responses. */
   countInFlight(): number;
 }
 
-const FLUSH_MS = 5;
+const FLUSH_DELAY_MS = 5;
 
 const TIMELINE_CAPACITY = 20_000;
 
-/** Starts a router; rejects when an address is taken. */
+/** Starts a router; rejects if an address is already in use. */
 export async function startRouter(
   settings: RouterSettings,
   host: RouterHost,
@@ -89,7 +89,7 @@
     getCounter: (service, team) =>
       fleet.getCounters().get(service)?.get(team) ?? 0,
     getMembers: () => membership.getMembers(),
-    isReady: () => tryGetNotReady() === undefined,
+    isReady: () => tryGetNotReadyReason() === undefined,
     nowMs: clock.monotonicMs,
   });
   const fleetToken = getDigest(settings.fleetSecret);
@@ -97,8 +97,11 @@
   const incarnation = Math.floor(clock.wallMs());
   const configStore = createConfigStore(platform);
 
-  const journal = createJournal({ logger, recorder, metrics });
-  const taskWatch = createTaskWatch({ clock, onFailed: journal.taskFailed });
+  const reporter = createEventReporter({ logger, recorder, metrics });
+  const taskMonitor = createTaskMonitor({
+    clock,
+    onFailed: reporter.taskFailed,
+  });
 
   const configuration = createConfiguration({
     clock,
@@ -106,10 +109,10 @@
     fleetToken,
     getMembership: () => membership,
     onInForce(config) {
-      journal.configInForce(config);
+      reporter.configInForce(config);
       fleet.reconcile();
     },
-    onRefused: journal.configRefused,
+    onRefused: reporter.configRefused,
   });
   const getDeployment = () => configuration.getCurrent()?.deployment;
   const regions = createRegions({
@@ -118,16 +121,16 @@
     getMembers: () => membership.getMembers(),
   });
 
-  const leaving = createLeavingUpstreams({
+  const leavingUpstreams = createLeavingUpstreams({
     clock,
     spreadFact: (fact) => membership.spreadFact(fact),
     onChange(upstream, isLeaving) {
-      journal.upstreamLeaving(upstream, isLeaving);
+      reporter.upstreamLeaving(upstream, isLeaving);
       fleet.reconcile();
     },
   });
 
-  const outOfSight = createOutOfSight(clock);
+  const unreachableHosts = createUnreachableHosts(clock);
   const membership = createMembership({
     host: settings.host,
     incarnation,
@@ -140,21 +143,21 @@
     clock,
     send(address, message) {
       const bytes = datagrams.send(address, message);
-      const crossesRegion = regions.isPeerFar(address);
+      const crossesRegion = regions.isPeerInOtherRegion(address);
       metrics.addControlBytes("heartbeat", bytes, { crossesRegion });
     },
     random: Math.random,
     onChange(member) {
-      outOfSight.receive(member);
-      journal.memberChanged(member);
+      unreachableHosts.receive(member);
+      reporter.memberChanged(member);
       fleet.reconcile();
     },
     onFact(fact) {
       if (isCrashFact(fact)) serving.quarantine.receiveFact(fact.value);
-      else leaving.receiveFact(fact);
+      else leavingUpstreams.receiveFact(fact);
     },
     onConfigVersion: (version, digest, from) =>
-      configuration.receiveClaim({ version, digest }, from),
+      configuration.receiveAnnouncement({ version, digest }, from),
     getConfigVersion: () => ({
       version: configuration.getCurrent()?.version ?? 0,
       digest: configuration.getCurrent()?.digest ?? "",
@@ -171,7 +174,7 @@
     recorder,
     membership,
     getDeployment,
-    isUpstreamLeaving: leaving.isLeaving,
+    isUpstreamLeaving: leavingUpstreams.isLeaving,
     policy: defaultFleetPolicy,
     random: Math.random,
     createLink: (address, linkHost) =>
@@ -179,23 +182,23 @@
         ...linkHost,
         onOpen() {
           linkHost.onOpen();
-          flusher.kick();
+          flusher.scheduleFlush();
         },
         onFrame(frame) {
           linkHost.onFrame(frame);
-          flusher.kick();
+          flusher.scheduleFlush();
         },
       }),
     isDialedBy: (peer) => peerServer.isConnected(peer),
     defer: (run) =>
       queueMicrotask(() => {
         run();
-        flusher.kick();
+        flusher.scheduleFlush();
       }),
     trySendBack: (peer, frame) => peerServer.trySend(peer, frame),
-    onPeerLost: journal.peerLost,
+    onPeerLost: reporter.peerLost,
     onControlSent(kind, bytes, peer) {
-      const crossesRegion = regions.isHostFar(peer);
+      const crossesRegion = regions.isHostInOtherRegion(peer);
       metrics.addControlBytes(kind, bytes, { crossesRegion });
     },
   });
@@ -204,30 +207,31 @@
     clock,
     sleep: Effect.sleep,
     hasCallers: () => getDeployment() !== undefined,
-    leave: membership.leave,
-    getOtherHosts: () => getNamedHosts(membership).map((each) => each.address),
-    onPhase: journal.drainPhase,
+    announceLeaving: membership.leave,
+    getOtherHosts: () =>
+      getAdvertisedHosts(membership).map((each) => each.address),
+    onPhase: reporter.drainPhase,
   }, settings);
 
   const flusher = createFlusher({
     flush: fleet.flush,
-    hasWaiting: () => serving.backlog.getUse().requests > 0,
-  }, FLUSH_MS);
+    hasWaitingRequests: () => serving.backlog.getUse().requests > 0,
+  }, FLUSH_DELAY_MS);
   const serving = createServing({
     settings,
     incarnation,
     clock,
     platform,
     recorder,
-    journal,
+    reporter,
     metrics,
     regions,
     membership,
     fleet,
     drain,
-    slots: createFlushedSlots(fleet.slots, flusher.kick),
+    slots: createFlushingSlots(fleet.slots, flusher.scheduleFlush),
     getDeployment,
-    isSomeHostOutOfSight: outOfSight.isAny,
+    isAnyHostUnreachable: unreachableHosts.isAnyUnreachable,
   });
 
   const datagrams = await openDatagrams(
@@ -241,7 +245,7 @@
     fleetToken,
     onFrame(peer, frame) {
       fleet.receiveFrame(peer, frame);
-      flusher.kick();
+      flusher.scheduleFlush();
     },
     tryGetConfiguration: configuration.tryEncode,
     countHosts: () => membership.getMembers().length,
@@ -257,8 +261,8 @@
         req,
         res,
       ),
-    tryGetNotReady,
-    tryGetUnhealthy: taskWatch.tryGetStuck,
+    tryGetNotReadyReason,
+    tryGetUnhealthyReason: taskMonitor.tryGetStuckReason,
     getMetrics: metrics.render,
     operatorHandlers: createOperatorHandlers({
       clock,
@@ -271,33 +275,33 @@
       getCurrent: configuration.getCurrent,
       onAccepted: configuration.offer,
       isDraining: () => drain.getPhase() !== "serving",
-      isUpstreamLeaving: leaving.isLeaving,
-      tryGetNotReady,
+      isUpstreamLeaving: leavingUpstreams.isLeaving,
+      tryGetNotReadyReason,
       getServed: metrics.getServed,
     }),
   });
 
-  function tryGetNotReady(): string | undefined {
+  function tryGetNotReadyReason(): string | undefined {
     if (drain.getPhase() !== "serving") return "The host is leaving";
     if (getDeployment() === undefined) return "No configuration is in force";
     return undefined;
   }
 
-  /** The next turn tries again; a failure only shows. */
-  function watchPlatform<A>(
+  /** Reports a failure of the platform; the next run of the task retries. */
+  function reportFailure<A>(
     call: Effect.Effect<A, PlatformError>,
   ): Effect.Effect<void> {
-    return onPlatformFailure(call, journal.platformFailed);
+    return reportPlatformFailure(call, reporter.platformFailed);
   }
 
   const pollMachines = platform.machines.get().pipe(
     Effect.map((machines) => {
-      learnListedHosts(membership, machines);
-      leaving.receiveList(machines);
+      setSeedsFromList(membership, machines);
+      leavingUpstreams.receiveMachineList(machines);
     }),
   );
 
-  const watchUpstreams = createUpstreamWatch({
+  const reconcileUpstreams = createUpstreamReconciliation({
     id: settings.host,
     clock,
     platform,
@@ -307,12 +311,12 @@
       (getDeployment()?.upstreams ?? []).filter((upstream) =>
         fleet.getOwner(upstream.id) === settings.host
       ),
-    mayGiveOrders: () => drain.getPhase() === "serving",
-    onWord: leaving.receiveWord,
-    watchPlatform,
+    maySendOrders: () => drain.getPhase() === "serving",
+    onLeavingReport: leavingUpstreams.receiveReport,
+    reportFailure,
   });
 
-  learnSeeds(
+  setSeeds(
     membership,
     settings.seeds.map((seed) => ({ ...seed, address: seed.peerAddress })),
   );
@@ -323,17 +327,17 @@
     backlog: serving.backlog,
     quarantine: serving.quarantine,
     claims: serving.claims,
-    taskWatch,
-    watchUpstreams,
+    taskMonitor,
+    reconcileUpstreams,
     pollMachines,
-    watchPlatform,
+    reportFailure,
   });
-  journal.started(settings.publicAddress, settings.peerAddress);
+  reporter.started(settings.publicAddress, settings.peerAddress);
 
   return {
     async drain() {
       const result = await Effect.runPromise(drain.run);
-      journal.stopped(result);
+      reporter.stopped(result);
       return result;
     },
     countInFlight: drain.countInFlight,
@@ -347,7 +351,7 @@
   };
 }
 
-/** Makes a router over the machine's own clock. */
+/** Starts a router with the system clock. */
 export function startRouterOnMachine(
   settings: RouterSettings,
   host: Omit<RouterHost, "clock">,
--- a/src/router/tasks.ts
+++ b/src/router/tasks.ts
@@ -1,5 +1,5 @@
 /**
- * The router's periodic tasks, each one fiber that works and pauses in turn.
+ * Helpers of the router's periodic tasks, each of which is one fiber.
  *
  * @module
  */
@@ -7,8 +7,8 @@
 import * as Effect from "effect/Effect";
 import type { PlatformError } from "../platform/mod.ts";
 
-/** Runs a task at once and then again after each pause, in milliseconds. */
-export function every(
+/** Runs a task at once and again after each pause, in ms. */
+export function runPeriodically(
   pauseMs: number | (() => number),
   task: Effect.Effect<void>,
 ): Effect.Effect<never> {
@@ -20,8 +20,8 @@
   });
 }
 
-/** A call to the platform whose failure is told and not raised. */
-export function onPlatformFailure<A>(
+/** Runs a call to the platform; reports its failure instead of failing. */
+export function reportPlatformFailure<A>(
   call: Effect.Effect<A, PlatformError>,
   onFailure: (reason: string) => void,
 ): Effect.Effect<void> {
