--- a/src/load/load_sums_test.ts
+++ b/src/load/load_reporter_test.ts
@@ -3,15 +3,15 @@
 import { createManualClock } from "../core/mod.ts";
 import { getNameDigest } from "../peers/mod.ts";
 import {
-  createLoadSums,
+  createLoadReporter,
   type LoadPeer,
-  MAX_DIRECT_HOSTS,
-} from "./load_sums.ts";
+  MAX_FULL_MESH_HOSTS,
+} from "./load_reporter.ts";
 import { createLoadView } from "./load_view.ts";
 
 const LINK_MS = 20;
 
-/** A fleet whose hosts tell each other their load over links of 20 ms. */
+/** Creates a fleet whose hosts exchange load reports with 20 ms of latency. */
 function createFleet(dataCentres: number, hostsInEach: number) {
   const clock = createManualClock(1_000);
   const peers: LoadPeer[] = [];
@@ -21,7 +21,7 @@
   }
   const dead = new Set<string>();
   let datagrams = 0;
-  let acrossDatagrams = 0;
+  let crossDatagrams = 0;
   const due: { readonly atMs: number; run(): void }[] = [];
   const getAlive = () => peers.filter((each) => !dead.has(each.peerAddress));
   const hosts = peers.map((self) => {
@@ -32,33 +32,33 @@
       getStatedCapacity: () => 1_000,
       getLearned: () => [],
     });
-    const sums = createLoadSums({
+    const reporter = createLoadReporter({
       clock,
       self,
       getHosts: getAlive,
       getDigest: getNameDigest,
-      createOwn: view.createUse,
-      onOthers: view.receive,
+      createOwnContent: view.createOwnContent,
+      onOthersLoad: view.receive,
     });
-    return { self, view, sums };
+    return { self, view, reporter };
   });
 
   function sendAll(): void {
-    for (const { self, sums } of hosts) {
+    for (const { self, reporter } of hosts) {
       if (dead.has(self.peerAddress)) continue;
-      for (const { to, report } of sums.createReports()) {
+      for (const { to, report } of reporter.createReports()) {
         for (const address of to) {
           const target = hosts.find((each) =>
             each.self.peerAddress === address
           )!;
           datagrams++;
-          const isAcross = target.self.dataCentre !== self.dataCentre;
-          if (isAcross) acrossDatagrams++;
+          const isCross = target.self.dataCentre !== self.dataCentre;
+          if (isCross) crossDatagrams++;
           const atMs = clock.monotonicMs() + LINK_MS;
           due.push({
             atMs,
             run() {
-              if (!dead.has(address)) target.sums.receive(report);
+              if (!dead.has(address)) target.reporter.receive(report);
             },
           });
         }
@@ -78,8 +78,8 @@
   return {
     hosts,
     dead,
-    /** Plays rounds in which every host reports, a period apart. */
-    play(rounds: number): void {
+    /** Runs rounds, one period apart, in each of which every host reports. */
+    runRounds(rounds: number): void {
       for (let round = 0; round < rounds; round++) {
         sendAll();
         advance(LINK_MS);
@@ -87,62 +87,63 @@
       }
     },
     countDatagrams: () => datagrams,
-    countAcross: () => acrossDatagrams,
+    countCrossDatagrams: () => crossDatagrams,
   };
 }
 
-test("hosts of a large fleet know each other's use by few datagrams", () => {
-  // Eighty hosts before the same upstreams. Told by each to each, a round takes
-  // 6,320 datagrams, so that it can be played only each 0.8 s: hosts fill an
-  // upstream that others have filled meanwhile, and it rejects one in seven of
-  // what arrives. Before: 6,320 a round; now 190 and fewer, each 0.1 s.
+test("hosts of a large fleet learn each other's use with few datagrams", () => {
+  // Guards against a full mesh in a large fleet. With eighty hosts it takes
+  // 6,320 datagrams per round, so that rounds have to be 0.8 s apart. Hosts
+  // then send to upstreams that others have filled meanwhile, which reject one
+  // request in seven. With aggregators a round takes at most 190 datagrams, and
+  // rounds are 0.1 s apart.
   const fleet = createFleet(6, 14);
-  for (const { view } of fleet.hosts) view.begin("engine-1");
-  fleet.play(3);
+  for (const { view } of fleet.hosts) view.beginRequest("engine-1");
+  fleet.runRounds(3);
   for (const { view } of fleet.hosts) {
     strictEqual(view.getInFlight("engine-1"), fleet.hosts.length);
   }
   const inRound = fleet.countDatagrams() / 3;
   ok(inRound < 200, `${inRound} datagrams a round`);
-  ok(fleet.countAcross() / 3 <= 30);
+  ok(fleet.countCrossDatagrams() / 3 <= 30);
 });
 
-test("hosts of a large fleet know what waits elsewhere for underserved teams", () => {
+test("hosts of a large fleet know the waiting prompts of underserved teams elsewhere", () => {
   const fleet = createFleet(2, 12);
   const [first, ...others] = fleet.hosts;
   first!.view.setUnderserved(new Map([["engine-1", 2]]));
-  fleet.play(3);
+  fleet.runRounds(3);
   strictEqual(first!.view.getUnderservedElsewhere("engine-1"), 0);
   for (const { view } of others) {
     strictEqual(view.getUnderservedElsewhere("engine-1"), 2);
   }
 });
 
-test("a host's own use is counted as it is, not as it was when last told", () => {
+test("a host counts its own present use, not the one that it last reported", () => {
   const fleet = createFleet(2, 12);
   const [first] = fleet.hosts;
-  for (let at = 0; at < 5; at++) first!.view.begin("engine-1");
-  fleet.play(3);
-  for (let at = 0; at < 5; at++) first!.view.end("engine-1");
+  for (let at = 0; at < 5; at++) first!.view.beginRequest("engine-1");
+  fleet.runRounds(3);
+  for (let at = 0; at < 5; at++) first!.view.endRequest("engine-1");
   strictEqual(first!.view.getInFlight("engine-1"), 0);
-  fleet.play(3);
+  fleet.runRounds(3);
   strictEqual(fleet.hosts[1]!.view.getInFlight("engine-1"), 0);
 });
 
-test("when the host that adds up is killed another one does", () => {
-  // The host that adds up for a data centre loses power. Its hosts hear nothing
-  // more and would count only themselves, and those elsewhere would not count
-  // them, so that all overfill the upstreams.
+test("another host becomes the aggregator when the aggregator is killed", () => {
+  // Guards against a data centre without an aggregator after a power loss. Its
+  // hosts would receive no reports and count only themselves, hosts elsewhere
+  // would not count them, and all would send too much to the upstreams.
   const fleet = createFleet(2, 12);
-  for (const { view } of fleet.hosts) view.begin("engine-1");
-  fleet.play(3);
+  for (const { view } of fleet.hosts) view.beginRequest("engine-1");
+  fleet.runRounds(3);
   for (const dataCentre of ["dc-0", "dc-1"]) {
-    const adder = fleet.hosts.find(({ self, sums }) =>
-      self.dataCentre === dataCentre && sums.createReports().length === 2
+    const aggregator = fleet.hosts.find(({ self, reporter }) =>
+      self.dataCentre === dataCentre && reporter.createReports().length === 2
     )!;
-    fleet.dead.add(adder.self.peerAddress);
+    fleet.dead.add(aggregator.self.peerAddress);
   }
-  fleet.play(4);
+  fleet.runRounds(4);
   const alive = fleet.hosts
     .filter(({ self }) => !fleet.dead.has(self.peerAddress));
   for (const { view } of alive) {
@@ -150,27 +151,27 @@
   }
 });
 
-test("a data centre that is cut off counts for nothing after a while", () => {
+test("reports of a data centre that cannot be reached expire", () => {
   const fleet = createFleet(2, 12);
-  for (const { view } of fleet.hosts) view.begin("engine-1");
-  fleet.play(3);
+  for (const { view } of fleet.hosts) view.beginRequest("engine-1");
+  fleet.runRounds(3);
   const cutOff = fleet.hosts.filter(({ self }) => self.dataCentre === "dc-1");
   for (const { self } of cutOff) fleet.dead.add(self.peerAddress);
-  fleet.play(20);
+  fleet.runRounds(20);
   strictEqual(fleet.hosts[0]!.view.getInFlight("engine-1"), 12);
 });
 
-test("a small fleet's hosts tell each other, and an idle one once", () => {
-  const fleet = createFleet(2, MAX_DIRECT_HOSTS / 2);
+test("hosts of a small fleet report to each other, and idle ones only once", () => {
+  const fleet = createFleet(2, MAX_FULL_MESH_HOSTS / 2);
   const [first] = fleet.hosts;
-  first!.view.begin("engine-1");
-  fleet.play(2);
+  first!.view.beginRequest("engine-1");
+  fleet.runRounds(2);
   for (const { view } of fleet.hosts) {
     strictEqual(view.getInFlight("engine-1"), 1);
   }
-  first!.view.end("engine-1");
-  fleet.play(2);
+  first!.view.endRequest("engine-1");
+  fleet.runRounds(2);
   const before = fleet.countDatagrams();
-  fleet.play(2);
+  fleet.runRounds(2);
   deepStrictEqual(fleet.countDatagrams(), before);
 });
--- a/src/load/load_test.ts
+++ b/src/load/load_test.ts
@@ -11,16 +11,16 @@
 import { getFairLevel } from "./team_shares.ts";
 import type { LoadReport } from "./types.ts";
 
-test("with enough for all no team has a limit", () => {
+test("no team is limited when the capacity is sufficient for all", () => {
   strictEqual(getFairLevel([10, 20, 30], 60), Infinity);
 });
 
-test("those that ask for more than an even share get the same", () => {
-  // 100 of capacity: 10 for the small one, 45 each for the two large ones.
+test("teams that ask for more than an even share get the same amount", () => {
+  // Of a capacity of 100 the small demand gets 10, the two large ones 45 each.
   strictEqual(getFairLevel([10, 400, 90], 100), 45);
 });
 
-test("demands cut at the level add up to the capacity, whatever they are", () => {
+test("any demands, limited to the fair level, add up to the capacity", () => {
   const amount = fc.double({ min: 0.1, max: 1_000, noNaN: true });
   fc.assert(fc.property(
     fc.array(amount, { minLength: 1, maxLength: 300 }),
@@ -50,9 +50,9 @@
     getLearned: () => [],
   });
   let sequence = 0;
-  /** What this host tells each other one in a small fleet. */
+  /** Creates the report that this host sends to the others in a small fleet. */
   const createReport = (): LoadReport => ({
-    ...view.createUse(),
+    ...view.createOwnContent(),
     from,
     sequence: ++sequence,
     scope: "host",
@@ -63,14 +63,14 @@
 }
 
 test("hosts count each other's requests at an upstream", () => {
-  // Guards against hosts that each fill an upstream to its slots.
+  // Guards against hosts that each use all slots of an upstream.
   const a = createView("a");
   const b = createView("b", a.clock);
   for (let at = 0; at < 30; at++) {
-    a.view.begin("engine-1");
-    b.view.begin("engine-1");
+    a.view.beginRequest("engine-1");
+    b.view.beginRequest("engine-1");
   }
-  a.view.beginReading("engine-1", 4_000);
+  a.view.beginPrefill("engine-1", 4_000);
   b.view.receive(a.createReport());
   strictEqual(b.view.getInFlight("engine-1"), 60);
   strictEqual(b.view.getReadingTokens("engine-1"), 4_000);
@@ -79,32 +79,32 @@
 test("an older report does not replace a newer one", () => {
   const a = createView("a");
   const b = createView("b", a.clock);
-  a.view.begin("engine-1");
+  a.view.beginRequest("engine-1");
   const older = a.createReport();
-  a.view.begin("engine-1");
+  a.view.beginRequest("engine-1");
   b.view.receive(a.createReport());
   b.view.receive(older);
   strictEqual(b.view.getInFlight("engine-1"), 2);
 });
 
-test("the load of a host that was killed is forgotten", () => {
+test("the load of a host that was killed expires", () => {
   const a = createView("a");
   const b = createView("b", a.clock);
-  a.view.begin("engine-1");
+  a.view.beginRequest("engine-1");
   b.view.receive(a.createReport());
   a.clock.advance(2_000);
   strictEqual(b.view.getInFlight("engine-1"), 0);
 });
 
-test("a team that floods one host is over its share at all of them", () => {
-  // Guards against a flood that other hosts take for a calm team.
+test("a team that overloads one host is over its share at all hosts", () => {
+  // Guards against hosts that do not know of a team's load at other hosts.
   const a = createView("a");
   const b = createView("b", a.clock);
   for (let at = 0; at < 10; at++) {
-    a.view.noteAsked("flood", 500);
-    a.view.noteBegun("flood", 90);
-    b.view.noteAsked("calm", 20);
-    b.view.noteBegun("calm", 2);
+    a.view.recordAsked("flood", 500);
+    a.view.recordBegun("flood", 90);
+    b.view.recordAsked("calm", 20);
+    b.view.recordBegun("calm", 2);
     a.clock.advance(100);
   }
   b.view.receive(a.createReport());
@@ -113,15 +113,15 @@
   deepStrictEqual(b.view.getShareUsed("nobody"), 0);
 });
 
-test("a team is underserved that is given far less than it asks for and others get", () => {
+test("a team is underserved if it gets far less than it asks for and others get", () => {
   const { clock, view } = createView("a");
   for (let at = 0; at < 10; at++) {
-    view.noteAsked("rich", 500);
-    view.noteBegun("rich", 90);
-    view.noteAsked("poor", 500);
-    view.noteBegun("poor", 40);
-    view.noteAsked("small", 20);
-    view.noteBegun("small", 19);
+    view.recordAsked("rich", 500);
+    view.recordBegun("rich", 90);
+    view.recordAsked("poor", 500);
+    view.recordBegun("poor", 40);
+    view.recordAsked("small", 20);
+    view.recordBegun("small", 19);
     clock.advance(100);
   }
   const underserved = ["rich", "poor", "small", "nobody"].filter(
@@ -130,8 +130,8 @@
   deepStrictEqual(underserved, ["poor"]);
 });
 
-test("hosts know what waits elsewhere for underserved teams, and when it is gone", () => {
-  // Guards against upstreams that idle for prompts that wait no longer.
+test("hosts know how many prompts of underserved teams wait elsewhere", () => {
+  // Guards against upstreams that stay idle for prompts that no longer wait.
   const a = createView("a");
   const b = createView("b", a.clock);
   a.view.setUnderserved(new Map([["engine-1", 2]]));
@@ -143,7 +143,7 @@
   strictEqual(b.view.getUnderservedElsewhere("engine-1"), 0);
 });
 
-test("what waits at a host that was killed holds nobody back", () => {
+test("prompts that waited at a host that was killed hold up no others", () => {
   const a = createView("a");
   const b = createView("b", a.clock);
   a.view.setUnderserved(new Map([["engine-1", 2]]));
@@ -152,12 +152,13 @@
   strictEqual(b.view.getUnderservedElsewhere("engine-1"), 0);
 });
 
-test("an upstream that others have filled is not free after a pause of this host", () => {
-  // Guards against starts on the ground of a host's own silence.
+test("reports do not expire while this host itself is blocked", () => {
+  // Guards against a host that, after a long event-loop iteration, takes full
+  // upstreams for free because the reports of other hosts seem to be too old.
   const a = createView("a");
   const working = createWorkingClock(a.clock);
   const b = createView("b", a.clock, working);
-  a.view.beginReading("engine-1", 9_000);
+  a.view.beginPrefill("engine-1", 9_000);
   b.view.receive(a.createReport());
   a.clock.advance(1_600);
   strictEqual(b.view.getReadingTokens("engine-1"), 9_000);
--- /dev/null
+++ b/src/load/use_totals.ts
@@ -0,0 +1,33 @@
+/**
+ * Totals of the use of one upstream, to which reports are added and subtracted.
+ *
+ * @module
+ */
+
+import type { UpstreamUse } from "./types.ts";
+
+/** The use of an upstream, without its id. */
+export type UseTotals = {
+  -readonly [Key in Exclude<keyof UpstreamUse, "upstream">]: UpstreamUse[Key];
+};
+
+/** Creates totals of zero. */
+export function createUseTotals(): UseTotals {
+  return { inFlight: 0, readingTokens: 0, underserved: 0 };
+}
+
+/** Adds `other` to `use`, or subtracts it if `sign` is -1. */
+export function addUse(
+  use: UseTotals,
+  other: Readonly<UseTotals>,
+  sign: 1 | -1,
+): void {
+  use.inFlight += sign * other.inFlight;
+  use.readingTokens += sign * other.readingTokens;
+  use.underserved += sign * other.underserved;
+}
+
+/** Whether any of the totals is above zero. */
+export function isUsed(use: Readonly<UseTotals>): boolean {
+  return use.inFlight > 0 || use.readingTokens > 0 || use.underserved > 0;
+}
--- a/src/queue/team_queue_test.ts
+++ b/src/queue/team_queue_test.ts
@@ -1,5 +1,5 @@
 /**
- * Tests of the team queues against a plain list.
+ * Compares the team queues with a plain list as the reference.
  *
  * @module
  */
@@ -23,7 +23,7 @@
   };
 }
 
-test("any run of adds, takes and removals gives the order of arrival", () => {
+test("requests keep their order of arrival under any adds, takes and removals", () => {
   const step = fc.record({
     kind: fc.constantFrom("add", "take", "remove"),
     team: fc.constantFrom("alder", "birch"),
@@ -49,7 +49,7 @@
         expected = expected.filter((each) => each !== removed);
       }
       assert.equal(queues.getTotal(), expected.length);
-      assert.equal(queues.tryGetOldestMs(), expected[0]?.arrivedMs);
+      assert.equal(queues.tryGetOldestArrivalMs(), expected[0]?.arrivedMs);
       for (const name of ["alder", "birch"]) {
         const count = expected.filter((each) => each.team === name).length;
         assert.equal(queues.getCount(name), count);
