--- a/src/config/poll_period.ts
+++ b/src/config/poll_period.ts
@@ -17,23 +17,23 @@
 export interface PollInput {
   readonly hasVersion: boolean;
   /** This host polls for its data centre. */
-  readonly isPicked: boolean;
-  readonly sinceHeardMs: number;
+  readonly isDesignatedPoller: boolean;
+  readonly sinceLastPeerMs: number;
   /** From 0 up to 1, so that hosts that start together drift apart. */
   readonly random: number;
 }
 
 /** A third of the 7 s in which a version must be in force. */
-export const OFTEN_MS = 2_000;
+export const FREQUENT_POLL_MS = 2_000;
 
 /** Without a version no request is served: a second is what one notices. */
-const EMPTY_MS = 1_000;
+const NO_VERSION_POLL_MS = 1_000;
 
 /** A backstop only, against a fault in the datagrams' spread. */
-export const SELDOM_MS = 30_000;
+export const INFREQUENT_POLL_MS = 30_000;
 
 /** Longer than a few probe periods, so that a lost datagram changes nothing. */
-const SILENT_MS = 3_000;
+const PEER_SILENCE_MS = 3_000;
 
 /** Milliseconds until the next poll: the period, less up to a quarter. */
 export function getPollMs(input: PollInput): number {
@@ -41,7 +41,9 @@
 }
 
 function getPeriodMs(input: PollInput): number {
-  if (!input.hasVersion) return EMPTY_MS;
-  const isAlone = input.sinceHeardMs > SILENT_MS;
-  return input.isPicked || isAlone ? OFTEN_MS : SELDOM_MS;
+  if (!input.hasVersion) return NO_VERSION_POLL_MS;
+  const isIsolated = input.sinceLastPeerMs > PEER_SILENCE_MS;
+  return input.isDesignatedPoller || isIsolated
+    ? FREQUENT_POLL_MS
+    : INFREQUENT_POLL_MS;
 }
--- a/src/config/poll_period_test.ts
+++ b/src/config/poll_period_test.ts
@@ -10,8 +10,8 @@
 
 const settled: PollInput = {
   hasVersion: true,
-  isPicked: false,
-  sinceHeardMs: 100,
+  isDesignatedPoller: false,
+  sinceLastPeerMs: 100,
   random: 0,
 };
 
@@ -39,7 +39,7 @@
     random: 1,
   }));
   assert(getReadsPerSecond(hosts) < 0.15 * 2_000);
-  assert(getPollMs({ ...settled, sinceHeardMs: 60_000 }) < 7_000 / 2);
+  assert(getPollMs({ ...settled, sinceLastPeerMs: 60_000 }) < 7_000 / 2);
 });
 
 test("390 hosts that start together stay within the store's rate", () => {
--- a/src/config/watcher.ts
+++ b/src/config/watcher.ts
@@ -37,7 +37,7 @@
   /** A verified copy from one peer; `undefined` when it has or sends none. */
   tryFetch(
     peer: string,
-    asked: VersionClaim,
+    asked: AnnouncedVersion,
   ): Effect.Effect<PeerCopy | undefined>;
   /** The peers in the order in which to ask them. */
   sortPeers(peers: readonly string[]): readonly string[];
@@ -55,7 +55,7 @@
 }
 
 /** A version as a datagram names it. */
-export interface VersionClaim {
+export interface AnnouncedVersion {
   readonly version: number;
   readonly digest: string;
 }
@@ -67,18 +67,18 @@
   /** The copy in force when it has the digest. */
   tryGetCopy(digest: string): ConfigCopy | undefined;
   /** Takes in what a peer has in force; version 0 for none. */
-  learn(claim: VersionClaim, peer: string): void;
+  recordPeerVersion(claim: AnnouncedVersion, peer: string): void;
   /** Puts a version that this host itself saw accepted in force. */
-  offer(copy: ConfigCopy): void;
+  putAcceptedInForce(copy: ConfigCopy): void;
   /** Reads the head from the store and fetches what is newer. */
   poll(): Effect.Effect<void, PlatformError>;
   /** Fetches the newest version that was learned; one call at a time works. */
   catchUp(): Effect.Effect<void>;
   /** Whether a newer version than the one in force was learned. */
-  isBehind(): boolean;
+  isOutdated(): boolean;
 }
 
-interface Candidate extends VersionClaim {
+interface Candidate extends AnnouncedVersion {
   readonly peers: Set<string>;
 }
 
@@ -98,26 +98,26 @@
 export function createConfigWatcher(host: ConfigWatcherHost): ConfigWatcher {
   const candidates = new Map<string, Candidate>();
   const refused = new Set<string>();
-  const heard = new Map<string, number>();
+  const peerVersions = new Map<string, number>();
   let current: ConfigVersion | undefined;
   let copy: ConfigCopy | undefined;
   /** Fetched, but not yet known to be what callers saw last. */
   let unconfirmed: { copy: ConfigCopy; deployment: Deployment } | undefined;
   let headVersion: number | undefined;
-  let peersByWord = 0;
+  let reportedPeerCount = 0;
   let isFetching = false;
 
   function getNewestVersion(): number {
     return current?.version ?? unconfirmed?.copy.row.version ?? 0;
   }
 
-  function addCandidate(claim: VersionClaim): Candidate | undefined {
-    if (claim.version <= getNewestVersion()) return undefined;
-    if (refused.has(claim.digest)) return undefined;
-    const key = `${claim.version}/${claim.digest}`;
+  function addCandidate(announced: AnnouncedVersion): Candidate | undefined {
+    if (announced.version <= getNewestVersion()) return undefined;
+    if (refused.has(announced.digest)) return undefined;
+    const key = `${announced.version}/${announced.digest}`;
     const known = candidates.get(key);
     if (known !== undefined) return known;
-    const added = { ...claim, peers: new Set<string>() };
+    const added = { ...announced, peers: new Set<string>() };
     candidates.set(key, added);
     if (candidates.size > MAX_CANDIDATES) {
       candidates.delete(candidates.keys().next().value!);
@@ -125,7 +125,7 @@
     return added;
   }
 
-  function take(next: ConfigCopy): void {
+  function receiveCopy(next: ConfigCopy): void {
     if (next.row.version <= getNewestVersion()) return;
     let deployment: Deployment;
     try {
@@ -146,7 +146,7 @@
     const { copy: next, deployment } = unconfirmed;
     if (current === undefined && !isConfirmed(next.row.version)) return;
     unconfirmed = undefined;
-    heard.clear();
+    peerVersions.clear();
     current = { ...next.row, deployment };
     copy = next;
     for (const [key, candidate] of candidates) {
@@ -157,10 +157,10 @@
 
   function isConfirmed(version: number): boolean {
     if (headVersion !== undefined) return version >= headVersion;
-    const peers = Math.max(host.countKnownPeers(), peersByWord);
-    return [...heard.values()].every((each) => each <= version) &&
-      heard.size >= MIN_AGREEING_PEERS &&
-      heard.size > peers / 2;
+    const peers = Math.max(host.countKnownPeers(), reportedPeerCount);
+    return [...peerVersions.values()].every((each) => each <= version) &&
+      peerVersions.size >= MIN_AGREEING_PEERS &&
+      peerVersions.size > peers / 2;
   }
 
   /** From the peers that named it, nearest first, then from the store. */
@@ -173,7 +173,7 @@
         const fetched = yield* host.tryFetch(peer, candidate);
         if (fetched === undefined) continue;
         // A host that just started knows few others itself.
-        peersByWord = Math.max(peersByWord, fetched.knownHosts - 1);
+        reportedPeerCount = Math.max(reportedPeerCount, fetched.knownHosts - 1);
         return fetched.copy;
       }
       return yield* fetchFromStore(candidate).pipe(
@@ -205,7 +205,7 @@
       if (candidate.version <= getNewestVersion()) continue;
       const fetched = yield* fetch(candidate);
       if (fetched === undefined) continue;
-      take(fetched);
+      receiveCopy(fetched);
       if (refused.has(candidate.digest)) {
         candidates.delete(`${candidate.version}/${candidate.digest}`);
       }
@@ -231,17 +231,20 @@
   return {
     getCurrent: () => current,
     tryGetCopy: (digest) => copy?.row.digest === digest ? copy : undefined,
-    learn(claim, peer) {
+    recordPeerVersion(claim, peer) {
       // An empty host vouches for nothing: it may have forgotten a version.
       if (current === undefined && claim.version > 0) {
-        heard.set(peer, Math.max(claim.version, heard.get(peer) ?? 0));
+        peerVersions.set(
+          peer,
+          Math.max(claim.version, peerVersions.get(peer) ?? 0),
+        );
       }
       addCandidate(claim)?.peers.add(peer);
       putInForceIfConfirmed();
     },
-    offer(accepted) {
+    putAcceptedInForce(accepted) {
       headVersion = Math.max(headVersion ?? 0, accepted.row.version);
-      take(accepted);
+      receiveCopy(accepted);
     },
     poll: () =>
       Effect.gen(function* () {
@@ -252,6 +255,6 @@
         yield* catchUp();
       }),
     catchUp,
-    isBehind,
+    isOutdated: isBehind,
   };
 }
--- a/src/config/watcher_test.ts
+++ b/src/config/watcher_test.ts
@@ -82,7 +82,7 @@
     async gossip(from, to) {
       if (from.isCut || to.isCut) return;
       const { version = 0, digest = "" } = from.watcher.getCurrent() ?? {};
-      to.watcher.learn({ version, digest }, from.id);
+      to.watcher.recordPeerVersion({ version, digest }, from.id);
       await Effect.runPromise(to.watcher.catchUp());
     },
     async poll(host) {
@@ -100,7 +100,7 @@
       })));
       if (result._tag === "Failure") return;
       if (result.success.kind !== "accepted") return;
-      host.watcher.offer({ row: result.success.row, files });
+      host.watcher.putAcceptedInForce({ row: result.success.row, files });
     },
   };
 
@@ -227,7 +227,7 @@
   await world.accept(first!);
   const files = createFileSet();
   const broken = { ...files, "teams.toml": "unheard_of = 1\n" };
-  first!.watcher.offer({
+  first!.watcher.putAcceptedInForce({
     row: {
       version: 2,
       digest: getFileSetDigest(broken),
@@ -240,7 +240,7 @@
   });
   assert.deepEqual(world.refused, [2]);
   assert.equal(first!.watcher.getCurrent()?.version, 1);
-  first!.watcher.offer({
+  first!.watcher.putAcceptedInForce({
     row: {
       version: 3,
       digest: getFileSetDigest(files),
@@ -261,7 +261,10 @@
   await world.accept(world.hosts[0]!);
   const target = world.hosts[1]!;
   await world.poll(target);
-  target.watcher.learn({ version: 4e9, digest: "f".repeat(64) }, "entry-2");
+  target.watcher.recordPeerVersion(
+    { version: 4e9, digest: "f".repeat(64) },
+    "entry-2",
+  );
   await world.gossip(world.hosts[0]!, target);
   assert.equal(target.watcher.getCurrent()?.version, 1);
 });
@@ -348,12 +351,12 @@
     const watcher = createConfigWatcher(host);
     return {
       ...watcher,
-      learn(claim, peer) {
+      recordPeerVersion(claim, peer) {
         if (claim.version > 0) {
-          watcher.learn(claim, `${peer}/second`);
-          watcher.learn(claim, `${peer}/third`);
+          watcher.recordPeerVersion(claim, `${peer}/second`);
+          watcher.recordPeerVersion(claim, `${peer}/third`);
         }
-        watcher.learn(claim, peer);
+        watcher.recordPeerVersion(claim, peer);
       },
     };
   };
--- a/src/measure/config_spread.ts
+++ b/src/measure/config_spread.ts
@@ -96,7 +96,7 @@
   world.record.set(change.version, copy);
   const acceptor = hosts[Math.floor(change.random() * hosts.length)]!;
   if (change.isLost) acceptor.isDead = true;
-  else acceptor.watcher.offer(copy);
+  else acceptor.watcher.putAcceptedInForce(copy);
   const others = hosts.filter((host) => !host.isDead);
   for (let waitedMs = 0; waitedMs < 60_000; waitedMs += 500) {
     agenda.runUntil(startMs + waitedMs);
@@ -189,8 +189,8 @@
     }),
     onConfigVersion(version, digest, from) {
       host.heardMs = agenda.clock.monotonicMs();
-      watcher.learn({ version, digest }, from);
-      if (!watcher.isBehind()) return;
+      watcher.recordPeerVersion({ version, digest }, from);
+      if (!watcher.isOutdated()) return;
       // Dial, ask and receive: three trips to the peer that named it.
       const peer = world.hosts.find((each) => each.self.host === from)!;
       const fetchMs = 3 * getLatencyMs(self, peer.self);
@@ -224,8 +224,8 @@
     if (!host.isDead) Effect.runSync(host.watcher.poll().pipe(Effect.ignore));
     const waitMs = getPollMs({
       hasVersion: host.watcher.getCurrent() !== undefined,
-      isPicked,
-      sinceHeardMs: agenda.clock.monotonicMs() - host.heardMs,
+      isDesignatedPoller: isPicked,
+      sinceLastPeerMs: agenda.clock.monotonicMs() - host.heardMs,
       random: random(),
     });
     agenda.after(waitMs, poll);
--- a/src/router/configuration.ts
+++ b/src/router/configuration.ts
@@ -7,13 +7,13 @@
 
 import * as Effect from "effect/Effect";
 import {
+  type AnnouncedVersion,
   type ConfigStore,
   type ConfigWatcher,
   createConfigWatcher,
   encodeCopy,
   getPollMs,
   tryDecodeCopy,
-  type VersionClaim,
 } from "../config/mod.ts";
 import type { Clock } from "../core/mod.ts";
 import { type Membership, tryGetOwner } from "../membership/mod.ts";
@@ -33,7 +33,7 @@
 /** The configuration's part of a router. */
 export interface Configuration extends ConfigWatcher {
   /** Takes in the version that a datagram names. */
-  receiveClaim(claim: VersionClaim, peer: string): void;
+  receiveClaim(claim: AnnouncedVersion, peer: string): void;
   /** The bytes for a peer that asks for the version in force. */
   tryEncode(digest: string): Uint8Array | undefined;
   /** Milliseconds until this host looks at the platform again. */
@@ -56,7 +56,7 @@
     onRefused: host.onRefused,
   });
 
-  function tryFetch(peer: string, asked: VersionClaim) {
+  function tryFetch(peer: string, asked: AnnouncedVersion) {
     const member = host.getMembership().getMembers().find((each) =>
       each.host === peer
     );
@@ -101,8 +101,8 @@
     ...watcher,
     receiveClaim(claim, peer) {
       heardMs = host.clock.monotonicMs();
-      watcher.learn(claim, peer);
-      if (watcher.isBehind()) Effect.runFork(watcher.catchUp());
+      watcher.recordPeerVersion(claim, peer);
+      if (watcher.isOutdated()) Effect.runFork(watcher.catchUp());
     },
     tryEncode(digest) {
       const copy = watcher.tryGetCopy(digest);
@@ -115,8 +115,8 @@
     getPollMs: () =>
       getPollMs({
         hasVersion: watcher.getCurrent() !== undefined,
-        isPicked: isPicked(),
-        sinceHeardMs: host.clock.monotonicMs() - heardMs,
+        isDesignatedPoller: isPicked(),
+        sinceLastPeerMs: host.clock.monotonicMs() - heardMs,
         random: Math.random(),
       }),
   };
--- a/src/router/router.ts
+++ b/src/router/router.ts
@@ -269,7 +269,7 @@
       recorder,
       operators: settings.operators,
       getCurrent: configuration.getCurrent,
-      onAccepted: configuration.offer,
+      onAccepted: configuration.putAcceptedInForce,
       isDraining: () => drain.getPhase() !== "serving",
       isUpstreamLeaving: leaving.isLeaving,
       tryGetNotReady,
