--- a/src/commands/check.ts
+++ b/src/commands/check.ts
@@ -10,7 +10,7 @@
   getSharedKeyProblems,
   readFileSet,
   readSettings,
-  throwIfAny,
+  throwIfProblems,
 } from "../config/mod.ts";
 import type { Program } from "./program.ts";
 
@@ -38,7 +38,7 @@
     const deployment = decodeFileSet(files);
     if (options.settings !== undefined) {
       const settings = readSettings(options.settings);
-      throwIfAny(getSharedKeyProblems(deployment, settings.operators));
+      throwIfProblems(getSharedKeyProblems(deployment, settings.operators));
       print(`The settings of host "${settings.host}" are allowed`);
     }
     print(
--- a/src/config/copy.ts
+++ b/src/config/copy.ts
@@ -31,15 +31,15 @@
  */
 export function tryDecodeCopy(
   bytes: Uint8Array,
-  asked: { readonly version: number; readonly digest: string },
+  expected: { readonly version: number; readonly digest: string },
 ): ConfigCopy | undefined {
   try {
     const text = gunzipSync(bytes, { maxOutputLength: MAX_COPY_BYTES });
     const copy = JSON.parse(text.toString()) as ConfigCopy;
-    const isAsked = copy.row.version === asked.version &&
-      copy.row.digest === asked.digest &&
-      getFileSetDigest(copy.files) === asked.digest;
-    return isAsked ? copy : undefined;
+    const isExpected = copy.row.version === expected.version &&
+      copy.row.digest === expected.digest &&
+      getFileSetDigest(copy.files) === expected.digest;
+    return isExpected ? copy : undefined;
   } catch {
     return undefined;
   }
--- a/src/config/cross_checks.ts
+++ b/src/config/cross_checks.ts
@@ -9,11 +9,11 @@
 import type { ConfigProblem } from "./errors.ts";
 import type { RouterSettings } from "./schema.ts";
 
-interface Named {
+interface UniqueValue {
   readonly path: string;
   readonly value: string;
   /** Shown in place of a value that is secret. */
-  readonly shown?: string;
+  readonly displayText?: string;
 }
 
 /** Problems of a deployment whose fields are all allowed. */
@@ -22,12 +22,15 @@
 ): readonly ConfigProblem[] {
   const { dataCentres, services, teams, upstreams } = deployment;
   return [
-    ...getDuplicates("deployment.toml", getIds("data_centres", dataCentres)),
-    ...getDuplicates("teams.toml", getIds("teams", teams)),
-    ...getDuplicates("teams.toml", getKeys("teams", teams)),
-    ...getDuplicates("services.toml", getIds("services", services)),
+    ...getDuplicateProblems(
+      "deployment.toml",
+      getIds("data_centres", dataCentres),
+    ),
+    ...getDuplicateProblems("teams.toml", getIds("teams", teams)),
+    ...getDuplicateProblems("teams.toml", getKeyDigests("teams", teams)),
+    ...getDuplicateProblems("services.toml", getIds("services", services)),
     ...services.flatMap((service, index) =>
-      getDuplicates(
+      getDuplicateProblems(
         "services.toml",
         service.operations.map((operation, position) => ({
           path: `services[${index}].operations[${position}].name`,
@@ -35,8 +38,8 @@
         })),
       )
     ),
-    ...getDuplicates("upstreams.toml", getIds("upstreams", upstreams)),
-    ...getDuplicates(
+    ...getDuplicateProblems("upstreams.toml", getIds("upstreams", upstreams)),
+    ...getDuplicateProblems(
       "upstreams.toml",
       upstreams.map(({ address }, index) => ({
         path: `upstreams[${index}].address`,
@@ -53,20 +56,23 @@
   settings: RouterSettings,
 ): readonly ConfigProblem[] {
   return [
-    ...getDuplicates(file, [
+    ...getDuplicateProblems(file, [
       { path: "public_address", value: settings.publicAddress },
       { path: "peer_address", value: settings.peerAddress },
       { path: "platform_address", value: settings.platformAddress },
     ]),
-    ...getDuplicates(file, getKeys("operators", settings.operators)),
-    ...getDuplicates(
+    ...getDuplicateProblems(
+      file,
+      getKeyDigests("operators", settings.operators),
+    ),
+    ...getDuplicateProblems(
       file,
       settings.operators.map(({ name }, index) => ({
         path: `operators[${index}].name`,
         value: name,
       })),
     ),
-    ...getDuplicates(file, getIds("seeds", settings.seeds)),
+    ...getDuplicateProblems(file, getIds("seeds", settings.seeds)),
   ];
 }
 
@@ -79,9 +85,9 @@
     path: `operator "${each.name}"`,
     value: each.keyDigest,
   }));
-  return getDuplicates("teams.toml", [
+  return getDuplicateProblems("teams.toml", [
     ...known,
-    ...getKeys("teams", deployment.teams),
+    ...getKeyDigests("teams", deployment.teams),
   ]);
 }
 
@@ -92,7 +98,10 @@
   }));
 }
 
-function getKeys(table: string, entries: readonly { keyDigest: string }[]) {
+function getKeyDigests(
+  table: string,
+  entries: readonly { keyDigest: string }[],
+) {
   return entries.map((entry, index) => ({
     path: `${table}[${index}].key_digest`,
     value: entry.keyDigest,
@@ -100,19 +109,19 @@
   }));
 }
 
-function getDuplicates(
+function getDuplicateProblems(
   file: string,
-  entries: readonly Named[],
+  entries: readonly UniqueValue[],
 ): readonly ConfigProblem[] {
-  const first = new Map<string, string>();
+  const firstPaths = new Map<string, string>();
   const problems: ConfigProblem[] = [];
-  for (const { path, value, shown } of entries) {
-    const taken = first.get(value);
-    if (taken === undefined) {
-      first.set(value, path);
+  for (const { path, value, displayText: shown } of entries) {
+    const firstPath = firstPaths.get(value);
+    if (firstPath === undefined) {
+      firstPaths.set(value, path);
       continue;
     }
-    const args = [path, shown ?? JSON.stringify(value), taken];
+    const args = [path, shown ?? JSON.stringify(value), firstPath];
     problems.push({ file, message: "configDuplicate", args });
   }
   return problems;
@@ -126,13 +135,21 @@
   return deployment.upstreams.flatMap((upstream, index) => {
     const path = `upstreams[${index}]`;
     return [
-      ...getUnknown(`${path}.service`, upstream.service, services),
-      ...getUnknown(`${path}.data_centre`, upstream.dataCentre, dataCentres),
+      ...getUnknownReferenceProblems(
+        `${path}.service`,
+        upstream.service,
+        services,
+      ),
+      ...getUnknownReferenceProblems(
+        `${path}.data_centre`,
+        upstream.dataCentre,
+        dataCentres,
+      ),
     ];
   });
 }
 
-function getUnknown(
+function getUnknownReferenceProblems(
   path: string,
   value: string,
   known: readonly string[],
--- a/src/config/decode.ts
+++ b/src/config/decode.ts
@@ -31,7 +31,7 @@
 type Path = readonly PropertyKey[];
 
 /** Marks a key that the file writes with capitals; no known key ends so. */
-const AS_WRITTEN = "?";
+const VERBATIM_SUFFIX = "?";
 
 /** Longest shown part of a value; a longer one is cut. */
 const MAX_VALUE_LENGTH = 60;
@@ -67,7 +67,9 @@
 
 /** A key of the code as the files write it. */
 export function toSnakeCase(key: string): string {
-  if (key.endsWith(AS_WRITTEN)) return key.slice(0, -AS_WRITTEN.length);
+  if (key.endsWith(VERBATIM_SUFFIX)) {
+    return key.slice(0, -VERBATIM_SUFFIX.length);
+  }
   return key.replace(/[A-Z]/g, (letter) => `_${letter.toLowerCase()}`);
 }
 
@@ -77,12 +79,12 @@
   let name = "";
   let value = raw;
   for (const part of path) {
-    value = getInside(value, part);
+    value = getProperty(value, part);
     if (typeof part === "number") text += `[${part}]`;
     else text += `${text === "" ? "" : "."}${toSnakeCase(String(part))}`;
-    const id = getInside(value, "id") ?? getInside(value, "name");
+    const id = getProperty(value, "id") ?? getProperty(value, "name");
     if (typeof part === "number" && typeof id === "string") {
-      name = ` (${cut(JSON.stringify(id))})`;
+      name = ` (${truncate(JSON.stringify(id))})`;
     }
   }
   return text + name;
@@ -94,7 +96,7 @@
   root: SchemaIssue.Issue,
 ): readonly ConfigProblem[] {
   const problems = new Map<string, ConfigProblem>();
-  forEachLeaf(root, [], (issue, path) => {
+  forEachLeafIssue(root, [], (issue, path) => {
     const keyPath = formatKeyPath(path, raw);
     // A value can fail several checks of one field; one line tells them all.
     if (problems.has(keyPath)) return;
@@ -103,21 +105,21 @@
   return [...problems.values()];
 }
 
-function forEachLeaf(
+function forEachLeafIssue(
   issue: SchemaIssue.Issue,
   path: Path,
   visit: (issue: SchemaIssue.Issue, path: Path) => void,
 ): void {
   switch (issue._tag) {
     case "Pointer":
-      forEachLeaf(issue.issue, [...path, ...issue.path], visit);
+      forEachLeafIssue(issue.issue, [...path, ...issue.path], visit);
       return;
     case "Composite":
-      for (const each of issue.issues) forEachLeaf(each, path, visit);
+      for (const each of issue.issues) forEachLeafIssue(each, path, visit);
       return;
     case "Filter":
     case "Encoding":
-      forEachLeaf(issue.issue, path, visit);
+      forEachLeafIssue(issue.issue, path, visit);
       return;
     default:
       visit(issue, path);
@@ -144,7 +146,7 @@
   }
   const value = field?.doc.isSecret
     ? "(not shown)"
-    : cut(JSON.stringify(getAt(raw, path)));
+    : truncate(JSON.stringify(getAt(raw, path)));
   const args = [keyPath, value, allowed];
   return { file, message: "configValueNotAllowed", args };
 }
@@ -157,9 +159,9 @@
   const known = Object.keys(options.fields).map(toSnakeCase);
   const key = toSnakeCase(options.key);
   const nearest = known.length === 0 ? "" : closest(key, known);
-  const isNear =
+  const isSimilar =
     distance(key, nearest) <= Math.ceil(nearest.length * MAX_DISTANCE_SHARE);
-  if (isNear) {
+  if (isSimilar) {
     return { file, message: "configKeyUnknown", args: [keyPath, nearest] };
   }
   const args = [keyPath, known.join(", ")];
@@ -177,10 +179,10 @@
 }
 
 function getAt(value: unknown, path: Path): unknown {
-  return path.reduce(getInside, value);
+  return path.reduce(getProperty, value);
 }
 
-function getInside(value: unknown, key: PropertyKey): unknown {
+function getProperty(value: unknown, key: PropertyKey): unknown {
   if (typeof value !== "object" || value === null) return undefined;
   return (value as Record<PropertyKey, unknown>)[key];
 }
@@ -198,11 +200,11 @@
 
 function toCamelCaseKey(key: string): string {
   // A camelCase key in a file must not pass for the snake_case one.
-  if (/[A-Z]/.test(key)) return `${key}${AS_WRITTEN}`;
+  if (/[A-Z]/.test(key)) return `${key}${VERBATIM_SUFFIX}`;
   return key.replace(/_([a-z])/g, (_, letter: string) => letter.toUpperCase());
 }
 
-function cut(text: string | undefined): string {
+function truncate(text: string | undefined): string {
   const shown = text ?? "";
   return shown.length <= MAX_VALUE_LENGTH
     ? shown
--- a/src/config/differences.ts
+++ b/src/config/differences.ts
@@ -27,7 +27,7 @@
   readonly overlapping: readonly ConfigDifference[];
 }
 
-interface Declared {
+interface DeclaredEntry {
   readonly id: string;
 }
 
@@ -73,10 +73,10 @@
 /** Sets what each of two operators changed beside the other. */
 export function getConflictDetails(
   base: Deployment,
-  input: { readonly inForce: Deployment; readonly asked: Deployment },
+  input: { readonly inForce: Deployment; readonly requested: Deployment },
 ): ConflictDetails {
   const theirs = getDifferences(base, input.inForce);
-  const yours = getDifferences(base, input.asked);
+  const yours = getDifferences(base, input.requested);
   const overlapping = yours.filter((mine) =>
     theirs.some((other) => other.kind === mine.kind && other.id === mine.id)
   );
@@ -86,8 +86,8 @@
 type ListDifference = Pick<ConfigDifference, "id" | "change" | "keys">;
 
 function compareLists(
-  from: readonly Declared[],
-  to: readonly Declared[],
+  from: readonly DeclaredEntry[],
+  to: readonly DeclaredEntry[],
 ): readonly ListDifference[] {
   const before = new Map(from.map((each) => [each.id, each]));
   const after = new Map(to.map((each) => [each.id, each]));
@@ -107,7 +107,10 @@
   return differences;
 }
 
-function getChangedKeys(from: Declared, to: Declared): readonly string[] {
+function getChangedKeys(
+  from: DeclaredEntry,
+  to: DeclaredEntry,
+): readonly string[] {
   const before = from as unknown as Record<string, unknown>;
   const after = to as unknown as Record<string, unknown>;
   const keys = new Set([...Object.keys(before), ...Object.keys(after)]);
--- a/src/config/errors.ts
+++ b/src/config/errors.ts
@@ -32,6 +32,6 @@
 }
 
 /** Throws `ConfigError` when there are problems. */
-export function throwIfAny(problems: readonly ConfigProblem[]): void {
+export function throwIfProblems(problems: readonly ConfigProblem[]): void {
   if (problems.length > 0) throw new ConfigError({ problems });
 }
--- a/src/config/fields.ts
+++ b/src/config/fields.ts
@@ -12,7 +12,7 @@
 
 /** What people are told of a field. */
 export interface FieldDoc {
-  readonly about: string;
+  readonly description: string;
   /** The values that are allowed, in words. */
   readonly allowed: string;
   /** Unit of the value; empty for none. */
@@ -50,38 +50,38 @@
 }
 
 /** A short name: lower case letters, digits and hyphens. */
-export function identifier(about: string) {
+export function identifier(description: string) {
   const schema = Schema.String.check(Schema.isPattern(IDENTIFIER));
   const allowed =
     "1 to 63 lower case letters, digits and hyphens, no hyphen first";
-  return { schema, doc: { about, allowed, unit: "" } };
+  return { schema, doc: { description, allowed, unit: "" } };
 }
 
 /** An IPv4 address and a port. */
-export function address(about: string) {
+export function address(description: string) {
   const schema = Schema.String.check(Schema.makeFilter(isAddress));
   const allowed = `an IPv4 address and a port from 1 to ${LAST_PORT}, ` +
     'as "10.0.0.1:8080"';
-  return { schema, doc: { about, allowed, unit: "" } };
+  return { schema, doc: { description, allowed, unit: "" } };
 }
 
 /** SHA-256 of a key. Never shown: a key may stand there by mistake. */
-export function keyDigest(about: string) {
+export function keyDigest(description: string) {
   const schema = Schema.String.check(Schema.isPattern(DIGEST));
   const allowed = "the SHA-256 of the key as 64 lower case hexadecimal digits";
-  return { schema, doc: { about, allowed, unit: "", isSecret: true } };
+  return { schema, doc: { description, allowed, unit: "", isSecret: true } };
 }
 
 /** A text that is never shown. */
-export function secret(about: string, minLength: number) {
+export function secret(description: string, minLength: number) {
   const schema = Schema.String.check(Schema.isMinLength(minLength));
   const allowed = `a text of at least ${minLength} characters`;
-  return { schema, doc: { about, allowed, unit: "", isSecret: true } };
+  return { schema, doc: { description, allowed, unit: "", isSecret: true } };
 }
 
 /** A whole number within the range, ends included. */
 export function integer(
-  about: string,
+  description: string,
   range: { min: number; max: number; unit: string },
 ) {
   const { min, max, unit } = range;
@@ -90,46 +90,46 @@
     Schema.isBetween({ minimum: min, maximum: max }),
   );
   const allowed = `a whole number from ${min} to ${max}`;
-  return { schema, doc: { about, allowed, unit } };
+  return { schema, doc: { description, allowed, unit } };
 }
 
 /** A number within the range, ends included. */
 export function number(
-  about: string,
+  description: string,
   range: { min: number; max: number; unit: string },
 ) {
   const { min, max, unit } = range;
   const schema = Schema.Number.check(
     Schema.isBetween({ minimum: min, maximum: max }),
   );
-  return { schema, doc: { about, allowed: `${min} to ${max}`, unit } };
+  return { schema, doc: { description, allowed: `${min} to ${max}`, unit } };
 }
 
 /** True or false. */
-export function flag(about: string) {
+export function flag(description: string) {
   const allowed = "true or false";
-  return { schema: Schema.Boolean, doc: { about, allowed, unit: "" } };
+  return { schema: Schema.Boolean, doc: { description, allowed, unit: "" } };
 }
 
 /** One of the words given. */
 export function oneOf<const W extends readonly string[]>(
-  about: string,
+  description: string,
   words: W,
 ) {
   const allowed = words.map((word) => `"${word}"`).join(" or ");
   const schema = Schema.Literals(words);
-  return { schema, doc: { about, allowed, unit: "" } };
+  return { schema, doc: { description, allowed, unit: "" } };
 }
 
 /** A list of tables; `table` is their name in the file. */
 export function tablesOf<F extends Fields>(
-  about: string,
+  description: string,
   fields: F,
   table: string,
 ) {
   const schema = Schema.Array(toStruct(fields));
   const allowed = `one [[${table}]] table for each`;
-  return { schema, doc: { about, allowed, unit: "" } };
+  return { schema, doc: { description, allowed, unit: "" } };
 }
 
 /** Makes a field optional, with the value taken when its key is absent. */
@@ -153,7 +153,7 @@
 }
 
 /** Makes a list of tables optional; none are taken when there are none. */
-export function withNoneByDefault<S extends Schema.Top>(field: Field<S>) {
+export function withEmptyDefault<S extends Schema.Top>(field: Field<S>) {
   const schema = field.schema.pipe(
     Schema.withDecodingDefaultKey(Effect.succeed([] as S["Encoded"])),
   );
--- a/src/config/load.ts
+++ b/src/config/load.ts
@@ -11,7 +11,7 @@
 import type { Deployment } from "../types.ts";
 import { getDeploymentProblems, getSettingsProblems } from "./cross_checks.ts";
 import { decodeFile } from "./decode.ts";
-import { ConfigError, type ConfigProblem, throwIfAny } from "./errors.ts";
+import { ConfigError, type ConfigProblem, throwIfProblems } from "./errors.ts";
 import {
   type DeploymentFile,
   deploymentFiles,
@@ -33,10 +33,10 @@
     try {
       files[name] = readFileSync(file, "utf8");
     } catch (err) {
-      problems.push(createUnreadable(file, err));
+      problems.push(createUnreadableProblem(file, err));
     }
   }
-  throwIfAny(problems);
+  throwIfProblems(problems);
   return files;
 }
 
@@ -52,9 +52,9 @@
     if (decoded.kind === "wrong") problems.push(...decoded.problems);
     else Object.assign(merged, decoded.value);
   }
-  throwIfAny(problems);
+  throwIfProblems(problems);
   const deployment = merged as unknown as Deployment;
-  throwIfAny(getDeploymentProblems(deployment));
+  throwIfProblems(getDeploymentProblems(deployment));
   return deployment;
 }
 
@@ -70,7 +70,7 @@
     return decodeSettings(file, readFileSync(file, "utf8"));
   } catch (err) {
     if (err instanceof ConfigError) throw err;
-    throw new ConfigError({ problems: [createUnreadable(file, err)] });
+    throw new ConfigError({ problems: [createUnreadableProblem(file, err)] });
   }
 }
 
@@ -85,13 +85,13 @@
   if (decoded.kind === "wrong") {
     throw new ConfigError({ problems: decoded.problems });
   }
-  throwIfAny(getSettingsProblems(file, decoded.value));
+  throwIfProblems(getSettingsProblems(file, decoded.value));
   return decoded.value;
 }
 
 function decodeDeploymentFile(name: DeploymentFile, text: string | undefined) {
   if (text === undefined) {
-    const problem = createUnreadable(name, "it is not in the set");
+    const problem = createUnreadableProblem(name, "it is not in the set");
     return { kind: "wrong" as const, problems: [problem] };
   }
   return decodeFile<typeof fileSchemas[DeploymentFile]>({
@@ -102,7 +102,7 @@
   });
 }
 
-function createUnreadable(file: string, err: unknown): ConfigProblem {
+function createUnreadableProblem(file: string, err: unknown): ConfigProblem {
   const reason = err instanceof Error ? err.message : String(err);
   return { file, message: "configFileUnreadable", args: [reason] };
 }
--- a/src/config/reference.ts
+++ b/src/config/reference.ts
@@ -29,16 +29,16 @@
 }
 
 function createHeading(file: string, path: string): string {
-  const where = file === "settings" ? "Settings of a router" : `\`${file}\``;
-  if (path === "") return `${where}, top`;
+  const title = file === "settings" ? "Settings of a router" : `\`${file}\``;
+  if (path === "") return `${title}, top`;
   const table = path.split(".").map(toSnakeCase).join(".");
-  return `${where}, \`[[${table}]]\``;
+  return `${title}, \`[[${table}]]\``;
 }
 
 function createRow(key: string, field: Field): string {
-  const { about, allowed, unit, defaultValue } = field.doc;
+  const { description, allowed, unit, defaultValue } = field.doc;
   const fallback = defaultValue === undefined
     ? "needed"
     : `\`${defaultValue}\``;
-  return `| \`${key}\` | ${about} | ${allowed} | ${unit} | ${fallback} |`;
+  return `| \`${key}\` | ${description} | ${allowed} | ${unit} | ${fallback} |`;
 }
--- a/src/config/schema.ts
+++ b/src/config/schema.ts
@@ -20,7 +20,7 @@
   tablesOf,
   toStruct,
   withDefault,
-  withNoneByDefault,
+  withEmptyDefault,
 } from "./fields.ts";
 
 const dataCentreFields = {
@@ -163,7 +163,7 @@
     ]),
     "info",
   ),
-  seeds: withNoneByDefault(
+  seeds: withEmptyDefault(
     tablesOf(
       "Hosts to ask while the platform's list can't be read",
       seedFields,
--- a/src/config/store.ts
+++ b/src/config/store.ts
@@ -34,7 +34,7 @@
  * Writes of one acceptance. Each is conditional on the same head, so that a
  * repeat after a lost reply can't accept twice.
  */
-const MAX_COMMITS = 3;
+const MAX_COMMIT_WRITES = 3;
 
 /** The row of one accepted version. */
 export interface VersionRow {
@@ -121,7 +121,9 @@
       decodeFileSet(req.files);
       const headRow = yield* getHeadRow();
       const head = toVersionRow(headRow) ?? noVersion;
-      if (head.version !== req.baseVersion) return yield* resolve(req, head);
+      if (head.version !== req.baseVersion) {
+        return yield* resolveAttempt(req, head);
+      }
       const digest = getFileSetDigest(req.files);
       yield* objects.put(digest, JSON.stringify(req.files));
       const row: VersionRow = {
@@ -132,7 +134,7 @@
         acceptedMs: req.nowMs,
         attempt: req.attempt,
       };
-      return yield* commit(req, getWrites(row, headRow.version), row);
+      return yield* commit(req, createWrites(row, headRow.version), row);
     });
   }
 
@@ -150,7 +152,7 @@
     return Effect.gen(function* () {
       let mayHaveRun = false;
       let reason = "";
-      for (let commits = 0; commits < MAX_COMMITS; commits++) {
+      for (let commits = 0; commits < MAX_COMMIT_WRITES; commits++) {
         const result = yield* Effect.result(tables.transact(writes));
         if (result._tag === "Success") {
           if (result.success.kind === "committed") {
@@ -174,7 +176,9 @@
   /** After a write whose end is in doubt: a failed read leaves it unknown. */
   function readBack(req: AcceptRequest): Effect.Effect<AcceptResult> {
     return getHeadRow().pipe(
-      Effect.flatMap((row) => resolve(req, toVersionRow(row) ?? noVersion)),
+      Effect.flatMap((row) =>
+        resolveAttempt(req, toVersionRow(row) ?? noVersion)
+      ),
       Effect.catchTag("PlatformError", (err) =>
         Effect.succeed<AcceptResult>({
           kind: "unknown",
@@ -188,7 +192,7 @@
    * row of the version that ours would be tells which, also when more versions
    * were accepted on top; the head alone would not.
    */
-  function resolve(
+  function resolveAttempt(
     req: AcceptRequest,
     head: VersionRow,
   ): Effect.Effect<AcceptResult, PlatformError> {
@@ -199,7 +203,7 @@
         yield* getDeployment(yield* tryGetVersion(req.baseVersion)),
         {
           inForce: yield* getDeployment(head),
-          asked: decodeFileSet(req.files),
+          requested: decodeFileSet(req.files),
         },
       );
       return { kind: "conflict", head, details };
@@ -254,7 +258,7 @@
   return VERSION_PREFIX + String(block).padStart(digits, "0");
 }
 
-function getWrites(
+function createWrites(
   row: VersionRow,
   headRowVersion: number,
 ): readonly ConditionalWrite[] {
--- a/src/config/watcher.ts
+++ b/src/config/watcher.ts
@@ -212,7 +212,7 @@
     }
   });
 
-  function isBehind(): boolean {
+  function isOutdated(): boolean {
     return [...candidates.values()].some((each) =>
       each.version > getNewestVersion()
     );
@@ -220,7 +220,7 @@
 
   function catchUp(): Effect.Effect<void> {
     return Effect.suspend(() => {
-      if (isFetching || !isBehind()) return Effect.void;
+      if (isFetching || !isOutdated()) return Effect.void;
       isFetching = true;
       return fetchNewest.pipe(
         Effect.ensuring(Effect.sync(() => isFetching = false)),
@@ -255,6 +255,6 @@
         yield* catchUp();
       }),
     catchUp,
-    isOutdated: isBehind,
+    isOutdated,
   };
 }
--- a/src/router/operator_handlers.ts
+++ b/src/router/operator_handlers.ts
@@ -18,7 +18,7 @@
   ConfigError,
   decodeFileSet,
   getSharedKeyProblems,
-  throwIfAny,
+  throwIfProblems,
 } from "../config/mod.ts";
 import type { Clock, HybridClock } from "../core/mod.ts";
 import {
@@ -168,7 +168,7 @@
   const { files, baseVersion, attempt } = parsed;
   try {
     const deployment = decodeFileSet(files);
-    throwIfAny(getSharedKeyProblems(deployment, host.operators));
+    throwIfProblems(getSharedKeyProblems(deployment, host.operators));
   } catch (err) {
     if (!(err instanceof ConfigError)) throw err;
     return fail(400, "configInvalid", [err.message]);
