--- a/src/config/cross_checks.ts
+++ b/src/config/cross_checks.ts
@@ -105,7 +105,7 @@
   return entries.map((entry, index) => ({
     path: `${table}[${index}].key_digest`,
     value: entry.keyDigest,
-    shown: "(not shown)",
+    displayText: "(not shown)",
   }));
 }
 
@@ -115,13 +115,13 @@
 ): readonly ConfigProblem[] {
   const firstPaths = new Map<string, string>();
   const problems: ConfigProblem[] = [];
-  for (const { path, value, displayText: shown } of entries) {
+  for (const { path, value, displayText } of entries) {
     const firstPath = firstPaths.get(value);
     if (firstPath === undefined) {
       firstPaths.set(value, path);
       continue;
     }
-    const args = [path, shown ?? JSON.stringify(value), firstPath];
+    const args = [path, displayText ?? JSON.stringify(value), firstPath];
     problems.push({ file, message: "configDuplicate", args });
   }
   return problems;
