--- a/src/config/copy.ts
+++ b/src/config/copy.ts
@@ -31,15 +31,15 @@
  */
 export function tryDecodeCopy(
   bytes: Uint8Array,
-  expected: { readonly version: number; readonly digest: string },
+  requested: { readonly version: number; readonly digest: string },
 ): ConfigCopy | undefined {
   try {
     const text = gunzipSync(bytes, { maxOutputLength: MAX_COPY_BYTES });
     const copy = JSON.parse(text.toString()) as ConfigCopy;
-    const isExpected = copy.row.version === expected.version &&
-      copy.row.digest === expected.digest &&
-      getFileSetDigest(copy.files) === expected.digest;
-    return isExpected ? copy : undefined;
+    const isRequested = copy.row.version === requested.version &&
+      copy.row.digest === requested.digest &&
+      getFileSetDigest(copy.files) === requested.digest;
+    return isRequested ? copy : undefined;
   } catch {
     return undefined;
   }
--- a/src/config/store_test.ts
+++ b/src/config/store_test.ts
@@ -140,7 +140,7 @@
 }
 
 /** Lets an operator act as told: retries "unknown" with the same attempt. */
-async function applyAsTold(
+async function applyUntilKnown(
   store: ReturnType<typeof createConfigStore>,
   input: { operator: Operator; baseVersion: number; attempt: string },
 ): Promise<AcceptResult> {
@@ -151,22 +151,22 @@
     files: operator.files,
     author: operator.name,
   });
-  for (let tries = 0;; tries++) {
+  for (let attempts = 0;; attempts++) {
     const result = await Effect.runPromise(Effect.result(store.accept(req)));
     const isEnd = result._tag === "Success" &&
       result.success.kind !== "unknown";
     if (isEnd) return result.success;
-    if (tries > 50) throw new Error("The store never answers");
+    if (attempts > 50) throw new Error("The store never answers");
   }
 }
 
 /** What is wrong with a record and what its operators were told. */
-function findFault(
+function findContradiction(
   rows: readonly VersionRow[],
-  told: readonly { attempt: string; result: AcceptResult }[],
+  results: readonly { attempt: string; result: AcceptResult }[],
 ): string | undefined {
   const attempts = rows.map((row) => row.attempt);
-  for (const { attempt, result } of told) {
+  for (const { attempt, result } of results) {
     const times = attempts.filter((each) => each === attempt).length;
     const expected = result.kind === "accepted" ? 1 : 0;
     if (times !== expected) {
@@ -177,7 +177,7 @@
 }
 
 /** Two operators race, with lost messages, in the scheduler's order. */
-async function race(
+async function runRace(
   scheduler: fc.Scheduler,
   faults: { lostReplies: number; lostRequests: number },
   createStore = createConfigStore,
@@ -185,25 +185,25 @@
   const platform = createFakePlatform();
   platform.control.pass = (call) => scheduler.schedule(Promise.resolve(), call);
   const store = createStore(platform);
-  const told: { attempt: string; result: AcceptResult }[] = [];
+  const results: { attempt: string; result: AcceptResult }[] = [];
   const runs = ["ade", "bisi"].map(async (name, index) => {
     const files = createFileSet({ teams: { [name]: index + 1 } });
     for (let round = 0; round < 2; round++) {
       const attempt = `${name}/${round}`;
       const head = await Effect.runPromise(store.getHead());
-      const result = await applyAsTold(store, {
+      const result = await applyUntilKnown(store, {
         operator: { name, files },
         baseVersion: head?.version ?? 0,
         attempt,
       });
-      told.push({ attempt, result });
+      results.push({ attempt, result });
     }
   });
   Object.assign(platform.control, faults);
   await scheduler.waitFor(Promise.all(runs));
   platform.control.pass = () => Promise.resolve();
   const rows = await Effect.runPromise(store.getHistory());
-  return { rows, told };
+  return { rows, told: results };
 }
 
 const raceInput = [
@@ -219,8 +219,8 @@
   // Whoever is told "accepted" has exactly one version, the other one none.
   await fc.assert(
     fc.asyncProperty(...raceInput, async (scheduler, faults) => {
-      const { rows, told } = await race(scheduler, faults);
-      assert.equal(findFault(rows, told), undefined);
+      const { rows, told } = await runRace(scheduler, faults);
+      assert.equal(findContradiction(rows, told), undefined);
       assert.deepEqual(
         rows.map((row) => row.version),
         rows.map((_, index) => index + 1),
@@ -233,7 +233,7 @@
 test("without attempt ids the race is seen to go wrong", async () => {
   // The mechanism switched off: rows forget their attempt, so that a lost reply
   // looks like another's version.
-  const forgetful: typeof createConfigStore = (platform) => {
+  const createStoreWithoutAttempts: typeof createConfigStore = (platform) => {
     const store = createConfigStore({
       ...platform,
       tables: {
@@ -252,8 +252,12 @@
   };
   const checked = await fc.check(
     fc.asyncProperty(...raceInput, async (scheduler, faults) => {
-      const { rows, told } = await race(scheduler, faults, forgetful);
-      assert.equal(findFault(rows, told), undefined);
+      const { rows, told } = await runRace(
+        scheduler,
+        faults,
+        createStoreWithoutAttempts,
+      );
+      assert.equal(findContradiction(rows, told), undefined);
     }),
     { seed: 5, numRuns: 300 },
   );
--- a/src/config/watcher.ts
+++ b/src/config/watcher.ts
@@ -37,7 +37,7 @@
   /** A verified copy from one peer; `undefined` when it has or sends none. */
   tryFetch(
     peer: string,
-    asked: AnnouncedVersion,
+    requested: AnnouncedVersion,
   ): Effect.Effect<PeerCopy | undefined>;
   /** The peers in the order in which to ask them. */
   sortPeers(peers: readonly string[]): readonly string[];
--- a/src/config/watcher_test.ts
+++ b/src/config/watcher_test.ts
@@ -27,39 +27,39 @@
   readonly id: string;
   watcher: ConfigWatcher;
   /** Highest version that callers saw here, over restarts. */
-  seen: number;
-  isCut: boolean;
+  highestSeen: number;
+  isPartitioned: boolean;
 }
 
 type CreateWatcher = (host: ConfigWatcherHost) => ConfigWatcher;
 
-interface World {
+interface TestFleet {
   readonly platform: FakePlatform;
   readonly store: ConfigStore;
   readonly hosts: readonly TestHost[];
   readonly refused: number[];
   /** Highest version that a majority had in force at one time. */
-  settled: number;
+  majorityVersion: number;
   start(host: TestHost): void;
   gossip(from: TestHost, to: TestHost): Promise<void>;
   poll(host: TestHost): Promise<void>;
   accept(host: TestHost): Promise<void>;
 }
 
-function createWorld(
+function createFleet(
   size: number,
   createWatcher: CreateWatcher = createConfigWatcher,
-): World {
+): TestFleet {
   const platform = createFakePlatform();
   const store = createConfigStore(platform);
   const hosts: TestHost[] = [];
   const refused: number[] = [];
-  const world: World = {
+  const world: TestFleet = {
     platform,
     store,
     hosts,
     refused,
-    settled: 0,
+    majorityVersion: 0,
     start(host) {
       host.watcher = createWatcher({
         getHead: store.getHead,
@@ -69,18 +69,20 @@
           Effect.sync(() => {
             const from = hosts.find((each) => each.id === peer)!;
             const copy = from.watcher.tryGetCopy(asked.digest);
-            if (copy === undefined || from.isCut || host.isCut) return;
+            if (
+              copy === undefined || from.isPartitioned || host.isPartitioned
+            ) return;
             const decoded = tryDecodeCopy(encodeCopy(copy), asked);
             return decoded && { copy: decoded, knownHosts: size };
           }),
         sortPeers: (peers) => peers,
         countKnownPeers: () => 1,
-        onInForce: (config) => see(host, config.version),
+        onInForce: (config) => recordInForce(host, config.version),
         onRefused: (version) => refused.push(version),
       });
     },
     async gossip(from, to) {
-      if (from.isCut || to.isCut) return;
+      if (from.isPartitioned || to.isPartitioned) return;
       const { version = 0, digest = "" } = from.watcher.getCurrent() ?? {};
       to.watcher.recordPeerVersion({ version, digest }, from.id);
       await Effect.runPromise(to.watcher.catchUp());
@@ -104,19 +106,19 @@
     },
   };
 
-  function see(host: TestHost, version: number): void {
+  function recordInForce(host: TestHost, version: number): void {
     // Only what a majority never had may be unknown to an empty host.
-    const known = Math.min(host.seen, world.settled);
+    const known = Math.min(host.highestSeen, world.majorityVersion);
     if (version < known) {
       throw new Error(`"${host.id}" went from ${known} to ${version}`);
     }
-    host.seen = Math.max(host.seen, version);
-    const having = hosts.filter((each) =>
+    host.highestSeen = Math.max(host.highestSeen, version);
+    const holders = hosts.filter((each) =>
       each === host ||
       (each.watcher.getCurrent()?.version ?? 0) >= version
     );
-    if (having.length > size / 2) {
-      world.settled = Math.max(world.settled, version);
+    if (holders.length > size / 2) {
+      world.majorityVersion = Math.max(world.majorityVersion, version);
     }
   }
 
@@ -133,16 +135,16 @@
 }
 
 /** Hosts that have read the empty record at their start. */
-async function createRunningWorld(
+async function createRunningFleet(
   size: number,
   createWatcher?: CreateWatcher,
-): Promise<World> {
-  const world = createWorld(size, createWatcher);
+): Promise<TestFleet> {
+  const world = createFleet(size, createWatcher);
   for (const host of world.hosts) await world.poll(host);
   return world;
 }
 
-async function spread(world: World): Promise<void> {
+async function gossipAmongAll(world: TestFleet): Promise<void> {
   for (let round = 0; round < 2; round++) {
     for (const from of world.hosts) {
       for (const to of world.hosts) await world.gossip(from, to);
@@ -150,32 +152,32 @@
   }
 }
 
-function getVersions(world: World): readonly number[] {
+function getVersions(world: TestFleet): readonly number[] {
   return world.hosts.map((host) => host.watcher.getCurrent()?.version ?? 0);
 }
 
 test("a version reaches all hosts when the store goes down at once", async () => {
   // An operator applies files; the store takes them and goes down. Without the
   // acceptor's own copy no host could read them before the store is back.
-  const world = await createRunningWorld(5);
+  const world = await createRunningFleet(5);
   world.platform.control.downAfterWrite = true;
   await world.accept(world.hosts[0]!);
   assert.equal(world.platform.control.down, true);
-  await spread(world);
+  await gossipAmongAll(world);
   assert.deepEqual(getVersions(world), [1, 1, 1, 1, 1]);
 });
 
 test("an empty host with neither store nor peers has nothing in force", async () => {
   // A host is replaced while the store is down and the network is cut. Callers
   // must be told to go elsewhere, not be served by what nobody vouches for.
-  const world = await createRunningWorld(5);
+  const world = await createRunningFleet(5);
   await world.accept(world.hosts[0]!);
-  await spread(world);
+  await gossipAmongAll(world);
   world.platform.control.down = true;
   world.start(world.hosts[1]!);
-  world.hosts[1]!.isCut = true;
+  world.hosts[1]!.isPartitioned = true;
   await world.poll(world.hosts[1]!);
-  await spread(world);
+  await gossipAmongAll(world);
   assert.equal(world.hosts[1]!.watcher.getCurrent(), undefined);
 });
 
@@ -183,14 +185,14 @@
   // Host 4 was cut off at version 1, the others have version 2. The store goes
   // down, host 1 restarts empty and hears host 4 alone: callers who saw version
   // 2 there must not get version 1. With a majority it serves version 2.
-  const world = await createRunningWorld(5);
+  const world = await createRunningFleet(5);
   await world.accept(world.hosts[0]!);
-  await spread(world);
-  world.hosts[4]!.isCut = true;
+  await gossipAmongAll(world);
+  world.hosts[4]!.isPartitioned = true;
   await world.accept(world.hosts[0]!);
-  await spread(world);
+  await gossipAmongAll(world);
   world.platform.control.down = true;
-  world.hosts[4]!.isCut = false;
+  world.hosts[4]!.isPartitioned = false;
   world.start(world.hosts[1]!);
   await world.gossip(world.hosts[4]!, world.hosts[1]!);
   assert.equal(world.hosts[1]!.watcher.getCurrent(), undefined);
@@ -222,7 +224,7 @@
 test("a version that can't be read does not stop the next one", async () => {
   // During an update a newer program accepts a key that this one does not know.
   // This host keeps what it has, says so, and takes the version after it.
-  const world = createWorld(4);
+  const world = createFleet(4);
   const [first] = world.hosts;
   await world.accept(first!);
   const files = createFileSet();
@@ -257,7 +259,7 @@
 test("a version that nobody can give does not hide the real one", async () => {
   // A damaged datagram names version 4000000000. The host asks for it in vain,
   // and still has to take version 1.
-  const world = createWorld(4);
+  const world = createFleet(4);
   await world.accept(world.hosts[0]!);
   const target = world.hosts[1]!;
   await world.poll(target);
@@ -295,8 +297,11 @@
   { minLength: 20, maxLength: 150 },
 );
 
-async function runSteps(world: World, taken: readonly Step[]): Promise<void> {
-  for (const [name, first, second] of taken) {
+async function runSteps(
+  world: TestFleet,
+  stepsToRun: readonly Step[],
+): Promise<void> {
+  for (const [name, first, second] of stepsToRun) {
     const host = world.hosts[first]!;
     switch (name) {
       case "accept":
@@ -313,7 +318,7 @@
         await world.poll(host);
         break;
       case "cut":
-        host.isCut = !host.isCut;
+        host.isPartitioned = !host.isPartitioned;
         break;
       case "store":
         world.platform.control.down = !world.platform.control.down;
@@ -322,9 +327,9 @@
 }
 
 /** All are reachable again: the newest version must come to all. */
-async function heal(world: World): Promise<void> {
+async function recoverAll(world: TestFleet): Promise<void> {
   world.platform.control.down = false;
-  for (const host of world.hosts) host.isCut = false;
+  for (const host of world.hosts) host.isPartitioned = false;
   for (const host of world.hosts) await world.poll(host);
   const head = await Effect.runPromise(world.store.getHead());
   for (const version of getVersions(world)) {
@@ -337,9 +342,9 @@
   // restarts that forget all, cuts, and a store that comes and goes.
   await fc.assert(
     fc.asyncProperty(steps, async (taken) => {
-      const world = await createRunningWorld(5);
+      const world = await createRunningFleet(5);
       await runSteps(world, taken);
-      await heal(world);
+      await recoverAll(world);
     }),
     { seed: 7, numRuns: 1_000 },
   );
@@ -347,7 +352,7 @@
 
 test("without the majority rule hosts are seen to go back", async () => {
   // The mechanism switched off: an empty host believes the first peer.
-  const trusting: CreateWatcher = (host) => {
+  const createWatcherWithoutMajority: CreateWatcher = (host) => {
     const watcher = createConfigWatcher(host);
     return {
       ...watcher,
@@ -362,14 +367,17 @@
   };
   const checked = await fc.check(
     fc.asyncProperty(steps, async (taken) => {
-      const world = await createRunningWorld(5, (host) =>
-        trusting({
-          ...host,
-          tryFetch: (peer, asked) =>
-            host.tryFetch(peer.split("/")[0]!, asked).pipe(
-              Effect.map((found) => found && { ...found, knownHosts: 1 }),
-            ),
-        }));
+      const world = await createRunningFleet(
+        5,
+        (host) =>
+          createWatcherWithoutMajority({
+            ...host,
+            tryFetch: (peer, asked) =>
+              host.tryFetch(peer.split("/")[0]!, asked).pipe(
+                Effect.map((found) => found && { ...found, knownHosts: 1 }),
+              ),
+          }),
+      );
       await runSteps(world, taken);
     }),
     { seed: 7, numRuns: 1_000 },
