--- a/src/config/decode.ts
+++ b/src/config/decode.ts
@@ -31,7 +31,7 @@
 type Path = readonly PropertyKey[];
 
 /** Marks a key that the file writes with capitals; no known key ends so. */
-const VERBATIM_SUFFIX = "?";
+const VERBATIM_MARK = "?";
 
 /** Longest shown part of a value; a longer one is cut. */
 const MAX_VALUE_LENGTH = 60;
@@ -67,9 +67,7 @@
 
 /** A key of the code as the files write it. */
 export function toSnakeCase(key: string): string {
-  if (key.endsWith(VERBATIM_SUFFIX)) {
-    return key.slice(0, -VERBATIM_SUFFIX.length);
-  }
+  if (key.endsWith(VERBATIM_MARK)) return key.slice(0, -VERBATIM_MARK.length);
   return key.replace(/[A-Z]/g, (letter) => `_${letter.toLowerCase()}`);
 }
 
@@ -200,7 +198,7 @@
 
 function toCamelCaseKey(key: string): string {
   // A camelCase key in a file must not pass for the snake_case one.
-  if (/[A-Z]/.test(key)) return `${key}${VERBATIM_SUFFIX}`;
+  if (/[A-Z]/.test(key)) return `${key}${VERBATIM_MARK}`;
   return key.replace(/_([a-z])/g, (_, letter: string) => letter.toUpperCase());
 }
 
--- a/src/config/store.ts
+++ b/src/config/store.ts
@@ -121,9 +121,7 @@
       decodeFileSet(req.files);
       const headRow = yield* getHeadRow();
       const head = toVersionRow(headRow) ?? noVersion;
-      if (head.version !== req.baseVersion) {
-        return yield* resolveAttempt(req, head);
-      }
+      if (head.version !== req.baseVersion) return yield* getOutcome(req, head);
       const digest = getFileSetDigest(req.files);
       yield* objects.put(digest, JSON.stringify(req.files));
       const row: VersionRow = {
@@ -176,9 +174,7 @@
   /** After a write whose end is in doubt: a failed read leaves it unknown. */
   function readBack(req: AcceptRequest): Effect.Effect<AcceptResult> {
     return getHeadRow().pipe(
-      Effect.flatMap((row) =>
-        resolveAttempt(req, toVersionRow(row) ?? noVersion)
-      ),
+      Effect.flatMap((row) => getOutcome(req, toVersionRow(row) ?? noVersion)),
       Effect.catchTag("PlatformError", (err) =>
         Effect.succeed<AcceptResult>({
           kind: "unknown",
@@ -192,7 +188,7 @@
    * row of the version that ours would be tells which, also when more versions
    * were accepted on top; the head alone would not.
    */
-  function resolveAttempt(
+  function getOutcome(
     req: AcceptRequest,
     head: VersionRow,
   ): Effect.Effect<AcceptResult, PlatformError> {
--- a/src/config/watcher_test.ts
+++ b/src/config/watcher_test.ts
@@ -54,7 +54,7 @@
   const store = createConfigStore(platform);
   const hosts: TestHost[] = [];
   const refused: number[] = [];
-  const world: TestFleet = {
+  const fleet: TestFleet = {
     platform,
     store,
     hosts,
@@ -108,7 +108,7 @@
 
   function recordInForce(host: TestHost, version: number): void {
     // Only what a majority never had may be unknown to an empty host.
-    const known = Math.min(host.highestSeen, world.majorityVersion);
+    const known = Math.min(host.highestSeen, fleet.majorityVersion);
     if (version < known) {
       throw new Error(`"${host.id}" went from ${known} to ${version}`);
     }
@@ -118,7 +118,7 @@
       (each.watcher.getCurrent()?.version ?? 0) >= version
     );
     if (holders.length > size / 2) {
-      world.majorityVersion = Math.max(world.majorityVersion, version);
+      fleet.majorityVersion = Math.max(fleet.majorityVersion, version);
     }
   }
 
@@ -129,9 +129,9 @@
       isCut: false,
     } as unknown as TestHost;
     hosts.push(host);
-    world.start(host);
+    fleet.start(host);
   }
-  return world;
+  return fleet;
 }
 
 /** Hosts that have read the empty record at their start. */
@@ -139,66 +139,66 @@
   size: number,
   createWatcher?: CreateWatcher,
 ): Promise<TestFleet> {
-  const world = createFleet(size, createWatcher);
-  for (const host of world.hosts) await world.poll(host);
-  return world;
+  const fleet = createFleet(size, createWatcher);
+  for (const host of fleet.hosts) await fleet.poll(host);
+  return fleet;
 }
 
-async function gossipAmongAll(world: TestFleet): Promise<void> {
+async function gossipAmongAll(fleet: TestFleet): Promise<void> {
   for (let round = 0; round < 2; round++) {
-    for (const from of world.hosts) {
-      for (const to of world.hosts) await world.gossip(from, to);
+    for (const from of fleet.hosts) {
+      for (const to of fleet.hosts) await fleet.gossip(from, to);
     }
   }
 }
 
-function getVersions(world: TestFleet): readonly number[] {
-  return world.hosts.map((host) => host.watcher.getCurrent()?.version ?? 0);
+function getVersions(fleet: TestFleet): readonly number[] {
+  return fleet.hosts.map((host) => host.watcher.getCurrent()?.version ?? 0);
 }
 
 test("a version reaches all hosts when the store goes down at once", async () => {
   // An operator applies files; the store takes them and goes down. Without the
   // acceptor's own copy no host could read them before the store is back.
-  const world = await createRunningFleet(5);
-  world.platform.control.downAfterWrite = true;
-  await world.accept(world.hosts[0]!);
-  assert.equal(world.platform.control.down, true);
-  await gossipAmongAll(world);
-  assert.deepEqual(getVersions(world), [1, 1, 1, 1, 1]);
+  const fleet = await createRunningFleet(5);
+  fleet.platform.control.downAfterWrite = true;
+  await fleet.accept(fleet.hosts[0]!);
+  assert.equal(fleet.platform.control.down, true);
+  await gossipAmongAll(fleet);
+  assert.deepEqual(getVersions(fleet), [1, 1, 1, 1, 1]);
 });
 
 test("an empty host with neither store nor peers has nothing in force", async () => {
   // A host is replaced while the store is down and the network is cut. Callers
   // must be told to go elsewhere, not be served by what nobody vouches for.
-  const world = await createRunningFleet(5);
-  await world.accept(world.hosts[0]!);
-  await gossipAmongAll(world);
-  world.platform.control.down = true;
-  world.start(world.hosts[1]!);
-  world.hosts[1]!.isPartitioned = true;
-  await world.poll(world.hosts[1]!);
-  await gossipAmongAll(world);
-  assert.equal(world.hosts[1]!.watcher.getCurrent(), undefined);
+  const fleet = await createRunningFleet(5);
+  await fleet.accept(fleet.hosts[0]!);
+  await gossipAmongAll(fleet);
+  fleet.platform.control.down = true;
+  fleet.start(fleet.hosts[1]!);
+  fleet.hosts[1]!.isPartitioned = true;
+  await fleet.poll(fleet.hosts[1]!);
+  await gossipAmongAll(fleet);
+  assert.equal(fleet.hosts[1]!.watcher.getCurrent(), undefined);
 });
 
 test("an empty host does not believe one stale peer", async () => {
   // Host 4 was cut off at version 1, the others have version 2. The store goes
   // down, host 1 restarts empty and hears host 4 alone: callers who saw version
   // 2 there must not get version 1. With a majority it serves version 2.
-  const world = await createRunningFleet(5);
-  await world.accept(world.hosts[0]!);
-  await gossipAmongAll(world);
-  world.hosts[4]!.isPartitioned = true;
-  await world.accept(world.hosts[0]!);
-  await gossipAmongAll(world);
-  world.platform.control.down = true;
-  world.hosts[4]!.isPartitioned = false;
-  world.start(world.hosts[1]!);
-  await world.gossip(world.hosts[4]!, world.hosts[1]!);
-  assert.equal(world.hosts[1]!.watcher.getCurrent(), undefined);
-  await world.gossip(world.hosts[0]!, world.hosts[1]!);
-  await world.gossip(world.hosts[2]!, world.hosts[1]!);
-  assert.equal(world.hosts[1]!.watcher.getCurrent()?.version, 2);
+  const fleet = await createRunningFleet(5);
+  await fleet.accept(fleet.hosts[0]!);
+  await gossipAmongAll(fleet);
+  fleet.hosts[4]!.isPartitioned = true;
+  await fleet.accept(fleet.hosts[0]!);
+  await gossipAmongAll(fleet);
+  fleet.platform.control.down = true;
+  fleet.hosts[4]!.isPartitioned = false;
+  fleet.start(fleet.hosts[1]!);
+  await fleet.gossip(fleet.hosts[4]!, fleet.hosts[1]!);
+  assert.equal(fleet.hosts[1]!.watcher.getCurrent(), undefined);
+  await fleet.gossip(fleet.hosts[0]!, fleet.hosts[1]!);
+  await fleet.gossip(fleet.hosts[2]!, fleet.hosts[1]!);
+  assert.equal(fleet.hosts[1]!.watcher.getCurrent()?.version, 2);
 });
 
 test("a peer's files with another digest are not taken", () => {
@@ -224,9 +224,9 @@
 test("a version that can't be read does not stop the next one", async () => {
   // During an update a newer program accepts a key that this one does not know.
   // This host keeps what it has, says so, and takes the version after it.
-  const world = createFleet(4);
-  const [first] = world.hosts;
-  await world.accept(first!);
+  const fleet = createFleet(4);
+  const [first] = fleet.hosts;
+  await fleet.accept(first!);
   const files = createFileSet();
   const broken = { ...files, "teams.toml": "unheard_of = 1\n" };
   first!.watcher.putAcceptedInForce({
@@ -240,7 +240,7 @@
     },
     files: broken,
   });
-  assert.deepEqual(world.refused, [2]);
+  assert.deepEqual(fleet.refused, [2]);
   assert.equal(first!.watcher.getCurrent()?.version, 1);
   first!.watcher.putAcceptedInForce({
     row: {
@@ -259,15 +259,15 @@
 test("a version that nobody can give does not hide the real one", async () => {
   // A damaged datagram names version 4000000000. The host asks for it in vain,
   // and still has to take version 1.
-  const world = createFleet(4);
-  await world.accept(world.hosts[0]!);
-  const target = world.hosts[1]!;
-  await world.poll(target);
+  const fleet = createFleet(4);
+  await fleet.accept(fleet.hosts[0]!);
+  const target = fleet.hosts[1]!;
+  await fleet.poll(target);
   target.watcher.recordPeerVersion(
     { version: 4e9, digest: "f".repeat(64) },
     "entry-2",
   );
-  await world.gossip(world.hosts[0]!, target);
+  await fleet.gossip(fleet.hosts[0]!, target);
   assert.equal(target.watcher.getCurrent()?.version, 1);
 });
 
@@ -298,41 +298,41 @@
 );
 
 async function runSteps(
-  world: TestFleet,
+  fleet: TestFleet,
   stepsToRun: readonly Step[],
 ): Promise<void> {
   for (const [name, first, second] of stepsToRun) {
-    const host = world.hosts[first]!;
+    const host = fleet.hosts[first]!;
     switch (name) {
       case "accept":
-        await world.accept(host);
+        await fleet.accept(host);
         break;
       case "gossip":
-        await world.gossip(host, world.hosts[second]!);
+        await fleet.gossip(host, fleet.hosts[second]!);
         break;
       case "poll":
-        await world.poll(host);
+        await fleet.poll(host);
         break;
       case "restart":
-        world.start(host);
-        await world.poll(host);
+        fleet.start(host);
+        await fleet.poll(host);
         break;
       case "cut":
         host.isPartitioned = !host.isPartitioned;
         break;
       case "store":
-        world.platform.control.down = !world.platform.control.down;
+        fleet.platform.control.down = !fleet.platform.control.down;
     }
   }
 }
 
 /** All are reachable again: the newest version must come to all. */
-async function recoverAll(world: TestFleet): Promise<void> {
-  world.platform.control.down = false;
-  for (const host of world.hosts) host.isPartitioned = false;
-  for (const host of world.hosts) await world.poll(host);
-  const head = await Effect.runPromise(world.store.getHead());
-  for (const version of getVersions(world)) {
+async function recoverAll(fleet: TestFleet): Promise<void> {
+  fleet.platform.control.down = false;
+  for (const host of fleet.hosts) host.isPartitioned = false;
+  for (const host of fleet.hosts) await fleet.poll(host);
+  const head = await Effect.runPromise(fleet.store.getHead());
+  for (const version of getVersions(fleet)) {
     assert.equal(version, head?.version ?? 0);
   }
 }
@@ -342,9 +342,9 @@
   // restarts that forget all, cuts, and a store that comes and goes.
   await fc.assert(
     fc.asyncProperty(steps, async (taken) => {
-      const world = await createRunningFleet(5);
-      await runSteps(world, taken);
-      await recoverAll(world);
+      const fleet = await createRunningFleet(5);
+      await runSteps(fleet, taken);
+      await recoverAll(fleet);
     }),
     { seed: 7, numRuns: 1_000 },
   );
@@ -367,7 +367,7 @@
   };
   const checked = await fc.check(
     fc.asyncProperty(steps, async (taken) => {
-      const world = await createRunningFleet(
+      const fleet = await createRunningFleet(
         5,
         (host) =>
           createWatcherWithoutMajority({
@@ -378,7 +378,7 @@
               ),
           }),
       );
-      await runSteps(world, taken);
+      await runSteps(fleet, taken);
     }),
     { seed: 7, numRuns: 1_000 },
   );
