--- a/src/config/copy.ts
+++ b/src/config/copy.ts
@@ -1,6 +1,6 @@
 /**
- * A configuration as one host hands it to another: its row and its files,
- * compressed. A receiver believes nothing of it but what the digest proves.
+ * The encoding in which one host sends a configuration to another: its version
+ * row and its files as compressed JSON. The receiver verifies the digest.
  *
  * @module
  */
@@ -15,19 +15,19 @@
   readonly files: FileSet;
 }
 
-/** A larger copy is refused before it fills the memory. */
+/** Bounds the memory that decompressing a peer's copy can take, in bytes. */
 const MAX_COPY_BYTES = 16 * 1024 * 1024;
 
-/** The bytes of a copy. */
+/** Encodes a copy for another host. */
 export function encodeCopy(copy: ConfigCopy): Uint8Array {
   return gzipSync(JSON.stringify(copy));
 }
 
 /**
- * The copy in a peer's bytes, or `undefined` unless its files have the digest
- * and its row the version that were asked for. Failure: a peer with damaged
- * memory or an old program sends other files; without the check this host would
- * put in force what no operator declared.
+ * Decodes a peer's copy; `undefined` unless its row has the version, and its
+ * files the digest, that were requested. Failure prevented: a peer with damaged
+ * memory or an old program sends other files, and this host would put in force
+ * a configuration that no operator declared.
  */
 export function tryDecodeCopy(
   bytes: Uint8Array,
--- a/src/config/cross_checks.ts
+++ b/src/config/cross_checks.ts
@@ -1,6 +1,6 @@
 /**
- * What one field alone can't show: duplicate ids, unknown references, addresses
- * and keys that are used twice.
+ * Checks that involve more than one field: duplicate ids, addresses and keys,
+ * and references to entries that are not declared.
  *
  * @module
  */
@@ -9,14 +9,15 @@
 import type { ConfigProblem } from "./errors.ts";
 import type { RouterSettings } from "./schema.ts";
 
+/** A value that may occur only once, and its key path. */
 interface UniqueValue {
   readonly path: string;
   readonly value: string;
-  /** Shown in place of a value that is secret. */
+  /** Text to print in place of a secret value. */
   readonly displayText?: string;
 }
 
-/** Problems of a deployment whose fields are all allowed. */
+/** Cross-checks a deployment whose fields are each valid. */
 export function getDeploymentProblems(
   deployment: Deployment,
 ): readonly ConfigProblem[] {
@@ -50,7 +51,7 @@
   ];
 }
 
-/** Problems of a process's settings whose fields are all allowed. */
+/** Cross-checks the settings of a process whose fields are each valid. */
 export function getSettingsProblems(
   file: string,
   settings: RouterSettings,
@@ -76,7 +77,10 @@
   ];
 }
 
-/** A team that holds an operator's key could apply configurations. */
+/**
+ * Finds keys that a team shares with an operator: such a team could apply
+ * configurations.
+ */
 export function getSharedKeyProblems(
   deployment: Deployment,
   operators: RouterSettings["operators"],
--- a/src/config/decode.ts
+++ b/src/config/decode.ts
@@ -1,7 +1,7 @@
 /**
- * Decodes one TOML file with its schema and tells everything that is wrong with
- * it at once, in the words of the file: snake_case key paths, the value and
- * what is allowed. A key or a secret is never repeated.
+ * Decodes one TOML file with its schema and reports all of its problems at
+ * once, each with its key path in snake_case, the value and the allowed values.
+ * A report never contains a key or a secret.
  *
  * @module
  */
@@ -19,27 +19,30 @@
   readonly file: string;
   readonly text: string;
   readonly schema: S;
-  /** Fields by the path of their table; the empty path is the top. */
+  /** Fields by the path of their table; the empty path is the top level. */
   readonly tables: Readonly<Record<string, Fields>>;
 }
 
-/** The decoded value, or what is wrong. */
+/** The decoded value, or the problems of the file. */
 export type Decoded<T> =
   | { readonly kind: "decoded"; readonly value: T }
   | { readonly kind: "wrong"; readonly problems: readonly ConfigProblem[] };
 
 type Path = readonly PropertyKey[];
 
-/** Marks a key that the file writes with capitals; no known key ends so. */
+/**
+ * Suffix that marks a key spelled with capitals in the file, which is kept as
+ * it is written. No known key ends with it.
+ */
 const VERBATIM_MARK = "?";
 
-/** Longest shown part of a value; a longer one is cut. */
+/** A longer value is truncated in a problem's text, in characters. */
 const MAX_VALUE_LENGTH = 60;
 
-/** A known key further away than this share of its length is no suggestion. */
+/** Largest edit distance of a suggested key, as a share of its length. */
 const MAX_DISTANCE_SHARE = 0.4;
 
-/** Decodes the text of a file. */
+/** Decodes a file against its schema. */
 export function decodeFile<S extends Schema.ConstraintDecoder<unknown>>(
   input: DecodeInput<S>,
 ): Decoded<S["Type"]> {
@@ -65,13 +68,13 @@
   return { kind: "wrong", problems: toProblems(input, raw, issue) };
 }
 
-/** A key of the code as the files write it. */
+/** Converts a key's name in the code to its spelling in the files. */
 export function toSnakeCase(key: string): string {
   if (key.endsWith(VERBATIM_MARK)) return key.slice(0, -VERBATIM_MARK.length);
   return key.replace(/[A-Z]/g, (letter) => `_${letter.toLowerCase()}`);
 }
 
-/** A key path as people write it: `teams[2].max_queued (id "a-team")`. */
+/** Formats a key path for a problem: `teams[2].max_queued ("a-team")`. */
 export function formatKeyPath(path: Path, raw: unknown): string {
   let text = "";
   let name = "";
@@ -96,7 +99,8 @@
   const problems = new Map<string, ConfigProblem>();
   forEachLeafIssue(root, [], (issue, path) => {
     const keyPath = formatKeyPath(path, raw);
-    // A value can fail several checks of one field; one line tells them all.
+    // A value can fail several checks of its field. One problem is enough,
+    // since its text lists everything that is allowed.
     if (problems.has(keyPath)) return;
     problems.set(keyPath, toProblem(input, raw, issue, path));
   });
@@ -171,7 +175,7 @@
   return unit === "" ? allowed : `${allowed} (${unit})`;
 }
 
-/** The table that a key path's last part stands in. */
+/** The path of the table that contains the key at the end of a key path. */
 function getTablePath(path: Path): string {
   return path.slice(0, -1).filter((part) => typeof part !== "number").join(".");
 }
@@ -197,7 +201,7 @@
 }
 
 function toCamelCaseKey(key: string): string {
-  // A camelCase key in a file must not pass for the snake_case one.
+  // A camelCase key in a file must not be accepted as the snake_case key.
   if (/[A-Z]/.test(key)) return `${key}${VERBATIM_MARK}`;
   return key.replace(/_([a-z])/g, (_, letter: string) => letter.toUpperCase());
 }
--- a/src/config/differences.ts
+++ b/src/config/differences.ts
@@ -1,29 +1,29 @@
 /**
- * What differs between two deployments, by file and by the declared thing: an
- * operator whose configuration met a conflict sees what the other one changed.
+ * Differences between two deployments, by file and declared entry. After a
+ * conflict they show an operator what the other operator changed.
  *
  * @module
  */
 
 import type { Deployment } from "../types.ts";
 
-/** One declared thing that differs. */
+/** One declared entry that differs. */
 export interface ConfigDifference {
   readonly file: string;
   readonly kind: "deployment" | "data-centre" | "team" | "service" | "upstream";
   readonly id: string;
   readonly change: "added" | "removed" | "changed";
-  /** Keys whose values differ, for a changed thing. */
+  /** Keys whose values differ, in a changed entry; otherwise empty. */
   readonly keys: readonly string[];
 }
 
-/** What two operators changed since the version that both started from. */
+/** Changes of two operators since the version that both started from. */
 export interface ConflictDetails {
-  /** From the version that the operator saw to the one in force. */
+  /** From the operator's base version to the version in force. */
   readonly theirs: readonly ConfigDifference[];
-  /** From the version that the operator saw to what was asked for. */
+  /** From the operator's base version to the requested configuration. */
   readonly yours: readonly ConfigDifference[];
-  /** Things in both lists: these need a decision, the rest can be merged. */
+  /** Entries in both lists. They need a decision; the rest can be merged. */
   readonly overlapping: readonly ConfigDifference[];
 }
 
@@ -47,7 +47,7 @@
   upstreams: [],
 };
 
-/** What differs from one deployment to the other, in the files' order. */
+/** Compares two deployments; the differences are in the order of the files. */
 export function getDifferences(
   from: Deployment,
   to: Deployment,
@@ -70,7 +70,7 @@
   return differences;
 }
 
-/** Sets what each of two operators changed beside the other. */
+/** Compares the changes that two operators made to the same base version. */
 export function getConflictDetails(
   base: Deployment,
   input: { readonly inForce: Deployment; readonly requested: Deployment },
--- a/src/config/errors.ts
+++ b/src/config/errors.ts
@@ -1,5 +1,5 @@
 /**
- * What is wrong with a file: where, which value and what is allowed.
+ * Problems of configuration files: the place, the value and what is allowed.
  *
  * @module
  */
@@ -7,16 +7,16 @@
 import * as Data from "effect/Data";
 import { formatMessage, type MessageName } from "../diagnostics/mod.ts";
 
-/** One thing that is wrong with a file. */
+/** One problem of a file. */
 export interface ConfigProblem {
-  /** File as the operator named it. */
+  /** The file's name as the operator gave it. */
   readonly file: string;
   readonly message: MessageName;
-  /** Arguments of the message: key path, value, what is allowed. */
+  /** Arguments of the message, such as key path, value and allowed values. */
   readonly args: readonly string[];
 }
 
-/** Files that can't be read, parsed, decoded or fitted together. */
+/** Thrown for files that can't be read, parsed or decoded, or that conflict. */
 export class ConfigError extends Data.TaggedError("ConfigError")<{
   readonly problems: readonly ConfigProblem[];
 }> {
@@ -26,7 +26,7 @@
   }
 }
 
-/** A problem as one line: file, key path, value and what is allowed. */
+/** Formats a problem as one line that starts with the file's name. */
 export function formatProblem(problem: ConfigProblem): string {
   return `${problem.file}: ${formatMessage(problem.message, problem.args)}`;
 }
--- a/src/config/fields.ts
+++ b/src/config/fields.ts
@@ -1,7 +1,7 @@
 /**
- * Fields of the declarative files: the schema that checks a value together with
- * what people are told of it. Errors and docs/CONFIGURATION.md both come from
- * here, so that neither can differ from what is checked.
+ * Fields of the declarative files: each has a schema that checks its value and
+ * a description. Error texts and docs/CONFIGURATION.md are generated from these
+ * descriptions, so that both agree with the checks.
  *
  * @module
  */
@@ -10,16 +10,16 @@
 import * as Effect from "effect/Effect";
 import * as Schema from "effect/Schema";
 
-/** What people are told of a field. */
+/** Description of a field in error texts and in docs/CONFIGURATION.md. */
 export interface FieldDoc {
   readonly description: string;
-  /** The values that are allowed, in words. */
+  /** The allowed values, in words. */
   readonly allowed: string;
-  /** Unit of the value; empty for none. */
+  /** Unit of the value; empty if it has none. */
   readonly unit: string;
-  /** The value taken when the key is absent; `undefined`: the key is needed. */
+  /** Used if the key is absent; `undefined` if the key is required. */
   readonly defaultValue?: string | number | undefined;
-  /** Its value is never shown: it is a key or says something of one. */
+  /** Never print the value: it is a secret or is derived from one. */
   readonly isSecret?: boolean;
 }
 
@@ -29,7 +29,7 @@
   readonly doc: FieldDoc;
 }
 
-/** The fields of one table, by their name in code. */
+/** The fields of one table, by their names in the code. */
 export type Fields = Readonly<Record<string, Field>>;
 
 type Schemas<F extends Fields> = { [K in keyof F]: F[K]["schema"] };
@@ -38,7 +38,7 @@
 const DIGEST = /^[0-9a-f]{64}$/;
 const LAST_PORT = 65_535;
 
-/** The struct schema of a table's fields. */
+/** Makes the schema of a table from its fields. */
 export function toStruct<F extends Fields>(
   fields: F,
 ): Schema.Struct<Schemas<F>> {
@@ -65,21 +65,24 @@
   return { schema, doc: { description, allowed, unit: "" } };
 }
 
-/** SHA-256 of a key. Never shown: a key may stand there by mistake. */
+/**
+ * SHA-256 of a key. The value is never printed, since an operator may have put
+ * the key itself there by mistake.
+ */
 export function keyDigest(description: string) {
   const schema = Schema.String.check(Schema.isPattern(DIGEST));
   const allowed = "the SHA-256 of the key as 64 lower case hexadecimal digits";
   return { schema, doc: { description, allowed, unit: "", isSecret: true } };
 }
 
-/** A text that is never shown. */
+/** A text that is never printed. */
 export function secret(description: string, minLength: number) {
   const schema = Schema.String.check(Schema.isMinLength(minLength));
   const allowed = `a text of at least ${minLength} characters`;
   return { schema, doc: { description, allowed, unit: "", isSecret: true } };
 }
 
-/** A whole number within the range, ends included. */
+/** An integer within the inclusive range. */
 export function integer(
   description: string,
   range: { min: number; max: number; unit: string },
@@ -93,7 +96,7 @@
   return { schema, doc: { description, allowed, unit } };
 }
 
-/** A number within the range, ends included. */
+/** A number within the inclusive range. */
 export function number(
   description: string,
   range: { min: number; max: number; unit: string },
@@ -105,13 +108,12 @@
   return { schema, doc: { description, allowed: `${min} to ${max}`, unit } };
 }
 
-/** True or false. */
 export function flag(description: string) {
   const allowed = "true or false";
   return { schema: Schema.Boolean, doc: { description, allowed, unit: "" } };
 }
 
-/** One of the words given. */
+/** One of the given words. */
 export function oneOf<const W extends readonly string[]>(
   description: string,
   words: W,
@@ -121,7 +123,7 @@
   return { schema, doc: { description, allowed, unit: "" } };
 }
 
-/** A list of tables; `table` is their name in the file. */
+/** An array of tables; `table` is their name in the file. */
 export function tablesOf<F extends Fields>(
   description: string,
   fields: F,
@@ -132,7 +134,7 @@
   return { schema, doc: { description, allowed, unit: "" } };
 }
 
-/** Makes a field optional, with the value taken when its key is absent. */
+/** Makes a field optional; `value` is used if its key is absent. */
 export function withDefault<S extends Schema.Top>(
   field: Field<S>,
   value: S["Encoded"] & (string | number),
@@ -143,7 +145,9 @@
   return { schema, doc: { ...field.doc, defaultValue: value } };
 }
 
-/** Makes a field optional; `fallback` says in words what is taken then. */
+/**
+ * Makes a field optional; `fallback` describes what is used if it is absent.
+ */
 export function optional<S extends Schema.Top>(
   field: Field<S>,
   fallback: string,
@@ -152,7 +156,7 @@
   return { schema, doc: { ...field.doc, defaultValue: fallback } };
 }
 
-/** Makes a list of tables optional; none are taken when there are none. */
+/** Makes an array of tables optional; it is empty if absent. */
 export function withEmptyDefault<S extends Schema.Top>(field: Field<S>) {
   const schema = field.schema.pipe(
     Schema.withDecodingDefaultKey(Effect.succeed([] as S["Encoded"])),
--- a/src/config/format_differences.ts
+++ b/src/config/format_differences.ts
@@ -1,6 +1,6 @@
 /**
- * Differences between two deployments as lines for people, with the values that
- * changed. A change of comments or order shows as none.
+ * Formats the differences between two deployments, with the values that
+ * changed. A change of only comments, order or spacing is no difference.
  *
  * @module
  */
@@ -15,7 +15,7 @@
 
 type Entry = Readonly<Record<string, unknown>>;
 
-/** Lines for what differs; `undefined` stands for no deployment. */
+/** Formats the differences, one a line; `undefined` is an empty deployment. */
 export function formatDifferences(
   from: Deployment | undefined,
   to: Deployment,
@@ -38,7 +38,7 @@
   });
 }
 
-/** The declared thing that differs, as people name it. */
+/** Names the declared entry that differs, such as `team "one"`. */
 export function formatEntry(difference: ConfigDifference): string {
   return `${difference.kind.replace("-", " ")} "${difference.id}"`;
 }
@@ -61,7 +61,7 @@
 }
 
 function formatValue(key: string, value: unknown): string {
-  // The start of a digest is enough to tell two keys apart.
+  // The first digits of a digest suffice to show that the key changed.
   if (key === "keyDigest") return `${String(value).slice(0, 8)}…`;
   return JSON.stringify(value) ?? "none";
 }
--- a/src/config/load.ts
+++ b/src/config/load.ts
@@ -1,6 +1,6 @@
 /**
- * Reads declarative files and settings: TOML text to checked values. Nothing
- * here touches the network, so `azurestile-check` uses the same code offline.
+ * Reads and checks the declarative TOML files and the settings of a process.
+ * The module does not use the network, so `azurestile-check` runs it offline.
  *
  * @module
  */
@@ -21,10 +21,10 @@
   tableFields,
 } from "./schema.ts";
 
-/** Texts of the deployment's files by name. */
+/** Texts of a deployment's files, by file name. */
 export type FileSet = Readonly<Record<string, string>>;
 
-/** Reads a deployment's folder; throws `ConfigError` for missing files. */
+/** Reads the files of a folder; throws `ConfigError` for unreadable ones. */
 export function readFileSet(folder: string): FileSet {
   const files: Record<string, string> = {};
   const problems: ConfigProblem[] = [];
@@ -41,8 +41,8 @@
 }
 
 /**
- * Decodes and cross-checks a set of files; throws `ConfigError` with all that
- * is wrong. What crosses files is checked once each file by itself is right.
+ * Decodes and cross-checks a set of files; throws `ConfigError` with all their
+ * problems. The cross-checks run only if each file is valid by itself.
  */
 export function decodeFileSet(files: FileSet): Deployment {
   const problems: ConfigProblem[] = [];
@@ -58,7 +58,7 @@
   return deployment;
 }
 
-/** The digest that names a set of files, whatever the order of its names. */
+/** The digest that identifies a set of files; their order does not matter. */
 export function getFileSetDigest(files: FileSet): string {
   const ordered = deploymentFiles.map((name) => [name, files[name] ?? ""]);
   return getDigest(JSON.stringify(ordered));
@@ -91,7 +91,10 @@
 
 function decodeDeploymentFile(name: DeploymentFile, text: string | undefined) {
   if (text === undefined) {
-    const problem = createUnreadableProblem(name, "it is not in the set");
+    const problem = createUnreadableProblem(
+      name,
+      "the set of files does not contain it",
+    );
     return { kind: "wrong" as const, problems: [problem] };
   }
   return decodeFile<typeof fileSchemas[DeploymentFile]>({
--- a/src/config/load_test.ts
+++ b/src/config/load_test.ts
@@ -66,7 +66,7 @@
   return [];
 }
 
-test("a set without faults takes the defaults", () => {
+test("absent keys of a valid set take their defaults", () => {
   const { teams, upstreams } = decodeFileSet(createFiles());
   deepStrictEqual(teams.map((team) => team.weight), [1, 2]);
   deepStrictEqual(upstreams[0]?.maxSlots, 16);
@@ -99,7 +99,7 @@
   match(line, /^services.toml: teams is no known key; known here: services$/);
 });
 
-test("all faults of all files are told at once", () => {
+test("all problems of all files are reported at once", () => {
   const files = {
     ...createFiles(),
     "deployment.toml": "name = [",
@@ -114,7 +114,7 @@
   ]);
 });
 
-test("what crosses files is checked", () => {
+test("duplicates and references between files are checked", () => {
   const cases = [
     ["teams.toml", 'id = "two"', 'id = "one"', "teams[1].id"],
     [
@@ -133,7 +133,7 @@
   }
 });
 
-test("settings are checked alike, and a port clash is found", () => {
+test("an address that the settings use twice is reported", () => {
   decodeSettings("s.toml", createSettingsText());
   const clash = createSettingsText().replace("8002", "8001");
   deepStrictEqual(getLines(() => decodeSettings("s.toml", clash)), [
@@ -143,8 +143,8 @@
 });
 
 /**
- * An operator pastes the key itself where its digest belongs, or a secret that
- * is too short, and the error goes into a ticket. The message must not hold it.
+ * An operator pastes a key in place of its digest, or a secret that is too
+ * short. The error may be copied into a ticket, so it must not contain them.
  */
 test("an error never repeats a key or a secret", () => {
   const files = edit("teams.toml", getDigest("key of two"), "key of two");
@@ -163,7 +163,7 @@
   }
 });
 
-test("the difference tells entries and keys, not comments or order", () => {
+test("the difference lists entries and keys, not comments or order", () => {
   const before = decodeFileSet(createFiles());
   const files = edit("teams.toml", "weight = 2", "# twice\nweight = 3");
   const after = decodeFileSet({
@@ -180,7 +180,7 @@
   ok(all.every((line) => line.startsWith("+ ")));
 });
 
-test("a set with a missing file is refused", () => {
+test("a set that lacks a file is refused", () => {
   const { "teams.toml": _, ...files } = createFiles();
   throws(() => decodeFileSet(files), ConfigError);
 });
--- a/src/config/mod.ts
+++ b/src/config/mod.ts
@@ -1,6 +1,6 @@
 /**
- * Configuration: the declarative files, their record on the platform, and which
- * version is in force at this host.
+ * Configuration: the declarative files, the record of accepted versions on the
+ * platform, and the version that is in force at this host.
  *
  * @module
  */
--- a/src/config/poll_period.ts
+++ b/src/config/poll_period.ts
@@ -1,41 +1,44 @@
 /**
- * How often a host reads the head from the store.
+ * The period in which a host polls the store for the newest version.
  *
- * Load: 390 hosts before a store that takes about 2,000 reads a second, many of
- * them across the link that is paid by volume. Harm prevented: the polls alone
- * eat the store, or a change whose acceptor died at once waits for long.
+ * Load: 390 hosts read from a store that takes about 2,000 reads a second, many
+ * of them over a link that is billed by volume. Failure prevented: the polls
+ * alone use up the store's capacity, or a version takes long to reach the hosts
+ * if the host that accepted it fails at once.
  *
- * Versions spread by datagrams, so one host of each data centre polls often;
- * it is picked by rendezvous hashing, and any host can be it. A host that hears
- * no other one, or has nothing in force, can't rely on that and polls often
- * itself.
+ * Versions are gossiped in datagrams, so frequent polls by one host of each
+ * data centre suffice. Rendezvous hashing designates that host; it can be any
+ * host. A host that receives nothing from other hosts, or has no version in
+ * force, can't rely on gossip and polls frequently itself.
  *
  * @module
  */
 
-/** What the period depends on. */
+/** State of the host from which its poll period is derived. */
 export interface PollInput {
   readonly hasVersion: boolean;
-  /** This host polls for its data centre. */
+  /** Whether this host polls on behalf of its data centre. */
   readonly isDesignatedPoller: boolean;
   readonly sinceLastPeerMs: number;
-  /** From 0 up to 1, so that hosts that start together drift apart. */
+  /** Jitter from 0 up to 1 that separates hosts which start together. */
   readonly random: number;
 }
 
-/** A third of the 7 s in which a version must be in force. */
+/** Within a third of the 7 s in which a version must be in force. */
 export const FREQUENT_POLL_MS = 2_000;
 
-/** Without a version no request is served: a second is what one notices. */
+/** A host without a version serves no request, so it polls every second. */
 const NO_VERSION_POLL_MS = 1_000;
 
-/** A backstop only, against a fault in the datagrams' spread. */
+/** A fallback for faults of the gossip. */
 export const INFREQUENT_POLL_MS = 30_000;
 
-/** Longer than a few probe periods, so that a lost datagram changes nothing. */
+/** Several probe periods, so that the loss of single datagrams is tolerated. */
 const PEER_SILENCE_MS = 3_000;
 
-/** Milliseconds until the next poll: the period, less up to a quarter. */
+/**
+ * Milliseconds until the next poll; jitter shortens the period by up to 25%.
+ */
 export function getPollMs(input: PollInput): number {
   return getPeriodMs(input) * (1 - input.random / 4);
 }
--- a/src/config/poll_period_test.ts
+++ b/src/config/poll_period_test.ts
@@ -1,5 +1,5 @@
 /**
- * Tests of how often hosts read the store.
+ * Tests of the rate at which a fleet of 390 hosts polls the store.
  *
  * @module
  */
@@ -20,7 +20,7 @@
 }
 
 test("390 hosts of six data centres read about 1% of the store's rate", () => {
-  // All hosts reach one another; at the shortest periods that jitter allows.
+  // All hosts reach one another. The jitter gives the shortest periods.
   const hosts = Array.from({ length: 390 }, (_, index) => ({
     ...settled,
     isPicked: index < 6,
@@ -30,9 +30,9 @@
   assert(reads < 0.011 * 2_000, `${reads} reads a second`);
 });
 
-test("390 hosts that hear nobody stay within the store's rate", () => {
-  // The network between the hosts fails while each reaches the store: all poll
-  // often, and a version is still in force in time.
+test("390 hosts that are cut off from each other stay within the store's rate", () => {
+  // The network between the hosts fails while each reaches the store. All poll
+  // frequently, and a version is still in force within 7 s.
   const hosts = Array.from({ length: 390 }, () => ({
     ...settled,
     sinceHeardMs: 60_000,
--- a/src/config/reference.ts
+++ b/src/config/reference.ts
@@ -1,6 +1,6 @@
 /**
- * The reference of all keys as Markdown tables, made from the schemas, so that
- * docs/CONFIGURATION.md can't differ from what is checked.
+ * Generates the reference of all keys in docs/CONFIGURATION.md as Markdown
+ * tables from the schemas, so that the page agrees with the checks.
  *
  * @module
  */
@@ -9,7 +9,7 @@
 import type { Field } from "./fields.ts";
 import { tableFields } from "./schema.ts";
 
-/** All tables, each under a heading with its file and its name. */
+/** Formats all tables, each under a heading with its file and its name. */
 export function createReference(): string {
   return Object.entries(tableFields).flatMap(([file, tables]) =>
     Object.entries(tables).map(([path, fields]) => {
--- a/src/config/reference_test.ts
+++ b/src/config/reference_test.ts
@@ -5,7 +5,7 @@
 
 const PAGE = new URL("../../docs/CONFIGURATION.md", import.meta.url);
 
-/** Rows without the spaces and dashes that the formatter adds. */
+/** Table rows without the padding and rulers that the formatter adds. */
 function getRows(markdown: string): readonly string[] {
   return markdown.split("\n")
     .filter((line) => line.startsWith("|") || line.startsWith("### "))
--- a/src/config/schema.ts
+++ b/src/config/schema.ts
@@ -1,7 +1,7 @@
 /**
- * The declarative files and the settings as schemas: types, defaults, units and
- * limits. Files use snake_case keys; the loader turns them to camelCase before
- * they come here.
+ * Schemas of the declarative files and of the settings: types, defaults, units
+ * and limits. Files use snake_case keys, which the decoder converts to
+ * camelCase before it applies the schemas.
  *
  * @module
  */
@@ -25,7 +25,7 @@
 
 const dataCentreFields = {
   id: identifier("Name of the data centre"),
-  region: identifier("Region that the data centre lies in"),
+  region: identifier("Region of the data centre"),
 };
 
 const teamFields = {
@@ -56,7 +56,7 @@
 
 const serviceFields = {
   id: identifier("Name of the service, the first part of the path"),
-  kind: oneOf("Engines stream their answers; plain services answer at once", [
+  kind: oneOf("Engines stream responses; plain services send a single one", [
     "engine",
     "plain",
   ]),
@@ -66,7 +66,7 @@
     "services.operations",
   ),
   maxDeadlineMs: withDefault(
-    integer("Longest time from arrival to end that a caller may ask for", {
+    integer("Longest time from arrival to deadline that a caller may set", {
       min: 100,
       max: 3_600_000,
       unit: "ms",
@@ -82,7 +82,7 @@
     1024 * 1024,
   ),
   expectedCost: withDefault(
-    number("Cost assumed until a team's own costs are known", {
+    number("Cost assumed for a request until the team's own costs are known", {
       min: 0.001,
       max: 1e9,
       unit: "tokens or calls",
@@ -93,11 +93,11 @@
 
 const upstreamFields = {
   id: identifier("Name of the upstream"),
-  service: identifier("Service that it runs"),
-  dataCentre: identifier("Data centre that it stands in"),
-  address: address("Address of its HTTP server"),
+  service: identifier("Service that the upstream runs"),
+  dataCentre: identifier("Data centre of the upstream"),
+  address: address("Address of the upstream's HTTP server"),
   maxSlots: withDefault(
-    integer("Concurrency above which the adaptive limit never goes", {
+    integer("Upper bound of the adaptive concurrency limit", {
       min: 1,
       max: 4096,
       unit: "requests in flight",
@@ -105,22 +105,25 @@
     16,
   ),
   fencing: withDefault(
-    oneOf("Whether it refuses orders that carry an old fencing token", [
-      "checks",
-      "ignores",
-    ]),
+    oneOf(
+      "Whether the upstream refuses orders that carry an old fencing token",
+      [
+        "checks",
+        "ignores",
+      ],
+    ),
     "ignores",
   ),
   model: optional(
-    identifier("Model that it should have loaded, and no other"),
-    "it keeps the models that it has",
+    identifier("The only model that the upstream should have loaded"),
+    "the upstream keeps its models",
   ),
   role: optional(
-    identifier("Role that it should have"),
-    "it keeps the role that it has",
+    identifier("Role that the upstream should have"),
+    "the upstream keeps its role",
   ),
   longestOrderMs: optional(
-    integer("From sending it an order until that ended or shows in its state", {
+    integer("Longest time from an order until it ends or shows in the state", {
       min: 100,
       max: 600_000,
       unit: "ms",
@@ -130,32 +133,36 @@
 };
 
 const operatorFields = {
-  name: identifier("Name that the record of configurations shows as author"),
+  name: identifier("Name of the operator, recorded as the author of a version"),
   keyDigest: keyDigest("SHA-256 of the operator's key"),
 };
 
 const seedFields = {
   id: identifier("Name of the host"),
   dataCentre: identifier("Data centre of the host"),
-  peerAddress: address("Its address for other hosts"),
+  peerAddress: address("Address of the host for other hosts"),
 };
 
 const settingsFields = {
   host: identifier("Name of this host; unique in the fleet"),
-  dataCentre: identifier("Data centre that this host stands in"),
+  dataCentre: identifier("Data centre of this host"),
   publicAddress: address("Address for callers and operators"),
   peerAddress: address("Address for other hosts, over TCP and UDP"),
-  /** Where to listen for peers, when it differs from what they dial. */
+  /** The address to bind, if it differs from the one that peers connect to. */
   peerBindAddress: optional(
-    address("Where to listen for other hosts, when it differs"),
+    address("Address to listen on for other hosts, if it differs"),
     "peer_address",
   ),
   platformAddress: address("Address of the platform's service"),
-  /** Shared by all hosts: signs resume tokens and peers' greetings. */
-  fleetSecret: secret("Shared by all hosts; proves that a host belongs", 16),
-  operators: tablesOf("Who may use /ops/", operatorFields, "operators"),
+  /** Signs resume tokens and authenticates the peers' handshakes. */
+  fleetSecret: secret("Shared by all hosts to authenticate each other", 16),
+  operators: tablesOf(
+    "Operators that may use /ops/",
+    operatorFields,
+    "operators",
+  ),
   logLevel: withDefault(
-    oneOf("Least severity of the lines that are logged", [
+    oneOf("Lowest severity that is logged", [
       "debug",
       "info",
       "warn",
@@ -165,13 +172,13 @@
   ),
   seeds: withEmptyDefault(
     tablesOf(
-      "Hosts to ask while the platform's list can't be read",
+      "Hosts to contact while the platform's list can't be read",
       seedFields,
       "seeds",
     ),
   ),
   whereTtlMs: withDefault(
-    integer("How long a caller may keep an answer of /where", {
+    integer("How long a caller may cache a response of /where", {
       min: 100,
       max: 600_000,
       unit: "ms",
@@ -206,7 +213,7 @@
 /** The settings of one router process. */
 export type RouterSettings = typeof settingsSchema.Type;
 
-/** The files of a deployment; together they are one version. */
+/** The files of a deployment, which together make up one version. */
 export const deploymentFiles = [
   "deployment.toml",
   "teams.toml",
@@ -217,7 +224,7 @@
 /** Name of one of the deployment's files. */
 export type DeploymentFile = typeof deploymentFiles[number];
 
-/** The schema of each file by itself, so that an error names its file. */
+/** One schema for each file, so that an error names the file. */
 export const fileSchemas = {
   "deployment.toml": toStruct(deploymentFileFields),
   "teams.toml": toStruct(teamsFileFields),
@@ -226,8 +233,8 @@
 };
 
 /**
- * The fields of each kind of file by the path of their table, as the code names
- * it; the empty path is the file's top.
+ * The fields of each kind of file by the path of their table in the code's
+ * spelling; the empty path is the top level of the file.
  */
 export const tableFields: Readonly<
   Record<DeploymentFile | "settings", Readonly<Record<string, Fields>>>
--- a/src/config/store.ts
+++ b/src/config/store.ts
@@ -1,8 +1,9 @@
 /**
- * The record of accepted configurations on the platform. A version is accepted
- * by one transaction: the head row moves from the version that the operator saw
- * to the next, and the version's own row is written beside it. The files go to
- * the object store before, so that a row never names files that are not there.
+ * The record of accepted configurations on the platform. One transaction
+ * accepts a version: it moves the head row from the operator's base version to
+ * the next one and writes the row of the new version. The files are written to
+ * the object store first, so that a row never refers to files that do not
+ * exist.
  *
  * @module
  */
@@ -27,12 +28,12 @@
 const VERSION_PREFIX = "version/";
 const VERSION_DIGITS = 10;
 
-/** The record is listed in blocks of a thousand versions: one day's changes. */
+/** The history is read in blocks of 1,000 versions, about a day's changes. */
 const BLOCK_DIGITS = 3;
 
 /**
- * Writes of one acceptance. Each is conditional on the same head, so that a
- * repeat after a lost reply can't accept twice.
+ * How often the transaction of one attempt is sent. Each is conditional on the
+ * same head version, so that a repeat after a lost reply can't accept twice.
  */
 const MAX_COMMIT_WRITES = 3;
 
@@ -43,11 +44,13 @@
   readonly parent: number;
   readonly author: string;
   readonly acceptedMs: number;
-  /** Names the attempt, so that a writer knows its own write again. */
+  /**
+   * Id of the operator's attempt, by which a writer recognises its own write.
+   */
   readonly attempt: string;
 }
 
-/** What an attempt to accept a configuration came to. */
+/** The outcome of an attempt to have a configuration accepted. */
 export type AcceptResult =
   | { readonly kind: "accepted"; readonly row: VersionRow }
   | {
@@ -55,13 +58,16 @@
     readonly head: VersionRow;
     readonly details: ConflictDetails;
   }
-  /** The platform failed after a write: asking again with the attempt tells. */
+  /**
+   * The platform failed after a write. A request with the same attempt id finds
+   * out whether it was accepted.
+   */
   | { readonly kind: "unknown"; readonly reason: string };
 
-/** What an operator asks for. */
+/** An operator's request to have a configuration accepted. */
 export interface AcceptRequest {
   readonly files: FileSet;
-  /** The version that the operator saw; 0 for an empty record. */
+  /** The version that the operator started from; 0 for an empty record. */
   readonly baseVersion: number;
   readonly author: string;
   readonly attempt: string;
@@ -77,7 +83,7 @@
   tryGetFiles(
     digest: string,
   ): Effect.Effect<FileSet | undefined, PlatformError>;
-  /** The latest versions, oldest first; about `limit` of them. */
+  /** The latest versions, oldest first: whole blocks with at least `limit`. */
   getHistory(
     limit?: number,
   ): Effect.Effect<readonly VersionRow[], PlatformError>;
@@ -94,7 +100,7 @@
   attempt: "",
 };
 
-/** Makes the store over the platform's tables and objects. */
+/** Makes a store that uses the platform's table and object services. */
 export function createConfigStore(platform: Platform): ConfigStore {
   const { tables, objects } = platform;
 
@@ -137,10 +143,10 @@
   }
 
   /**
-   * Writes until the end is known. Failure: the reply is lost after the write
-   * took effect, and the operator is told that it failed while it is in force.
-   * A write that came to nothing is sent again: the head has not moved, so at
-   * most one of the writes takes effect.
+   * Sends the transaction until its outcome is known. Failure prevented: the
+   * reply is lost after the write took effect, and the operator is told of a
+   * failure although the version is in force. If the head has not moved, the
+   * write is sent again; at most one of the writes can take effect.
    */
   function commit(
     req: AcceptRequest,
@@ -171,7 +177,10 @@
     });
   }
 
-  /** After a write whose end is in doubt: a failed read leaves it unknown. */
+  /**
+   * Reads the outcome of a write that may have taken effect; it stays unknown
+   * if the read fails.
+   */
   function readBack(req: AcceptRequest): Effect.Effect<AcceptResult> {
     return getHeadRow().pipe(
       Effect.flatMap((row) => getOutcome(req, toVersionRow(row) ?? noVersion)),
@@ -184,9 +193,9 @@
   }
 
   /**
-   * The head has moved: by our own earlier write, or by another operator's. The
-   * row of the version that ours would be tells which, also when more versions
-   * were accepted on top; the head alone would not.
+   * Finds out whether this attempt or another operator's moved the head. The
+   * row of the version after the base shows whose attempt it was, even if later
+   * versions were accepted since; the head row does not.
    */
   function getOutcome(
     req: AcceptRequest,
@@ -206,7 +215,7 @@
     });
   }
 
-  /** The deployment of a version; an unreadable one counts as empty. */
+  /** The deployment of a version; empty if its files can't be decoded. */
   function getDeployment(
     row: VersionRow | undefined,
   ): Effect.Effect<Deployment, PlatformError> {
--- a/src/config/store_test.ts
+++ b/src/config/store_test.ts
@@ -1,5 +1,5 @@
 /**
- * Tests of accepting configurations on a store that fails.
+ * Tests of the acceptance of configurations while the platform fails.
  *
  * @module
  */
@@ -42,19 +42,19 @@
   };
 }
 
-test("a write whose reply is lost is known to be accepted", async () => {
-  // An operator applies files; the write takes effect, its reply is lost. The
-  // operator must not be told of a failure, or of a conflict with himself.
+test("a write whose reply is lost is reported as accepted", async () => {
+  // The write takes effect and its reply is lost. The operator must not be told
+  // of a failure, or of a conflict with their own version.
   const { platform, accept } = createFixture();
   platform.control.lostReplies = 1;
   const result = await accept({ attempt: "a" });
   assert.equal(result.kind, "accepted");
 });
 
-test("a lost reply is known again below another's version", async () => {
+test("a repeated attempt finds its version below a later one", async () => {
   // Ade's write takes effect, its reply is lost, and the store goes down. Bisi
-  // sees version 1 and puts version 2 on top. Ade asks again: the head is
-  // Bisi's, and only the row of version 1 tells that it was accepted.
+  // then applies version 2 on top of version 1. Ade repeats the attempt: the
+  // head is Bisi's, and only the row of version 1 shows that it was accepted.
   const { platform, accept } = createFixture();
   platform.control.lostReplies = 1;
   platform.control.downAfterWrite = true;
@@ -69,9 +69,9 @@
   assert.equal(again.kind === "accepted" && again.row.version, 1);
 });
 
-test("a request that is lost on its way is sent again", async () => {
-  // The connection breaks before the store saw the write. Without a second
-  // write the operator is told "unknown" although nothing stands in the way.
+test("a write that never reached the store is sent again", async () => {
+  // The connection breaks before the store received the write. Without a second
+  // write the outcome is "unknown", although the store is available.
   const { platform, accept, getHead } = createFixture();
   platform.control.lostRequests = 1;
   const result = await accept({ attempt: "a" });
@@ -79,10 +79,10 @@
   assert.equal((await getHead())?.version, 1);
 });
 
-test("the second of two operators learns what differs", async () => {
-  // Ade and Bisi both saw version 1. Ade changes a weight; Bisi, later, adds a
-  // team and changes the same weight. Bisi must see Ade's change by name, or
-  // would overwrite it unread.
+test("a conflict lists the changes of both operators", async () => {
+  // Ade and Bisi both start from version 1. Ade changes a weight. Bisi, later,
+  // adds a team and changes the same weight. Without the list Bisi would
+  // overwrite Ade's change unseen.
   const { accept } = createFixture();
   const base = createFileSet({ teams: { fitters: 1, rails: 1 } });
   const ades = createFileSet({
@@ -139,7 +139,7 @@
   readonly files: FileSet;
 }
 
-/** Lets an operator act as told: retries "unknown" with the same attempt. */
+/** Applies files, and repeats the attempt while its outcome is "unknown". */
 async function applyUntilKnown(
   store: ReturnType<typeof createConfigStore>,
   input: { operator: Operator; baseVersion: number; attempt: string },
@@ -156,11 +156,15 @@
     const isEnd = result._tag === "Success" &&
       result.success.kind !== "unknown";
     if (isEnd) return result.success;
-    if (attempts > 50) throw new Error("The store never answers");
+    if (attempts > 50) {
+      throw new Error("The outcome is still unknown after 50 attempts");
+    }
   }
 }
 
-/** What is wrong with a record and what its operators were told. */
+/**
+ * Finds a result that an operator was given and that the record contradicts.
+ */
 function findContradiction(
   rows: readonly VersionRow[],
   results: readonly { attempt: string; result: AcceptResult }[],
@@ -170,13 +174,13 @@
     const times = attempts.filter((each) => each === attempt).length;
     const expected = result.kind === "accepted" ? 1 : 0;
     if (times !== expected) {
-      return `Told "${result.kind}", accepted ${times} times`;
+      return `Result "${result.kind}", but accepted ${times} times`;
     }
   }
   return undefined;
 }
 
-/** Two operators race, with lost messages, in the scheduler's order. */
+/** Two operators apply at once; the scheduler orders the events. */
 async function runRace(
   scheduler: fc.Scheduler,
   faults: { lostReplies: number; lostRequests: number },
@@ -214,9 +218,10 @@
   }),
 ] as const;
 
-test("racing operators are told the truth in any order of events", async () => {
-  // Two operators apply at the same time while replies and requests get lost.
-  // Whoever is told "accepted" has exactly one version, the other one none.
+test("racing operators get correct results in any order of events", async () => {
+  // Two operators apply at the same time while replies and requests are lost.
+  // An accepted attempt has exactly one version in the record, any other has
+  // none.
   await fc.assert(
     fc.asyncProperty(...raceInput, async (scheduler, faults) => {
       const { rows, told } = await runRace(scheduler, faults);
@@ -230,9 +235,9 @@
   );
 });
 
-test("without attempt ids the race is seen to go wrong", async () => {
-  // The mechanism switched off: rows forget their attempt, so that a lost reply
-  // looks like another's version.
+test("without attempt ids racing operators get wrong results", async () => {
+  // With the attempt removed from the rows, a write whose reply is lost looks
+  // like the version of another operator.
   const createStoreWithoutAttempts: typeof createConfigStore = (platform) => {
     const store = createConfigStore({
       ...platform,
--- a/src/config/watcher.ts
+++ b/src/config/watcher.ts
@@ -1,19 +1,21 @@
 /**
- * Which configuration is in force at this host. The version only rises, and the
- * first one is put in force only when this host may believe that callers have
- * not seen a newer one:
+ * Determines which configuration is in force at this host. The version never
+ * decreases. The first version is put in force only after it is confirmed that
+ * callers have not seen a newer one. It is confirmed when either:
  *
- * - it read the head from the store since its start, or
- * - the store can't be reached, and a majority of the hosts that it and its
- *   peers know of, three at least, told it their versions. A version that a
- *   majority had in force is then among them.
+ * - this host read the head from the store since its start, or
+ * - the store can't be reached, and a majority of the hosts that this host and
+ *   its peers know of, at least three, announced their versions. Any version
+ *   that a majority had in force is then among the announced ones.
  *
- * Failure: a host restarts empty while the store is down and reaches only a
- * host that was cut off for an hour; callers would get decisions of an old
- * configuration again. Such a host stays not ready.
+ * Failure prevented: a host restarts without state while the store is down and
+ * reaches only a host that was partitioned for an hour. Callers would get
+ * decisions of an old configuration again. Instead, such a host stays not
+ * ready.
  *
- * Versions are learned from other hosts' datagrams and from the store; files
- * are fetched by digest, from the hosts that told of them first.
+ * Other hosts announce versions in datagrams; the store has them too. Files are
+ * fetched by digest, first from the hosts that announced the version and then
+ * from the store.
  *
  * @module
  */
@@ -25,7 +27,7 @@
 import { decodeFileSet, type FileSet, getFileSetDigest } from "./load.ts";
 import type { VersionRow } from "./store.ts";
 
-/** What the watcher needs of the process. */
+/** Dependencies of the watcher that the process provides. */
 export interface ConfigWatcherHost {
   getHead(): Effect.Effect<VersionRow | undefined, PlatformError>;
   tryGetVersion(
@@ -34,12 +36,12 @@
   tryGetFiles(
     digest: string,
   ): Effect.Effect<FileSet | undefined, PlatformError>;
-  /** A verified copy from one peer; `undefined` when it has or sends none. */
+  /** Fetches a verified copy from a peer; `undefined` if it provides none. */
   tryFetch(
     peer: string,
     requested: AnnouncedVersion,
   ): Effect.Effect<PeerCopy | undefined>;
-  /** The peers in the order in which to ask them. */
+  /** Sorts peers in the order in which a copy is requested from them. */
   sortPeers(peers: readonly string[]): readonly string[];
   /** Hosts known besides this one, reachable or not. */
   countKnownPeers(): number;
@@ -54,27 +56,30 @@
   readonly knownHosts: number;
 }
 
-/** A version as a datagram names it. */
+/** A version that a host announces in a datagram. */
 export interface AnnouncedVersion {
   readonly version: number;
   readonly digest: string;
 }
 
-/** Follows the record of configurations. */
+/** Follows the accepted versions and puts the newest one in force. */
 export interface ConfigWatcher {
-  /** The configuration in force; `undefined` until the first one is. */
+  /** The configuration in force; `undefined` before the first one. */
   getCurrent(): ConfigVersion | undefined;
-  /** The copy in force when it has the digest. */
+  /** The copy of the configuration in force, if it has the digest. */
   tryGetCopy(digest: string): ConfigCopy | undefined;
-  /** Takes in what a peer has in force; version 0 for none. */
+  /** Records the version that a peer has in force; 0 for none. */
   recordPeerVersion(claim: AnnouncedVersion, peer: string): void;
-  /** Puts a version that this host itself saw accepted in force. */
+  /** Puts in force a version that the store accepted from this host. */
   putAcceptedInForce(copy: ConfigCopy): void;
-  /** Reads the head from the store and fetches what is newer. */
+  /** Reads the head from the store and fetches newer versions. */
   poll(): Effect.Effect<void, PlatformError>;
-  /** Fetches the newest version that was learned; one call at a time works. */
+  /**
+   * Fetches the newest announced version. A call during another one returns at
+   * once.
+   */
   catchUp(): Effect.Effect<void>;
-  /** Whether a newer version than the one in force was learned. */
+  /** Whether a version newer than the one in force was announced. */
   isOutdated(): boolean;
 }
 
@@ -83,25 +88,26 @@
 }
 
 /**
- * A datagram may name a version that nobody can give; the newest few are tried
- * from the top, so that such a one does not hide the real one below it.
+ * A damaged datagram can announce a version that does not exist. The newest
+ * candidates are tried in descending order, so that such a version does not
+ * prevent the fetch of the real one.
  */
 const MAX_CANDIDATES = 8;
 
-/** Peers asked for one version before the object store is. */
+/** Peers tried for one version before its files are read from the store. */
 const MAX_FETCHES = 3;
 
-/** Fewer hosts than these can't vouch for a version without the store. */
+/** Peers that must announce their versions to confirm one without the store. */
 const MIN_AGREEING_PEERS = 3;
 
-/** Makes a watcher that has seen nothing yet. */
+/** Makes a watcher without a configuration. */
 export function createConfigWatcher(host: ConfigWatcherHost): ConfigWatcher {
   const candidates = new Map<string, Candidate>();
   const refused = new Set<string>();
   const peerVersions = new Map<string, number>();
   let current: ConfigVersion | undefined;
   let copy: ConfigCopy | undefined;
-  /** Fetched, but not yet known to be what callers saw last. */
+  /** Fetched, but callers may have seen a newer version. */
   let unconfirmed: { copy: ConfigCopy; deployment: Deployment } | undefined;
   let headVersion: number | undefined;
   let reportedPeerCount = 0;
@@ -131,8 +137,8 @@
     try {
       deployment = decodeFileSet(next.files);
     } catch (err) {
-      // An older program may not know a key of a newer version. It keeps what
-      // it has, and the versions after this one are still taken.
+      // An older program may not know a key of a newer version. It keeps the
+      // configuration in force and still accepts later versions.
       refused.add(next.row.digest);
       host.onRefused(next.row.version, String(err));
       return;
@@ -163,7 +169,9 @@
       peerVersions.size > peers / 2;
   }
 
-  /** From the peers that named it, nearest first, then from the store. */
+  /**
+   * Fetches a version from the peers that announced it, then from the store.
+   */
   function fetch(
     candidate: Candidate,
   ): Effect.Effect<ConfigCopy | undefined> {
@@ -172,7 +180,7 @@
       for (const peer of peers.slice(0, MAX_FETCHES)) {
         const fetched = yield* host.tryFetch(peer, candidate);
         if (fetched === undefined) continue;
-        // A host that just started knows few others itself.
+        // This host may have just started and know of few others.
         reportedPeerCount = Math.max(reportedPeerCount, fetched.knownHosts - 1);
         return fetched.copy;
       }
@@ -232,7 +240,8 @@
     getCurrent: () => current,
     tryGetCopy: (digest) => copy?.row.digest === digest ? copy : undefined,
     recordPeerVersion(claim, peer) {
-      // An empty host vouches for nothing: it may have forgotten a version.
+      // Version 0 confirms nothing: the peer may have lost its state in a
+      // restart.
       if (current === undefined && claim.version > 0) {
         peerVersions.set(
           peer,
--- a/src/config/watcher_test.ts
+++ b/src/config/watcher_test.ts
@@ -1,6 +1,6 @@
 /**
- * Tests of which version is in force, over many hosts that restart empty, are
- * cut off, and lose the store.
+ * Tests of the version in force at several hosts that restart without state,
+ * are partitioned from each other, or can't reach the store.
  *
  * @module
  */
@@ -26,7 +26,7 @@
 interface TestHost {
   readonly id: string;
   watcher: ConfigWatcher;
-  /** Highest version that callers saw here, over restarts. */
+  /** Highest version that callers saw at this host, across restarts. */
   highestSeen: number;
   isPartitioned: boolean;
 }
@@ -107,7 +107,8 @@
   };
 
   function recordInForce(host: TestHost, version: number): void {
-    // Only what a majority never had may be unknown to an empty host.
+    // A host that lost its state may go back below a version only if no
+    // majority ever had it in force.
     const known = Math.min(host.highestSeen, fleet.majorityVersion);
     if (version < known) {
       throw new Error(`"${host.id}" went from ${known} to ${version}`);
@@ -125,8 +126,8 @@
   for (let index = 0; index < size; index++) {
     const host = {
       id: `entry-${index}`,
-      seen: 0,
-      isCut: false,
+      highestSeen: 0,
+      isPartitioned: false,
     } as unknown as TestHost;
     hosts.push(host);
     fleet.start(host);
@@ -134,7 +135,7 @@
   return fleet;
 }
 
-/** Hosts that have read the empty record at their start. */
+/** Makes hosts that have read the empty record at their start. */
 async function createRunningFleet(
   size: number,
   createWatcher?: CreateWatcher,
@@ -157,8 +158,8 @@
 }
 
 test("a version reaches all hosts when the store goes down at once", async () => {
-  // An operator applies files; the store takes them and goes down. Without the
-  // acceptor's own copy no host could read them before the store is back.
+  // The store accepts an operator's files and goes down. Without the copy of
+  // the host that sent them, no host could read them until the store is back.
   const fleet = await createRunningFleet(5);
   fleet.platform.control.downAfterWrite = true;
   await fleet.accept(fleet.hosts[0]!);
@@ -167,9 +168,9 @@
   assert.deepEqual(getVersions(fleet), [1, 1, 1, 1, 1]);
 });
 
-test("an empty host with neither store nor peers has nothing in force", async () => {
-  // A host is replaced while the store is down and the network is cut. Callers
-  // must be told to go elsewhere, not be served by what nobody vouches for.
+test("a new host with neither store nor peers has nothing in force", async () => {
+  // A host is replaced while the store is down and the host is partitioned. It
+  // must not serve callers with a configuration that nothing confirms.
   const fleet = await createRunningFleet(5);
   await fleet.accept(fleet.hosts[0]!);
   await gossipAmongAll(fleet);
@@ -181,10 +182,11 @@
   assert.equal(fleet.hosts[1]!.watcher.getCurrent(), undefined);
 });
 
-test("an empty host does not believe one stale peer", async () => {
-  // Host 4 was cut off at version 1, the others have version 2. The store goes
-  // down, host 1 restarts empty and hears host 4 alone: callers who saw version
-  // 2 there must not get version 1. With a majority it serves version 2.
+test("a restarted host does not trust a single stale peer", async () => {
+  // Host 4 was partitioned at version 1; the others have version 2. The store
+  // goes down, and host 1 restarts without state and hears from host 4 only.
+  // Its callers saw version 2 and must not get version 1. Once a majority
+  // announced their versions, host 1 has version 2 in force.
   const fleet = await createRunningFleet(5);
   await fleet.accept(fleet.hosts[0]!);
   await gossipAmongAll(fleet);
@@ -201,9 +203,9 @@
   assert.equal(fleet.hosts[1]!.watcher.getCurrent()?.version, 2);
 });
 
-test("a peer's files with another digest are not taken", () => {
-  // A peer's memory is damaged, or its program wrong: it sends a weight that no
-  // operator declared. The digest of the files tells.
+test("a peer's files with another digest are rejected", () => {
+  // A peer with damaged memory or a faulty program sends a weight that no
+  // operator declared. The digest of the files does not match.
   const files = createFileSet();
   const row = {
     version: 1,
@@ -221,9 +223,9 @@
   assert.equal(tryDecodeCopy(later, row), undefined);
 });
 
-test("a version that can't be read does not stop the next one", async () => {
+test("a version that can't be decoded does not block the next one", async () => {
   // During an update a newer program accepts a key that this one does not know.
-  // This host keeps what it has, says so, and takes the version after it.
+  // This host keeps its version, reports the refusal and accepts the next one.
   const fleet = createFleet(4);
   const [first] = fleet.hosts;
   await fleet.accept(first!);
@@ -256,9 +258,9 @@
   assert.equal(first!.watcher.getCurrent()?.version, 3);
 });
 
-test("a version that nobody can give does not hide the real one", async () => {
-  // A damaged datagram names version 4000000000. The host asks for it in vain,
-  // and still has to take version 1.
+test("a version that does not exist does not hide the real one", async () => {
+  // A damaged datagram announces version 4000000000. The host can't fetch it,
+  // and must still put version 1 in force.
   const fleet = createFleet(4);
   await fleet.accept(fleet.hosts[0]!);
   const target = fleet.hosts[1]!;
@@ -271,7 +273,7 @@
   assert.equal(target.watcher.getCurrent()?.version, 1);
 });
 
-/** One step of a random run, by its numbers. */
+/** A step of a random run: its kind and the indexes of two hosts. */
 type Step = readonly [
   "accept" | "gossip" | "poll" | "restart" | "cut" | "store",
   number,
@@ -326,7 +328,7 @@
   }
 }
 
-/** All are reachable again: the newest version must come to all. */
+/** Makes all hosts and the store reachable; all must get the newest version. */
 async function recoverAll(fleet: TestFleet): Promise<void> {
   fleet.platform.control.down = false;
   for (const host of fleet.hosts) host.isPartitioned = false;
@@ -337,9 +339,9 @@
   }
 }
 
-test("no host goes back, whatever restarts, cuts and outages come", async () => {
-  // Random runs of five hosts: versions accepted anywhere, datagrams, polls,
-  // restarts that forget all, cuts, and a store that comes and goes.
+test("no host goes back to an older version in random runs with failures", async () => {
+  // Five hosts accept versions, gossip, poll, restart without state and are
+  // partitioned, while the store goes down and comes back.
   await fc.assert(
     fc.asyncProperty(steps, async (taken) => {
       const fleet = await createRunningFleet(5);
@@ -350,8 +352,8 @@
   );
 });
 
-test("without the majority rule hosts are seen to go back", async () => {
-  // The mechanism switched off: an empty host believes the first peer.
+test("without the majority rule hosts go back to older versions", async () => {
+  // With the rule disabled, a host without state trusts the first peer.
   const createWatcherWithoutMajority: CreateWatcher = (host) => {
     const watcher = createConfigWatcher(host);
     return {
