--- a/src/commands/apply.ts
+++ b/src/commands/apply.ts
@@ -58,8 +58,8 @@
 
 /** Times that an attempt is sent when its answer is lost. */
 const MAX_SENDS = 3;
-const RESEND_PAUSE_MS = 1_000;
-const POLL_MS = 250;
+const RESEND_DELAY_MS = 1_000;
+const POLL_PERIOD_MS = 250;
 
 /** The program. */
 export const applyProgram: Program<typeof args> = {
@@ -125,12 +125,15 @@
   body: Omit<ApplyBody, "attempt">,
 ): Promise<VersionRow | undefined> {
   try {
-    return await send(host, router, { ...body, attempt: randomUUID() });
+    return await sendWithRetries(host, router, {
+      ...body,
+      attempt: randomUUID(),
+    });
   } catch (err) {
     const isConflict = err instanceof OperatorCallError && err.status === 409;
     if (!isConflict) throw err;
     host.printError(`azurestile-apply: ${err.reason}`);
-    await explainConflict(host, router, body.baseVersion);
+    await printConflict(host, router, body.baseVersion);
     const { overlapping = [] } = err.answer as Partial<ConflictDetails>;
     for (const each of overlapping) {
       host.printError(`You both changed ${formatEntry(each)}`);
@@ -143,7 +146,7 @@
  * An answer can be lost after the version was accepted. The same attempt is
  * sent again then: the record knows it and answers with the same version.
  */
-async function send(
+async function sendWithRetries(
   host: ProgramHost,
   router: OperatorClient,
   body: ApplyBody,
@@ -152,17 +155,17 @@
     try {
       return await router.post<VersionRow>("/ops/config", body);
     } catch (err) {
-      const mayGoOn = err instanceof OperatorCallError &&
+      const isRetryable = err instanceof OperatorCallError &&
         (err.status === 0 || err.status >= 500);
-      if (!mayGoOn || sends >= MAX_SENDS) throw err;
+      if (!isRetryable || sends >= MAX_SENDS) throw err;
       host.printError(`azurestile-apply: ${err.reason}; sending again`);
-      await host.sleep(RESEND_PAUSE_MS);
+      await host.sleep(RESEND_DELAY_MS);
     }
   }
 }
 
 /** Says who was first, and what of theirs differs from the version seen. */
-async function explainConflict(
+async function printConflict(
   { printError }: ProgramHost,
   router: OperatorClient,
   baseVersion: number,
@@ -173,12 +176,12 @@
   const time = new Date(row.acceptedMs).toISOString();
   printError(`Version ${row.version} by ${row.author} at ${time} came first.`);
   if (baseVersion === 0 || baseVersion > row.version) return;
-  const seen = await router.get<ConfigAnswer>(
+  const base = await router.get<ConfigAnswer>(
     `/ops/config?version=${baseVersion}`,
   );
-  if (seen.files === undefined) return;
+  if (base.files === undefined) return;
   const changes = formatDifferences(
-    decodeFileSet(seen.files),
+    decodeFileSet(base.files),
     decodeFileSet(files),
   );
   printError(`It differs from version ${baseVersion}, which you saw:`);
@@ -194,8 +197,8 @@
   const { print, printError } = host;
   const startMs = host.nowMs();
   while (true) {
-    const answers = await fleet.askAll<HostStatus>("/ops/status");
-    const late = answers.flatMap((answer) => {
+    const answers = await fleet.queryAllHosts<HostStatus>("/ops/status");
+    const outdated = answers.flatMap((answer) => {
       if (answer.kind === "silent") {
         return [`${answer.host}: no answer: ${answer.reason}`];
       }
@@ -205,7 +208,7 @@
       return [`${answer.host}: version ${configVersion} is in force${why}`];
     });
     const tookMs = host.nowMs() - startMs;
-    if (late.length === 0) {
+    if (outdated.length === 0) {
       const seconds = (tookMs / 1000).toFixed(1);
       const hosts = answers.map((answer) => answer.host).join(", ");
       print(
@@ -215,11 +218,11 @@
       return "ok";
     }
     if (tookMs >= waitMs) {
-      const count = answers.length - late.length;
+      const count = answers.length - outdated.length;
       printError(`In force at ${count} of ${answers.length} hosts only:`);
-      for (const line of late) printError(`  ${line}`);
+      for (const line of outdated) printError(`  ${line}`);
       return "notInForce";
     }
-    await host.sleep(POLL_MS);
+    await host.sleep(POLL_PERIOD_MS);
   }
 }
--- a/src/commands/events.ts
+++ b/src/commands/events.ts
@@ -19,11 +19,11 @@
   host: ProgramHost,
   fleet: FleetClient,
   filter: EventFilter,
-): Promise<{ events: readonly TimelineEvent[]; isWhole: boolean }> {
-  const answers = await fleet.askAll<TimelineAnswer>(
+): Promise<{ events: readonly TimelineEvent[]; isComplete: boolean }> {
+  const answers = await fleet.queryAllHosts<TimelineAnswer>(
     `/ops/timeline?${toQuery(filter)}`,
   );
-  return { events: takeEvents(answers), isWhole: tellSilent(host, answers) };
+  return { events: takeEvents(answers), isComplete: tellSilent(host, answers) };
 }
 
 /** The events of all answers in causal order. */
--- a/src/commands/explain.ts
+++ b/src/commands/explain.ts
@@ -8,7 +8,7 @@
 import { explainStory } from "../timeline/mod.ts";
 import { createClientFromOptions, fleetArgs } from "./options.ts";
 import type { Program } from "./program.ts";
-import { askForStory } from "./request_story.ts";
+import { fetchStory } from "./request_story.ts";
 
 const args = {
   request: {
@@ -28,8 +28,12 @@
   exits: ["notFound", "partial", "unreachable", "keyRefused"],
   async run(options, host) {
     const fleet = createClientFromOptions(options, host);
-    const { story, isWhole } = await askForStory(host, fleet, options.request);
+    const { story, isComplete } = await fetchStory(
+      host,
+      fleet,
+      options.request,
+    );
     for (const line of explainStory(story)) host.print(line);
-    return isWhole ? "ok" : "partial";
+    return isComplete ? "ok" : "partial";
   },
 };
--- a/src/commands/fleet_client.ts
+++ b/src/commands/fleet_client.ts
@@ -24,8 +24,8 @@
   /** Members that are not known to be dead, as that router sees them. */
   getMembers(): Promise<readonly Member[]>;
   /** Asks every such member at once. */
-  askAll<T>(path: string): Promise<readonly HostAnswer<T>[]>;
-  askHost<T>(member: Member, path: string): Promise<HostAnswer<T>>;
+  queryAllHosts<T>(path: string): Promise<readonly HostAnswer<T>[]>;
+  queryHost<T>(member: Member, path: string): Promise<HostAnswer<T>>;
 }
 
 /** Makes a client that knows the addresses of one router or several. */
@@ -63,7 +63,7 @@
       .sort((a, b) => a.host < b.host ? -1 : 1);
   }
 
-  async function askHost<T>(
+  async function queryHost<T>(
     member: Member,
     path: string,
   ): Promise<HostAnswer<T>> {
@@ -84,12 +84,12 @@
   return {
     getRouter: async () => (await getRouterAndStatus()).router,
     getMembers,
-    async askAll<T>(path: string) {
+    async queryAllHosts<T>(path: string) {
       const members = await getMembers();
       return await Promise.all(
-        members.map((member) => askHost<T>(member, path)),
+        members.map((member) => queryHost<T>(member, path)),
       );
     },
-    askHost,
+    queryHost: queryHost,
   };
 }
--- a/src/commands/operator_client.ts
+++ b/src/commands/operator_client.ts
@@ -41,12 +41,12 @@
       headers: { authorization: `Bearer ${key}` },
       signal: AbortSignal.timeout(CALL_TIMEOUT_MS),
     }).catch((err) => {
-      throw createUnreachable(address, err);
+      throw createUnreachableError(address, err);
     });
     const text = await res.text().catch((err) => {
-      throw createUnreachable(address, err);
+      throw createUnreachableError(address, err);
     });
-    const value = parseAnswer<T>(text);
+    const value = parseResponse<T>(text);
     if (res.ok && value !== undefined) return value;
     const reason = value?.message ??
       `The router at ${address} answered with status ${res.status}`;
@@ -65,7 +65,7 @@
   };
 }
 
-function parseAnswer<T>(text: string): T & { message?: string } | undefined {
+function parseResponse<T>(text: string): T & { message?: string } | undefined {
   try {
     return JSON.parse(text);
   } catch {
@@ -73,7 +73,10 @@
   }
 }
 
-function createUnreachable(address: string, err: unknown): OperatorCallError {
+function createUnreachableError(
+  address: string,
+  err: unknown,
+): OperatorCallError {
   const cause = err instanceof Error && err.cause instanceof Error
     ? err.cause
     : err;
@@ -92,6 +95,6 @@
 };
 
 /** The exit of a program that ends with this error. */
-export function getExit(err: OperatorCallError): ExitName {
+export function getExitName(err: OperatorCallError): ExitName {
   return statusExits[err.status] ?? "failed";
 }
--- a/src/commands/program.ts
+++ b/src/commands/program.ts
@@ -22,7 +22,7 @@
 import { CommandError, createUsageError } from "./errors.ts";
 import { exitCodes, type ExitName, formatExitCodes } from "./exit_codes.ts";
 import { createFleetClient, type FleetClient } from "./fleet_client.ts";
-import { getExit, OperatorCallError } from "./operator_client.ts";
+import { getExitName, OperatorCallError } from "./operator_client.ts";
 
 /** A program. */
 export interface Program<A extends ArgsDef> {
@@ -67,12 +67,12 @@
     if (err.code === "EPIPE") process.exit(exitCodes.ok.code);
     throw err;
   });
-  const exit = await runProgramIn(program, processHost);
+  const exit = await runProgramWith(program, processHost);
   process.exitCode = exitCodes[exit].code;
 }
 
 /** Runs a program in the world given; gives the name of its exit. */
-export async function runProgramIn<A extends ArgsDef>(
+export async function runProgramWith<A extends ArgsDef>(
   program: Program<A>,
   host: ProgramHost,
 ): Promise<ExitName> {
@@ -90,7 +90,7 @@
     const { result } = await runCommand(toCommand(program, host), { rawArgs });
     return result as ExitName;
   } catch (err) {
-    return report(program, err, host);
+    return reportError(program, err, host);
   }
 }
 
@@ -158,7 +158,7 @@
   }
 }
 
-function report(
+function reportError(
   program: { readonly name: string },
   err: unknown,
   host: ProgramHost,
@@ -169,7 +169,7 @@
   }
   if (err instanceof OperatorCallError || err instanceof CommandError) {
     host.printError(`${program.name}: ${err.message}`);
-    return err instanceof CommandError ? err.exit : getExit(err);
+    return err instanceof CommandError ? err.exit : getExitName(err);
   }
   const isUsage = err instanceof Error && err.name === "CLIError";
   const reason = err instanceof Error ? err.message : String(err);
--- a/src/commands/program_test.ts
+++ b/src/commands/program_test.ts
@@ -15,7 +15,7 @@
 import type { FleetClient, HostAnswer } from "./fleet_client.ts";
 import { historyProgram } from "./history.ts";
 import { OperatorCallError } from "./operator_client.ts";
-import { type Program, type ProgramHost, runProgramIn } from "./program.ts";
+import { type Program, type ProgramHost, runProgramWith } from "./program.ts";
 import { routerProgram } from "./router.ts";
 import { statusProgram } from "./status.ts";
 import { timelineProgram } from "./timeline.ts";
@@ -44,7 +44,7 @@
 }
 
 /** A world in which the fleet is a few functions and time is moved by sleep. */
-function createWorld(fleet: FakeFleet = {}) {
+function createFixture(fleet: FakeFleet = {}) {
   const files = readFileSet(EXAMPLE);
   const output: string[] = [];
   const posts: ApplyBody[] = [];
@@ -76,7 +76,7 @@
   const client: FleetClient = {
     getRouter: () => Promise.resolve(router),
     getMembers: () => Promise.resolve([] as Member[]),
-    askAll<T>() {
+    queryAllHosts<T>() {
       const versions = polls.length > 1 ? polls.shift()! : polls[0]!;
       const answers = Object.entries(versions).map(([host, configVersion]) =>
         host === fleet.silent
@@ -104,7 +104,7 @@
       );
       return Promise.resolve(answers as unknown as HostAnswer<T>[]);
     },
-    askHost: () => Promise.reject(new Error("Not used")),
+    queryHost: () => Promise.reject(new Error("Not used")),
   };
   const host = (rawArgs: readonly string[]): ProgramHost => ({
     rawArgs,
@@ -136,11 +136,11 @@
 
 test("every program tells its options, its exit codes and its version", async () => {
   for (const program of programs) {
-    const { host, output } = createWorld();
-    deepStrictEqual(await runProgramIn(program, host(["--help"])), "ok");
+    const { host, output } = createFixture();
+    deepStrictEqual(await runProgramWith(program, host(["--help"])), "ok");
     match(output[0]!, new RegExp(`^.*${program.name}.*v\\d`));
     match(output[0]!, /EXIT CODES\n\n {2}0 {2}Done/);
-    deepStrictEqual(await runProgramIn(program, host(["--version"])), "ok");
+    deepStrictEqual(await runProgramWith(program, host(["--version"])), "ok");
     match(output[1]!, /^\d+\.\d+\.\d+$/);
   }
 });
@@ -177,17 +177,17 @@
     [routerProgram, ["--settings", "/none.toml"], /none.toml: The file can't/],
   ] as const;
   for (const [program, rawArgs, expected] of cases) {
-    const { host, output } = createWorld();
+    const { host, output } = createFixture();
     const any = program as unknown as Program<Record<never, never>>;
-    deepStrictEqual(await runProgramIn(any, host(rawArgs)), "usage");
+    deepStrictEqual(await runProgramWith(any, host(rawArgs)), "usage");
     match(output.join("\n"), expected);
   }
 });
 
 test("a program without a key says where it may come from", async () => {
-  const { host, output } = createWorld();
+  const { host, output } = createFixture();
   const world = { ...host([]), env: { AZURESTILE_ROUTER: "127.0.0.1:1" } };
-  deepStrictEqual(await runProgramIn(statusProgram, world), "usage");
+  deepStrictEqual(await runProgramWith(statusProgram, world), "usage");
   match(output[0]!, /"--key-file" or in AZURESTILE_OPERATOR_KEY/);
 });
 
@@ -197,8 +197,8 @@
     "entry-1": 5,
     "entry-2": 5,
   }];
-  const { host, output, posts } = createWorld({ polls });
-  const exit = await runProgramIn(applyProgram, host([changed.folder]));
+  const { host, output, posts } = createFixture({ polls });
+  const exit = await runProgramWith(applyProgram, host([changed.folder]));
   deepStrictEqual(exit, "ok");
   deepStrictEqual(posts.map((each) => each.baseVersion), [4]);
   const text = output.join("\n");
@@ -217,8 +217,8 @@
     reason: "Reset",
     answer: {},
   });
-  const { host, posts } = createWorld({ failures: [lost] });
-  const exit = await runProgramIn(applyProgram, host([changed.folder]));
+  const { host, posts } = createFixture({ failures: [lost] });
+  const exit = await runProgramWith(applyProgram, host([changed.folder]));
   deepStrictEqual(exit, "ok");
   deepStrictEqual(posts.length, 2);
   deepStrictEqual(posts[0]!.attempt, posts[1]!.attempt);
@@ -240,10 +240,10 @@
       }],
     },
   });
-  const first = createWorld({ failures: [conflict] });
+  const first = createFixture({ failures: [conflict] });
   const args = [changed.folder, "--base", "3"];
   deepStrictEqual(
-    await runProgramIn(applyProgram, first.host(args)),
+    await runProgramWith(applyProgram, first.host(args)),
     "conflict",
   );
   deepStrictEqual(first.posts[0]!.baseVersion, 3);
@@ -251,12 +251,12 @@
   match(told, /Version 4 by ada at .* came first/);
   match(told, /You both changed team "vake-joinery"/);
 
-  const second = createWorld({
+  const second = createFixture({
     polls: [{ "entry-1": 5, "entry-2": 4 }],
     silent: "",
   });
   deepStrictEqual(
-    await runProgramIn(applyProgram, second.host([changed.folder])),
+    await runProgramWith(applyProgram, second.host([changed.folder])),
     "notInForce",
   );
   match(second.output.join("\n"), /entry-2: version 4 is in force/);
@@ -264,25 +264,25 @@
 
 test("a dry run changes nothing", async () => {
   using changed = createChangedFolder();
-  const { host, posts } = createWorld();
+  const { host, posts } = createFixture();
   const rawArgs = [changed.folder, "--dry-run"];
-  deepStrictEqual(await runProgramIn(applyProgram, host(rawArgs)), "ok");
+  deepStrictEqual(await runProgramWith(applyProgram, host(rawArgs)), "ok");
   deepStrictEqual(posts, []);
 });
 
 test("a status without a host's answer says so", async () => {
-  const { host, output } = createWorld({
+  const { host, output } = createFixture({
     polls: [{ "entry-1": 5, "entry-2": 5 }],
     silent: "entry-2",
   });
-  deepStrictEqual(await runProgramIn(statusProgram, host([])), "partial");
+  deepStrictEqual(await runProgramWith(statusProgram, host([])), "partial");
   match(output[0]!, /entry-2 +no answer/);
 });
 
 test("a request that no host knows is not found", async () => {
-  const { host, output } = createWorld();
+  const { host, output } = createFixture();
   deepStrictEqual(
-    await runProgramIn(explainProgram, host(["r-1"])),
+    await runProgramWith(explainProgram, host(["r-1"])),
     "notFound",
   );
   match(output[0]!, /No host that answered has events of the request "r-1"/);
--- a/src/commands/request_story.ts
+++ b/src/commands/request_story.ts
@@ -21,41 +21,46 @@
 import type { ProgramHost } from "./program.ts";
 
 /** A story, and whether every host told its part. */
-export interface AskedStory {
+export interface FetchedStory {
   readonly story: RequestStory;
-  readonly isWhole: boolean;
+  readonly isComplete: boolean;
 }
 
 /** Ids that are named when the start of an id is not enough. */
-const MAX_IDS_NAMED = 5;
+const MAX_LISTED_IDS = 5;
 
 /** The story of the one request whose id starts so; fails for none or many. */
-export async function askForStory(
+export async function fetchStory(
   host: ProgramHost,
   fleet: FleetClient,
-  start: string,
-): Promise<AskedStory> {
-  const asked = await askForEvents(host, fleet, { request: start });
-  const found = findRequests(asked.events, start);
+  idPrefix: string,
+): Promise<FetchedStory> {
+  const initial = await askForEvents(host, fleet, { request: idPrefix });
+  const found = findRequests(initial.events, idPrefix);
   const [request] = found;
   if (request === undefined || found.length > 1) {
-    throw createNotOne(start, found);
+    throw createNoUniqueMatchError(idPrefix, found);
   }
-  const { events, isWhole } = await askForContext(host, fleet, asked.events);
-  const story = getRequestStory(mergeEvents([asked.events, events]), request);
-  return { story, isWhole: asked.isWhole && isWhole };
+  const { events, isComplete } = await fetchContext(
+    host,
+    fleet,
+    initial.events,
+  );
+  const story = getRequestStory(mergeEvents([initial.events, events]), request);
+  return { story, isComplete: initial.isComplete && isComplete };
 }
 
-async function askForContext(
+async function fetchContext(
   host: ProgramHost,
   fleet: FleetClient,
-  own: readonly TimelineEvent[],
+  requestEvents: readonly TimelineEvent[],
 ) {
   const span = {
-    sinceMs: getWallMs(own[0]!.at),
-    untilMs: getWallMs(own.at(-1)!.at) + 1,
+    sinceMs: getWallMs(requestEvents[0]!.at),
+    untilMs: getWallMs(requestEvents.at(-1)!.at) + 1,
   };
-  const team = own.flatMap((event) => "team" in event ? [event.team] : [])[0];
+  const team =
+    requestEvents.flatMap((event) => "team" in event ? [event.team] : [])[0];
   const kinds = ["slot-granted"];
   const grants = await askForEvents(host, fleet, { ...span, team, kinds });
   const changes = await askForEvents(host, fleet, {
@@ -64,18 +69,20 @@
   });
   return {
     events: mergeEvents([grants.events, changes.events]),
-    isWhole: grants.isWhole && changes.isWhole,
+    isComplete: grants.isComplete && changes.isComplete,
   };
 }
 
-function createNotOne(
-  start: string,
+function createNoUniqueMatchError(
+  idPrefix: string,
   found: readonly string[],
 ): CommandError {
   const isNone = found.length === 0;
   return new CommandError({
     exit: "notFound",
     messageName: isNone ? "requestNotFound" : "requestAmbiguous",
-    args: isNone ? [start] : [start, found.slice(0, MAX_IDS_NAMED).join(", ")],
+    args: isNone
+      ? [idPrefix]
+      : [idPrefix, found.slice(0, MAX_LISTED_IDS).join(", ")],
   });
 }
--- a/src/commands/router.ts
+++ b/src/commands/router.ts
@@ -35,23 +35,23 @@
     const settings = readSettings(options.settings);
     const logger = createLogger(settings.host, settings.logLevel);
     const router = await start(settings, logger);
-    await waitForStop(() => stopAtOnce(router, logger));
+    await waitForStopSignal(() => stopImmediately(router, logger));
     const { cut } = await router.drain();
     await router[Symbol.asyncDispose]();
     // A library's open handle must not keep a drained host alive.
-    process.exit(getStopCode(cut));
+    process.exit(getExitCode(cut));
   },
 };
 
 /** Answers that were cut, by the drain limit or a second signal, are a failure. */
-function getStopCode(cut: number): number {
+function getExitCode(cut: number): number {
   return exitCodes[cut > 0 ? "failed" : "ok"].code;
 }
 
-function stopAtOnce(router: Router, logger: Logger): void {
+function stopImmediately(router: Router, logger: Logger): void {
   const inFlight = router.countInFlight();
   logger.write("warn", "stoppedAtOnce", { args: [inFlight] });
-  process.exit(getStopCode(inFlight));
+  process.exit(getExitCode(inFlight));
 }
 
 async function start(
@@ -73,11 +73,11 @@
 }
 
 /** Succeeds at the first signal; each later one calls `onSecond`. */
-function waitForStop(onSecond: () => void): Promise<void> {
+function waitForStopSignal(onSecondSignal: () => void): Promise<void> {
   let isStopping = false;
   return new Promise((resolve) => {
     const onSignal = () => {
-      if (isStopping) onSecond();
+      if (isStopping) onSecondSignal();
       isStopping = true;
       resolve();
     };
--- a/src/commands/status.ts
+++ b/src/commands/status.ts
@@ -21,7 +21,7 @@
   exits: ["partial", "unreachable", "keyRefused"],
   async run(options, host) {
     const fleet = createClientFromOptions(options, host);
-    const answers = await fleet.askAll<HostStatus>("/ops/status");
+    const answers = await fleet.queryAllHosts<HostStatus>("/ops/status");
     const { print } = host;
     if (options.json) print(JSON.stringify({ hosts: answers }, undefined, 2));
     else print(formatStatus(answers));
--- a/src/commands/timeline.ts
+++ b/src/commands/timeline.ts
@@ -21,7 +21,7 @@
 import type { FleetClient } from "./fleet_client.ts";
 import { createClientFromOptions, fleetArgs, jsonArg } from "./options.ts";
 import type { Program, ProgramHost } from "./program.ts";
-import { askForStory } from "./request_story.ts";
+import { fetchStory } from "./request_story.ts";
 
 const args = {
   ...fleetArgs,
@@ -53,7 +53,7 @@
   },
 } as const;
 
-const FOLLOW_MS = 1_000;
+const FOLLOW_PERIOD_MS = 1_000;
 const UNIT_MS: Readonly<Record<string, number>> = {
   s: 1_000,
   m: 60_000,
@@ -82,18 +82,18 @@
     };
     if (options.follow) {
       const followed = { ...filter, request: options.request };
-      return await follow(host, fleet, { filter: followed, print });
+      return await followEvents(host, fleet, { filter: followed, print });
     }
-    const { events, isWhole } = await getEvents(host, fleet, {
+    const { events, isComplete } = await getEvents(host, fleet, {
       request: options.request,
       filter,
     });
     if (options.svg === undefined) print(events);
     else {
-      writePicture(options.svg, events, options.request);
+      writeSvg(options.svg, events, options.request);
       host.print(`Wrote ${events.length} events to ${options.svg}`);
     }
-    return isWhole ? "ok" : "partial";
+    return isComplete ? "ok" : "partial";
   },
 };
 
@@ -103,9 +103,9 @@
   { request, filter }: { request: string | undefined; filter: EventFilter },
 ) {
   if (request === undefined) return await askForEvents(host, fleet, filter);
-  const { story, isWhole } = await askForStory(host, fleet, request);
+  const { story, isComplete } = await fetchStory(host, fleet, request);
   const events = story.all.filter((event) => matchesFilter(event, filter));
-  return { events, isWhole };
+  return { events, isComplete };
 }
 
 /**
@@ -113,7 +113,7 @@
  * that nothing earlier is still to come; else an effect could be printed before
  * its cause, which another host tells a moment later.
  */
-async function follow(
+async function followEvents(
   host: ProgramHost,
   fleet: FleetClient,
   { filter, print }: {
@@ -122,24 +122,24 @@
   },
 ): Promise<never> {
   const cursors = new Map<string, number>();
-  let held: readonly TimelineEvent[] = [];
+  let pending: readonly TimelineEvent[] = [];
   while (true) {
     const members = await fleet.getMembers();
     const answers = await Promise.all(members.map((member) => {
       const after = cursors.get(member.host) ?? 0;
       const query = toQuery({ ...filter, after });
-      return fleet.askHost<TimelineAnswer>(member, `/ops/timeline?${query}`);
+      return fleet.queryHost<TimelineAnswer>(member, `/ops/timeline?${query}`);
     }));
-    let complete = Infinity;
+    let completeUntil = Infinity;
     for (const answer of answers) {
       if (answer.kind === "silent") continue;
       cursors.set(answer.host, answer.value.until);
-      complete = Math.min(complete, answer.value.until);
+      completeUntil = Math.min(completeUntil, answer.value.until);
     }
-    const merged = mergeEvents([held, takeEvents(answers)]);
-    print(merged.filter((event) => event.at <= complete));
-    held = merged.filter((event) => event.at > complete);
-    await host.sleep(FOLLOW_MS);
+    const merged = mergeEvents([pending, takeEvents(answers)]);
+    print(merged.filter((event) => event.at <= completeUntil));
+    pending = merged.filter((event) => event.at > completeUntil);
+    await host.sleep(FOLLOW_PERIOD_MS);
   }
 }
 
@@ -147,7 +147,7 @@
   return JSON.stringify(event);
 }
 
-function writePicture(
+function writeSvg(
   file: string,
   events: readonly TimelineEvent[],
   request: string | undefined,
--- a/src/commands/timeline_test.ts
+++ b/src/commands/timeline_test.ts
@@ -4,7 +4,7 @@
 import type { TimelineAnswer } from "../router/operator_types.ts";
 import type { TimelineEvent } from "../timeline/mod.ts";
 import type { FleetClient, HostAnswer } from "./fleet_client.ts";
-import { type ProgramHost, runProgramIn } from "./program.ts";
+import { type ProgramHost, runProgramWith } from "./program.ts";
 import { timelineProgram } from "./timeline.ts";
 
 type Round = Readonly<Record<string, TimelineAnswer | undefined>>;
@@ -21,7 +21,7 @@
 }
 
 /** A fleet whose hosts answer in rounds; a host without an answer is silent. */
-function createWorld(rounds: readonly Round[]) {
+function createFixture(rounds: readonly Round[]) {
   const output: string[] = [];
   const paths: string[] = [];
   let round = 0;
@@ -29,8 +29,8 @@
   const client: FleetClient = {
     getRouter: () => Promise.reject(new Error("Not used")),
     getMembers: () => Promise.resolve(members),
-    askAll: () => Promise.reject(new Error("Not used")),
-    askHost<T>(member: Member, path: string) {
+    queryAllHosts: () => Promise.reject(new Error("Not used")),
+    queryHost<T>(member: Member, path: string) {
       paths.push(path);
       const { host } = member;
       const value = rounds[round]![host];
@@ -66,7 +66,7 @@
  * as they come, the dispatch would stand before its grant for good.
  */
 test("an event waits until no host can tell an earlier one", async () => {
-  const { host, output, paths } = createWorld([
+  const { host, output, paths } = createFixture([
     {
       "entry-1": createAnswer(20, [createEvent("entry-1", 15, "effect")]),
       "entry-2": createAnswer(5, []),
@@ -76,19 +76,19 @@
       "entry-2": createAnswer(30, [createEvent("entry-2", 10, "cause")]),
     },
   ]);
-  await runProgramIn(timelineProgram, host);
+  await runProgramWith(timelineProgram, host);
   deepStrictEqual(output.slice(0, 2), ["cause", "effect"]);
   match(paths[2]!, /after=20/);
   match(paths[3]!, /after=5/);
 });
 
 test("a silent host holds nothing back", async () => {
-  const { host, output } = createWorld([
+  const { host, output } = createFixture([
     {
       "entry-1": createAnswer(20, [createEvent("entry-1", 15, "told")]),
       "entry-2": undefined,
     },
   ]);
-  await runProgramIn(timelineProgram, host);
+  await runProgramWith(timelineProgram, host);
   deepStrictEqual(output[0], "told");
 });
