--- a/src/commands/events.ts
+++ b/src/commands/events.ts
@@ -15,7 +15,7 @@
 import type { ProgramHost } from "./program.ts";
 
 /** Asks every host, and says which did not answer. */
-export async function askForEvents(
+export async function fetchEvents(
   host: ProgramHost,
   fleet: FleetClient,
   filter: EventFilter,
@@ -23,11 +23,14 @@
   const answers = await fleet.queryAllHosts<TimelineAnswer>(
     `/ops/timeline?${toQuery(filter)}`,
   );
-  return { events: takeEvents(answers), isComplete: tellSilent(host, answers) };
+  return {
+    events: mergeAnswers(answers),
+    isComplete: reportSilentHosts(host, answers),
+  };
 }
 
 /** The events of all answers in causal order. */
-export function takeEvents(
+export function mergeAnswers(
   answers: readonly HostAnswer<TimelineAnswer>[],
 ): readonly TimelineEvent[] {
   return mergeEvents(
@@ -36,7 +39,7 @@
 }
 
 /** Gives true when no host was silent. */
-function tellSilent(
+function reportSilentHosts(
   { printError }: ProgramHost,
   answers: readonly HostAnswer<unknown>[],
 ): boolean {
--- a/src/commands/fleet_client.ts
+++ b/src/commands/fleet_client.ts
@@ -90,6 +90,6 @@
         members.map((member) => queryHost<T>(member, path)),
       );
     },
-    queryHost: queryHost,
+    queryHost,
   };
 }
--- a/src/commands/request_story.ts
+++ b/src/commands/request_story.ts
@@ -16,7 +16,7 @@
   type TimelineEvent,
 } from "../timeline/mod.ts";
 import { CommandError } from "./errors.ts";
-import { askForEvents } from "./events.ts";
+import { fetchEvents } from "./events.ts";
 import type { FleetClient } from "./fleet_client.ts";
 import type { ProgramHost } from "./program.ts";
 
@@ -35,7 +35,7 @@
   fleet: FleetClient,
   idPrefix: string,
 ): Promise<FetchedStory> {
-  const initial = await askForEvents(host, fleet, { request: idPrefix });
+  const initial = await fetchEvents(host, fleet, { request: idPrefix });
   const found = findRequests(initial.events, idPrefix);
   const [request] = found;
   if (request === undefined || found.length > 1) {
@@ -62,8 +62,8 @@
   const team =
     requestEvents.flatMap((event) => "team" in event ? [event.team] : [])[0];
   const kinds = ["slot-granted"];
-  const grants = await askForEvents(host, fleet, { ...span, team, kinds });
-  const changes = await askForEvents(host, fleet, {
+  const grants = await fetchEvents(host, fleet, { ...span, team, kinds });
+  const changes = await fetchEvents(host, fleet, {
     ...span,
     kinds: contextKinds,
   });
--- a/src/commands/status.ts
+++ b/src/commands/status.ts
@@ -70,13 +70,15 @@
     }
     const { value } = answer;
     const own = value.members.find((each) => each.host === value.host);
-    const seen = value.members.filter((each) => each.state === "alive").length;
+    const aliveCount = value.members.filter((each) =>
+      each.state === "alive"
+    ).length;
     return [
       value.host,
       value.dataCentre,
       value.draining ? "draining" : own?.state ?? "",
       value.configVersion,
-      seen,
+      aliveCount,
       value.notReady ?? "ready",
     ];
   });
--- a/src/commands/timeline.ts
+++ b/src/commands/timeline.ts
@@ -17,7 +17,7 @@
   toQuery,
 } from "../timeline/mod.ts";
 import { createUsageError } from "./errors.ts";
-import { askForEvents, takeEvents } from "./events.ts";
+import { fetchEvents, mergeAnswers } from "./events.ts";
 import type { FleetClient } from "./fleet_client.ts";
 import { createClientFromOptions, fleetArgs, jsonArg } from "./options.ts";
 import type { Program, ProgramHost } from "./program.ts";
@@ -102,7 +102,7 @@
   fleet: FleetClient,
   { request, filter }: { request: string | undefined; filter: EventFilter },
 ) {
-  if (request === undefined) return await askForEvents(host, fleet, filter);
+  if (request === undefined) return await fetchEvents(host, fleet, filter);
   const { story, isComplete } = await fetchStory(host, fleet, request);
   const events = story.all.filter((event) => matchesFilter(event, filter));
   return { events, isComplete };
@@ -136,7 +136,7 @@
       cursors.set(answer.host, answer.value.until);
       completeUntil = Math.min(completeUntil, answer.value.until);
     }
-    const merged = mergeEvents([pending, takeEvents(answers)]);
+    const merged = mergeEvents([pending, mergeAnswers(answers)]);
     print(merged.filter((event) => event.at <= completeUntil));
     pending = merged.filter((event) => event.at > completeUntil);
     await host.sleep(FOLLOW_PERIOD_MS);
