--- a/src/config/store_test.ts
+++ b/src/config/store_test.ts
@@ -157,7 +157,7 @@
       result.success.kind !== "unknown";
     if (isEnd) return result.success;
     if (attempts > 50) {
-      throw new Error("Outcome still unknown after 50 attempts");
+      throw new Error("Still unknown after 50 attempts");
     }
   }
 }
