--- a/src/commands/apply.ts
+++ b/src/commands/apply.ts
@@ -1,7 +1,7 @@
 /**
- * `azurestile-apply DIR`: checks a whole set of files, shows its difference to
- * the newest accepted version, has it accepted on top of exactly that version,
- * and waits until the hosts have it in force.
+ * `azurestile-apply DIR`: checks a set of files, prints its difference to the
+ * newest accepted version, has it accepted on top of exactly that version, and
+ * waits until all live hosts have it in force.
  *
  * @module
  */
@@ -40,23 +40,23 @@
   ...fleetArgs,
   "dry-run": {
     type: "boolean",
-    description: "Check and show the difference only",
+    description: "Only check the files and print the difference",
   },
   base: {
     type: "string",
     valueHint: "VERSION",
     description: "Apply only on top of this version, as shown by --dry-run " +
-      "(else the newest)",
+      "(default: the newest)",
   },
   wait: {
     type: "string",
     default: "15",
     valueHint: "SECONDS",
-    description: "How long to wait until every host has it in force",
+    description: "How long to wait until every host has the version in force",
   },
 } as const;
 
-/** Times that an attempt is sent when its answer is lost. */
+/** How often an attempt is sent in total if its responses are lost. */
 const MAX_SENDS = 3;
 const RESEND_DELAY_MS = 1_000;
 const POLL_PERIOD_MS = 250;
@@ -81,7 +81,7 @@
     const newest = await router.get<ConfigAnswer>("/ops/config");
     const newestVersion = newest.row?.version ?? 0;
     if (newest.row?.digest === getFileSetDigest(files)) {
-      print(`Version ${newestVersion} is this set of files already`);
+      print(`Version ${newestVersion} already has this set of files`);
       return await waitForHosts(host, fleet, {
         version: newestVersion,
         waitMs,
@@ -90,7 +90,7 @@
     print(`Difference to version ${newestVersion}:`);
     printChanges(print, newest.files, files);
     if (options["dry-run"]) {
-      print(`Not applied; go on with --base ${newestVersion}`);
+      print(`Not applied; to apply it, use --base ${newestVersion}`);
       return "ok";
     }
     const baseVersion = options.base === undefined
@@ -118,7 +118,7 @@
   for (const line of changes) print(`  ${line}`);
 }
 
-/** Gives `undefined` for a conflict, which has been told by then. */
+/** Returns `undefined` for a conflict, after printing its details. */
 async function tryApply(
   host: ProgramHost,
   router: OperatorClient,
@@ -143,8 +143,8 @@
 }
 
 /**
- * An answer can be lost after the version was accepted. The same attempt is
- * sent again then: the record knows it and answers with the same version.
+ * Sends an attempt again if its response is lost. The version may have been
+ * accepted; the record recognises the attempt id and returns that version.
  */
 async function sendWithRetries(
   host: ProgramHost,
@@ -164,7 +164,7 @@
   }
 }
 
-/** Says who was first, and what of theirs differs from the version seen. */
+/** Prints who applied the newest version, and how it differs from the base. */
 async function printConflict(
   { printError }: ProgramHost,
   router: OperatorClient,
@@ -188,7 +188,7 @@
   for (const line of changes) printError(`  ${line}`);
 }
 
-/** Waits until every live host has the version, or a later one, in force. */
+/** Waits until every live host has the version or a later one in force. */
 async function waitForHosts(
   host: ProgramHost,
   fleet: FleetClient,
--- a/src/commands/check.ts
+++ b/src/commands/check.ts
@@ -1,5 +1,6 @@
 /**
- * `azurestile-check DIR`: checks a set of files, and settings, without a fleet.
+ * `azurestile-check DIR`: checks a set of files, and optionally the settings of
+ * a router, without contacting a fleet.
  *
  * @module
  */
@@ -23,7 +24,7 @@
   settings: {
     type: "string",
     valueHint: "FILE",
-    description: "Settings of a router to check against the files",
+    description: "Settings of a router to check together with the files",
   },
 } as const;
 
@@ -39,10 +40,10 @@
     if (options.settings !== undefined) {
       const settings = readSettings(options.settings);
       throwIfProblems(getSharedKeyProblems(deployment, settings.operators));
-      print(`The settings of host "${settings.host}" are allowed`);
+      print(`The settings of host "${settings.host}" are valid`);
     }
     print(
-      `The deployment "${deployment.name}" is allowed: ` +
+      `The deployment "${deployment.name}" is valid: ` +
         `${deployment.dataCentres.length} data centres, ` +
         `${deployment.teams.length} teams, ` +
         `${deployment.services.length} services, ` +
--- a/src/commands/errors.ts
+++ b/src/commands/errors.ts
@@ -1,5 +1,5 @@
 /**
- * How a program ends when it can't do what was asked.
+ * Errors that end a program with a message and an exit code.
  *
  * @module
  */
@@ -19,7 +19,7 @@
   }
 }
 
-/** Makes the error that ends a program used wrongly. */
+/** Makes the error for wrong usage of a program. */
 export function createUsageError(
   name: MessageName,
   args: readonly (string | number)[] = [],
--- a/src/commands/events.ts
+++ b/src/commands/events.ts
@@ -1,5 +1,5 @@
 /**
- * Asks all hosts for their events, and says which did not answer.
+ * Fetches the events of all hosts.
  *
  * @module
  */
@@ -14,7 +14,7 @@
 import type { FleetClient, HostAnswer } from "./fleet_client.ts";
 import type { ProgramHost } from "./program.ts";
 
-/** Asks every host, and says which did not answer. */
+/** Fetches the events of every host; prints which hosts did not answer. */
 export async function fetchEvents(
   host: ProgramHost,
   fleet: FleetClient,
@@ -29,7 +29,7 @@
   };
 }
 
-/** The events of all answers in causal order. */
+/** Merges the events of all answers in causal order. */
 export function mergeAnswers(
   answers: readonly HostAnswer<TimelineAnswer>[],
 ): readonly TimelineEvent[] {
@@ -38,7 +38,7 @@
   );
 }
 
-/** Gives true when no host was silent. */
+/** Prints the hosts that did not answer; returns whether all answered. */
 function reportSilentHosts(
   { printError }: ProgramHost,
   answers: readonly HostAnswer<unknown>[],
@@ -46,6 +46,6 @@
   const silent = answers.flatMap((each) =>
     each.kind === "silent" ? [`${each.host}: ${each.reason}`] : []
   );
-  for (const line of silent) printError(`No answer of ${line}`);
+  for (const line of silent) printError(`No answer from ${line}`);
   return silent.length === 0;
 }
--- a/src/commands/exit_codes.ts
+++ b/src/commands/exit_codes.ts
@@ -1,13 +1,13 @@
 /**
- * The exit codes of all programs. A code never changes its meaning, since
- * scripts of operators depend on it.
+ * The exit codes of all programs. The meaning of a code never changes, since
+ * operators' scripts depend on it.
  *
  * @module
  */
 
-/** Exit codes by name, each with what it tells the operator. */
+/** Exit codes by name, each with its meaning. */
 export const exitCodes = {
-  ok: { code: 0, text: "Done; for a query: the answer is whole" },
+  ok: { code: 0, text: "Done; for a query: the answer is complete" },
   failed: { code: 1, text: "Failed; the message says why" },
   usage: { code: 2, text: "Wrong usage, settings or files; nothing was done" },
   conflict: {
@@ -22,15 +22,15 @@
   keyRefused: { code: 6, text: "The operator's key was refused" },
   partial: {
     code: 7,
-    text: "A live host did not answer; the answer is without what it knows",
+    text: "A live host did not answer; the result lacks the data of that host",
   },
-  notFound: { code: 8, text: "No host knows what was asked for" },
+  notFound: { code: 8, text: "No host has data on the requested item" },
 } as const satisfies Record<string, { code: number; text: string }>;
 
 /** Name of an exit code. */
 export type ExitName = keyof typeof exitCodes;
 
-/** The lines for `--help`: code and meaning of the exits named. */
+/** Formats the given exits for `--help`, one a line: code and meaning. */
 export function formatExitCodes(names: readonly ExitName[]): string {
   return names
     .map((name) => exitCodes[name])
--- a/src/commands/explain.ts
+++ b/src/commands/explain.ts
@@ -1,6 +1,6 @@
 /**
- * `azurestile-explain REQUEST`: why a request was admitted, queued, refused,
- * placed, shifted or retried, in sentences from the time line of all hosts.
+ * `azurestile-explain REQUEST`: explains from the events of all hosts why a
+ * request was admitted, queued, refused, placed, shifted or retried.
  *
  * @module
  */
@@ -14,8 +14,8 @@
   request: {
     type: "positional",
     required: true,
-    description: 'The id from the answer\'s header "azurestile-request"; ' +
-      "its start is enough",
+    description: 'The id in the response header "azurestile-request", ' +
+      "or a prefix of it",
   },
   ...fleetArgs,
 } as const;
@@ -23,7 +23,7 @@
 /** The program. */
 export const explainProgram: Program<typeof args> = {
   name: "azurestile-explain",
-  description: "Explains what was decided about a request, and why",
+  description: "Explains the decisions about a request",
   args,
   exits: ["notFound", "partial", "unreachable", "keyRefused"],
   async run(options, host) {
--- a/src/commands/fleet_client.ts
+++ b/src/commands/fleet_client.ts
@@ -1,5 +1,6 @@
 /**
- * Calls to the whole fleet: a first router that answers names the others.
+ * Calls to all hosts of a fleet. The first router that answers lists the
+ * others.
  *
  * @module
  */
@@ -12,29 +13,29 @@
   type OperatorClient,
 } from "./operator_client.ts";
 
-/** What one host said, or why it said nothing. */
+/** The answer of one host, or the reason why there is none. */
 export type HostAnswer<T> =
   | { readonly kind: "answered"; readonly host: string; readonly value: T }
   | { readonly kind: "silent"; readonly host: string; readonly reason: string };
 
 /** Calls the routers of a fleet. */
 export interface FleetClient {
-  /** The first router of the addresses given that answers. */
+  /** Finds the first of the known addresses at which a router answers. */
   getRouter(): Promise<OperatorClient>;
-  /** Members that are not known to be dead, as that router sees them. */
+  /** Members that are not dead according to that router. */
   getMembers(): Promise<readonly Member[]>;
-  /** Asks every such member at once. */
+  /** Queries all of these members concurrently. */
   queryAllHosts<T>(path: string): Promise<readonly HostAnswer<T>[]>;
   queryHost<T>(member: Member, path: string): Promise<HostAnswer<T>>;
 }
 
-/** Makes a client that knows the addresses of one router or several. */
+/** Makes a client that starts from the addresses of one or more routers. */
 export function createFleetClient(
   addresses: readonly string[],
   key: string,
 ): FleetClient {
-  // Hosts are replaced at any time: a program that runs for long goes on with
-  // those that it has met since.
+  // Hosts can be replaced at any time. A program that runs for long also uses
+  // the addresses of members that it learned of since it started.
   const known = new Set(addresses);
 
   async function getRouterAndStatus() {
@@ -49,7 +50,8 @@
         return { router, status };
       } catch (err) {
         lastError = err;
-        // Only silence speaks for the next address; a refused key is final.
+        // Only an unreachable router is a reason to try the next address; a
+        // refused key would be refused there as well.
         if (!(err instanceof OperatorCallError) || err.status !== 0) throw err;
       }
     }
--- a/src/commands/format_table.ts
+++ b/src/commands/format_table.ts
@@ -1,13 +1,13 @@
 /**
- * Plain text tables for terminals.
+ * Formats plain text tables for terminals.
  *
  * @module
  */
 
-/** A cell; numbers stand right. */
+/** A cell; numbers are right-aligned. */
 export type Cell = string | number;
 
-/** A table with a head line, each column as wide as its widest cell. */
+/** Formats a table with a header line and columns that fit their cells. */
 export function formatTable(
   head: readonly string[],
   rows: readonly (readonly Cell[])[],
--- a/src/commands/history.ts
+++ b/src/commands/history.ts
@@ -1,6 +1,6 @@
 /**
- * `azurestile-history`: the record of accepted configurations, the difference
- * between any two, and the files of any one.
+ * `azurestile-history`: lists the accepted configuration versions, prints the
+ * difference between two of them, and exports the files of one.
  *
  * @module
  */
@@ -30,12 +30,12 @@
   from: {
     type: "string",
     valueHint: "VERSION",
-    description: "Show the difference from this version (0 for none)",
+    description: "Print the difference from this version (0: empty)",
   },
   to: {
     type: "string",
     valueHint: "VERSION",
-    description: "… to this one (else the newest)",
+    description: "Print the difference to this version (default: the newest)",
   },
   export: {
     type: "string",
@@ -45,7 +45,7 @@
   dir: {
     type: "string",
     valueHint: "DIR",
-    description: "New folder for the files",
+    description: "New or empty folder for the files of --export",
   },
   limit: {
     type: "string",
@@ -130,7 +130,7 @@
     before === undefined ? undefined : decodeFileSet(before),
     decodeFileSet(to.files),
   );
-  if (changes.length === 0) print("  no difference of meaning");
+  if (changes.length === 0) print("  only comments, order or spacing");
   for (const line of changes) print(`  ${line}`);
 }
 
--- a/src/commands/operator_client.ts
+++ b/src/commands/operator_client.ts
@@ -1,5 +1,5 @@
 /**
- * What the operators' programs share: calls to a router's `/ops/` endpoints.
+ * Client of a router's `/ops/` endpoints for the operators' programs.
  *
  * @module
  */
@@ -7,12 +7,12 @@
 import * as Data from "effect/Data";
 import type { ExitName } from "./exit_codes.ts";
 
-/** A call that a router refused, or that never reached one. */
+/** Thrown if a router refuses a call or can't be reached. */
 export class OperatorCallError extends Data.TaggedError("OperatorCallError")<{
-  /** HTTP status; 0 when no answer came. */
+  /** HTTP status; 0 if there was no response. */
   readonly status: number;
   readonly reason: string;
-  /** The whole answer, as far as there was one. */
+  /** The decoded body of the response; empty if there was none. */
   readonly answer: unknown;
 }> {
   override get message(): string {
@@ -27,7 +27,9 @@
   post<T>(path: string, body: unknown): Promise<T>;
 }
 
-/** A connection can go silent for good, so no call waits longer, in ms. */
+/**
+ * Bounds each call, since a connection can stop responding without an error.
+ */
 const CALL_TIMEOUT_MS = 5_000;
 
 /** Makes a client of the router at the public address. */
@@ -94,7 +96,7 @@
   409: "conflict",
 };
 
-/** The exit of a program that ends with this error. */
+/** The exit of a program that fails with the error. */
 export function getExitName(err: OperatorCallError): ExitName {
   return statusExits[err.status] ?? "failed";
 }
--- a/src/commands/options.ts
+++ b/src/commands/options.ts
@@ -1,5 +1,5 @@
 /**
- * Options that several programs share, and how their values are read.
+ * Options that several programs share, and functions that read their values.
  *
  * @module
  */
@@ -9,31 +9,31 @@
 import type { FleetClient } from "./fleet_client.ts";
 import type { ProgramHost } from "./program.ts";
 
-/** Name of the variable that may hold the operator's key. */
+/** Environment variable with the operator's key. */
 export const KEY_VARIABLE = "AZURESTILE_OPERATOR_KEY";
 
-/** Name of the variable that may hold the routers' addresses. */
+/** Environment variable with the routers' addresses. */
 export const ROUTER_VARIABLE = "AZURESTILE_ROUTER";
 
 /**
- * How a program finds the fleet. The key is never an option: it would show in
- * the list of processes.
+ * Options by which a program finds the fleet. The key itself is never an
+ * option, since the list of processes would expose it.
  */
 export const fleetArgs = {
   router: {
     type: "string",
     valueHint: "ADDRESS",
-    description: "Public address of any router, or several with commas " +
-      `(else from ${ROUTER_VARIABLE})`,
+    description: "Public address of any router, or several, comma-separated " +
+      `(default: from ${ROUTER_VARIABLE})`,
   },
   "key-file": {
     type: "string",
     valueHint: "FILE",
-    description: `File with the operator's key (else from ${KEY_VARIABLE})`,
+    description: `File with the operator's key (default: from ${KEY_VARIABLE})`,
   },
 } as const;
 
-/** For queries: prints JSON in place of a table. */
+/** Option of queries to print JSON instead of text. */
 export const jsonArg = {
   json: { type: "boolean", description: "Print JSON" },
 } as const;
@@ -43,7 +43,7 @@
   readonly "key-file"?: string | undefined;
 }
 
-/** Makes the client of the fleet that the options name. */
+/** Makes a client of the fleet from the options and the environment. */
 export function createClientFromOptions(
   options: FleetOptions,
   host: ProgramHost,
@@ -57,7 +57,7 @@
   return host.createFleetClient(addresses, readKey(options["key-file"], host));
 }
 
-/** Reads a number; throws a usage error that names what is allowed. */
+/** Reads a number; throws a usage error with the allowed range. */
 export function readNumberOption(
   name: string,
   text: string,
--- a/src/commands/program.ts
+++ b/src/commands/program.ts
@@ -1,6 +1,7 @@
 /**
- * The frame of every program: options, `--help`, `--version`, errors and exit
- * codes. A program itself is a function from its options to the name of an exit.
+ * Runs the command-line programs: parses options, handles `--help` and
+ * `--version`, and turns errors into messages and exit codes. A program itself
+ * is a function from its options to the name of an exit.
  *
  * @module
  */
@@ -24,19 +25,19 @@
 import { createFleetClient, type FleetClient } from "./fleet_client.ts";
 import { getExitName, OperatorCallError } from "./operator_client.ts";
 
-/** A program. */
+/** A command-line program. */
 export interface Program<A extends ArgsDef> {
   readonly name: string;
   readonly description: string;
   readonly args: A;
-  /** Exits that it may end with, beside `ok`, `failed` and `usage`. */
+  /** Exits that it may end with, besides `ok`, `failed` and `usage`. */
   readonly exits: readonly ExitName[];
   run(args: ParsedArgs<A>, host: ProgramHost): Promise<ExitName>;
 }
 
-/** What a program needs of the world. */
+/** Dependencies of a program that the process provides. */
 export interface ProgramHost {
-  /** The options; they never hold a key. */
+  /** The command-line arguments; they never contain a key. */
   readonly rawArgs: readonly string[];
   readonly env: Readonly<Record<string, string | undefined>>;
   print(text: string): void;
@@ -47,7 +48,7 @@
   sleep(ms: number): Promise<void>;
 }
 
-/** The world of a real process. */
+/** The dependencies as the operating system's process provides them. */
 export const processHost: ProgramHost = {
   rawArgs: process.argv.slice(2),
   env: process.env,
@@ -58,11 +59,11 @@
   sleep: (ms) => sleep(ms),
 };
 
-/** Runs a program to its end and sets the exit code of the process. */
+/** Runs a program and sets the exit code of the process. */
 export async function runProgram<A extends ArgsDef>(
   program: Program<A>,
 ): Promise<void> {
-  // `azurestile-timeline | head` closes the pipe early; that is no failure.
+  // `azurestile-timeline | head` closes the pipe early, which is not a failure.
   process.stdout.on("error", (err: NodeJS.ErrnoException) => {
     if (err.code === "EPIPE") process.exit(exitCodes.ok.code);
     throw err;
@@ -71,7 +72,7 @@
   process.exitCode = exitCodes[exit].code;
 }
 
-/** Runs a program in the world given; gives the name of its exit. */
+/** Runs a program with the given dependencies; returns the name of its exit. */
 export async function runProgramWith<A extends ArgsDef>(
   program: Program<A>,
   host: ProgramHost,
@@ -128,7 +129,7 @@
   return `${usage.trimEnd()}\n\nEXIT CODES\n\n${exits}`;
 }
 
-/** The parser drops what it does not know; an operator must be told instead. */
+/** Rejects unknown options and arguments, which the parser would ignore. */
 function checkOptions(
   program: { readonly args: ArgsDef },
   rawArgs: readonly string[],
--- a/src/commands/program_test.ts
+++ b/src/commands/program_test.ts
@@ -36,14 +36,16 @@
 ] as unknown as readonly Program<Record<never, never>>[];
 
 interface FakeFleet {
-  /** Posts that fail with these before one is taken. */
+  /** Errors of the first posts; later posts succeed. */
   readonly failures?: OperatorCallError[];
-  /** Versions in force by host, at each poll in turn; the last one stays. */
+  /**
+   * Versions in force by host, one entry for each poll; the last one repeats.
+   */
   readonly polls?: Record<string, number>[];
   readonly silent?: string;
 }
 
-/** A world in which the fleet is a few functions and time is moved by sleep. */
+/** A program's dependencies with a fake fleet and a clock moved by `sleep`. */
 function createFixture(fleet: FakeFleet = {}) {
   const files = readFileSet(EXAMPLE);
   const output: string[] = [];
@@ -121,7 +123,7 @@
   return { host, output, posts };
 }
 
-/** A folder with the example's files, one team's weight changed. */
+/** Makes a folder with the example's files and a changed weight of one team. */
 function createChangedFolder() {
   const folder = mkdtempSync(join(tmpdir(), "azurestile-test-"));
   const files = readFileSet(EXAMPLE);
@@ -134,7 +136,7 @@
   };
 }
 
-test("every program tells its options, its exit codes and its version", async () => {
+test("every program prints its options, its exit codes and its version", async () => {
   for (const program of programs) {
     const { host, output } = createFixture();
     deepStrictEqual(await runProgramWith(program, host(["--help"])), "ok");
@@ -156,7 +158,7 @@
   deepStrictEqual(new Set<number>(codes).size, codes.length);
 });
 
-test("the page has every exit code", () => {
+test("docs/CONFIGURATION.md has every exit code", () => {
   const file = new URL("../../docs/CONFIGURATION.md", import.meta.url);
   const page = readFileSync(file, "utf8").replaceAll(/ +/g, " ");
   for (const { code, text } of Object.values(exitCodes)) {
@@ -164,7 +166,7 @@
   }
 });
 
-test("wrong usage ends with its code and names what is allowed", async () => {
+test("wrong usage has its own exit and a message that says what is allowed", async () => {
   const cases = [
     [statusProgram, ["--jsn"], /"--jsn" does not exist.*"--json"/],
     [statusProgram, ["--router"], /"--router" needs a value/],
@@ -184,14 +186,17 @@
   }
 });
 
-test("a program without a key says where it may come from", async () => {
+test("a program without a key says how to provide one", async () => {
   const { host, output } = createFixture();
-  const world = { ...host([]), env: { AZURESTILE_ROUTER: "127.0.0.1:1" } };
-  deepStrictEqual(await runProgramWith(statusProgram, world), "usage");
+  const hostWithoutKey = {
+    ...host([]),
+    env: { AZURESTILE_ROUTER: "127.0.0.1:1" },
+  };
+  deepStrictEqual(await runProgramWith(statusProgram, hostWithoutKey), "usage");
   match(output[0]!, /"--key-file" or in AZURESTILE_OPERATOR_KEY/);
 });
 
-test("apply shows the difference and waits until it is in force", async () => {
+test("apply prints the difference and waits until it is in force", async () => {
   using changed = createChangedFolder();
   const polls = [{ "entry-1": 4, "entry-2": 5 }, {
     "entry-1": 5,
@@ -207,10 +212,10 @@
 });
 
 /**
- * The answer to an apply is lost after the version was accepted. A resend as a
- * new attempt would be told of a conflict with the operator's own version.
+ * The response is lost after the version was accepted. If the files were sent
+ * again as a new attempt, they would conflict with the operator's own version.
  */
-test("apply sends the same attempt again when the answer is lost", async () => {
+test("apply sends the same attempt again if the response is lost", async () => {
   using changed = createChangedFolder();
   const lost = new OperatorCallError({
     status: 0,
@@ -225,7 +230,7 @@
   ok(posts[0]!.attempt);
 });
 
-test("apply tells a conflict, and a host that is late", async () => {
+test("apply reports a conflict, and a host with an older version", async () => {
   using changed = createChangedFolder();
   const conflict = new OperatorCallError({
     status: 409,
@@ -247,9 +252,9 @@
     "conflict",
   );
   deepStrictEqual(first.posts[0]!.baseVersion, 3);
-  const told = first.output.join("\n");
-  match(told, /Version 4 by ada at .* came first/);
-  match(told, /You both changed team "vake-joinery"/);
+  const messages = first.output.join("\n");
+  match(messages, /Version 4 by ada at .* came first/);
+  match(messages, /You both changed team "vake-joinery"/);
 
   const second = createFixture({
     polls: [{ "entry-1": 5, "entry-2": 4 }],
@@ -270,7 +275,7 @@
   deepStrictEqual(posts, []);
 });
 
-test("a status without a host's answer says so", async () => {
+test("a status shows that a host did not answer", async () => {
   const { host, output } = createFixture({
     polls: [{ "entry-1": 5, "entry-2": 5 }],
     silent: "entry-2",
--- a/src/commands/replay.ts
+++ b/src/commands/replay.ts
@@ -1,6 +1,6 @@
 /**
- * `azurestile-replay FILE`: checks a recorded history anew against the outcome
- * that its trace states.
+ * `azurestile-replay FILE`: checks a recorded history again and compares the
+ * result with the outcome that is stated in its trace.
  *
  * @module
  */
@@ -20,7 +20,7 @@
   file: {
     type: "positional",
     required: true,
-    description: "Trace, as JSON lines",
+    description: "Trace in JSON lines",
   },
 } as const;
 
--- a/src/commands/request_story.ts
+++ b/src/commands/request_story.ts
@@ -1,7 +1,8 @@
 /**
- * Asks the hosts for the story of one request in two rounds: first its own
- * events, then what bears on it in that time. One question for everything would
- * move the whole time line of all hosts, gigabytes at the goal size.
+ * Fetches the story of one request from the hosts in two rounds: first the
+ * events of the request, then the related events in their time span. A single
+ * query would transfer the whole timeline of all hosts, which is gigabytes in a
+ * fleet of the design size.
  *
  * @module
  */
@@ -20,16 +21,16 @@
 import type { FleetClient } from "./fleet_client.ts";
 import type { ProgramHost } from "./program.ts";
 
-/** A story, and whether every host told its part. */
+/** A story, and whether all hosts answered. */
 export interface FetchedStory {
   readonly story: RequestStory;
   readonly isComplete: boolean;
 }
 
-/** Ids that are named when the start of an id is not enough. */
+/** Matching ids that are listed if a prefix is ambiguous. */
 const MAX_LISTED_IDS = 5;
 
-/** The story of the one request whose id starts so; fails for none or many. */
+/** Fetches the story of the only request with the prefix; throws otherwise. */
 export async function fetchStory(
   host: ProgramHost,
   fleet: FleetClient,
--- a/src/commands/router.ts
+++ b/src/commands/router.ts
@@ -1,5 +1,6 @@
 /**
- * `azurestile-router`: runs one router until it is told to stop, then drains.
+ * `azurestile-router`: runs one router until it gets a stop signal, then
+ * drains.
  *
  * @module
  */
@@ -22,13 +23,13 @@
   },
 } as const;
 
-/** How the HTTP, UDP and gRPC sockets say that an address can't be had. */
+/** Errors of HTTP, UDP and gRPC sockets for an address that can't be bound. */
 const LISTEN_FAILURE = /EADDR|EACCES|No address added/;
 
 /** The program. */
 export const routerProgram: Program<typeof args> = {
   name: "azurestile-router",
-  description: "Routes requests of teams to upstreams, with fair shares",
+  description: "Routes requests of teams to upstreams, with fair sharing",
   args,
   exits: [],
   async run(options) {
@@ -38,12 +39,12 @@
     await waitForStopSignal(() => stopImmediately(router, logger));
     const { cut } = await router.drain();
     await router[Symbol.asyncDispose]();
-    // A library's open handle must not keep a drained host alive.
+    // An open handle of a library must not keep a drained process running.
     process.exit(getExitCode(cut));
   },
 };
 
-/** Answers that were cut, by the drain limit or a second signal, are a failure. */
+/** Responses cut off by the drain limit or a second signal are a failure. */
 function getExitCode(cut: number): number {
   return exitCodes[cut > 0 ? "failed" : "ok"].code;
 }
@@ -72,7 +73,7 @@
   }
 }
 
-/** Succeeds at the first signal; each later one calls `onSecond`. */
+/** Resolves at the first signal; each later one calls `onSecondSignal`. */
 function waitForStopSignal(onSecondSignal: () => void): Promise<void> {
   let isStopping = false;
   return new Promise((resolve) => {
--- a/src/commands/status.ts
+++ b/src/commands/status.ts
@@ -1,6 +1,6 @@
 /**
- * `azurestile-status`: what is in force where, hosts, upstreams, queues and
- * shares, put together from what every host says of itself.
+ * `azurestile-status`: prints configuration versions, hosts, upstreams, queues
+ * and shares of the teams, combined from the status of every host.
  *
  * @module
  */
@@ -16,7 +16,7 @@
 /** The program. */
 export const statusProgram: Program<typeof args> = {
   name: "azurestile-status",
-  description: "Shows what is in force where, upstreams, queues and shares",
+  description: "Shows versions in force, hosts, upstreams, queues and shares",
   args,
   exits: ["partial", "unreachable", "keyRefused"],
   async run(options, host) {
@@ -29,7 +29,7 @@
   },
 };
 
-/** The whole status as text. */
+/** Formats the status of the fleet as text. */
 export function formatStatus(
   answers: readonly HostAnswer<HostStatus>[],
 ): string {
@@ -53,7 +53,7 @@
   return sections.map(([title, text]) => `${title}\n${text}`).join("\n\n");
 }
 
-/** One line that says whether all hosts agree. */
+/** Formats how many hosts have the newest version in force. */
 function formatInForce(statuses: readonly HostStatus[]): string {
   const versions = new Set(statuses.map((each) => each.configVersion));
   const [version = 0] = [...versions].sort((a, b) => b - a);
@@ -135,7 +135,7 @@
   return formatTable(["service", "team", "host", "waiting"], rows);
 }
 
-/** What each team had of each service, beside its share by weight. */
+/** Formats each team's share of each service beside its share by weight. */
 function formatShares(
   newest: HostStatus,
   statuses: readonly HostStatus[],
--- a/src/commands/timeline.ts
+++ b/src/commands/timeline.ts
@@ -1,6 +1,6 @@
 /**
- * `azurestile-timeline`: the events of all processes in causal order, as lines,
- * as JSON lines or as a picture.
+ * `azurestile-timeline`: prints the events of all processes in causal order, as
+ * text or JSON lines, or draws them as an SVG picture.
  *
  * @module
  */
@@ -28,7 +28,7 @@
   request: {
     type: "string",
     valueHint: "ID",
-    description: "Only this request and what bears on it; the start is enough",
+    description: "Only this request, by its id or a prefix, and related events",
   },
   team: { type: "string", description: "Only this team" },
   upstream: { type: "string", description: "Only this upstream" },
@@ -36,20 +36,20 @@
   kind: {
     type: "string",
     valueHint: "KIND,KIND",
-    description: "Only these kinds, as request-refused",
+    description: "Only these kinds, such as request-refused",
   },
   since: {
     type: "string",
     valueHint: "TIME",
-    description: "From then on: 30s, 10m, 2h ago or 2026-01-31T10:00:00Z",
+    description: "Events since: an age (30s, 10m, 2h) or 2026-01-31T10:00:00Z",
   },
-  until: { type: "string", valueHint: "TIME", description: "Until then" },
-  follow: { type: "boolean", description: "Go on with new events" },
+  until: { type: "string", valueHint: "TIME", description: "Events until" },
+  follow: { type: "boolean", description: "Keep printing new events" },
   ...jsonArg,
   svg: {
     type: "string",
     valueHint: "FILE",
-    description: "Write a picture: a lane for each process",
+    description: "Write a picture with a lane for each process",
   },
 } as const;
 
@@ -109,9 +109,9 @@
 }
 
 /**
- * Prints events as they come. An event is held back until every host has said
- * that nothing earlier is still to come; else an effect could be printed before
- * its cause, which another host tells a moment later.
+ * Prints new events continuously. An event is held back until every host that
+ * answers has reported all earlier events. Otherwise an effect could be printed
+ * before its cause, which another host reports a moment later.
  */
 async function followEvents(
   host: ProgramHost,
@@ -158,7 +158,7 @@
   writeFileSync(file, createLanesSvg(events, title));
 }
 
-/** A time as wall milliseconds: an age, or a date. */
+/** Reads an age or a date as milliseconds since the epoch. */
 function readTime(name: string, text: string | undefined): number | undefined {
   if (text === undefined) return undefined;
   const age = /^(\d+)([smh])$/.exec(text);
--- a/src/commands/timeline_test.ts
+++ b/src/commands/timeline_test.ts
@@ -20,7 +20,7 @@
   return { events, until, lost: 0 };
 }
 
-/** A fleet whose hosts answer in rounds; a host without an answer is silent. */
+/** A fake fleet with one answer a host and round; absent if unreachable. */
 function createFixture(rounds: readonly Round[]) {
   const output: string[] = [];
   const paths: string[] = [];
@@ -61,11 +61,11 @@
 }
 
 /**
- * A reader follows the time line. A host's grant is told one poll later than the
- * dispatch that it allowed, since the host was busy when it was asked. Printed
- * as they come, the dispatch would stand before its grant for good.
+ * A busy host reports a grant one poll later than another host reports the
+ * dispatch that the grant allowed. Events printed in the order of arrival would
+ * show the dispatch before its grant.
  */
-test("an event waits until no host can tell an earlier one", async () => {
+test("an event is held back until no host can report an earlier one", async () => {
   const { host, output, paths } = createFixture([
     {
       "entry-1": createAnswer(20, [createEvent("entry-1", 15, "effect")]),
@@ -82,7 +82,7 @@
   match(paths[3]!, /after=5/);
 });
 
-test("a silent host holds nothing back", async () => {
+test("events are not held back for an unreachable host", async () => {
   const { host, output } = createFixture([
     {
       "entry-1": createAnswer(20, [createEvent("entry-1", 15, "told")]),
--- a/src/commands/trace.ts
+++ b/src/commands/trace.ts
@@ -1,6 +1,6 @@
 /**
- * `azurestile-trace REQUEST FILE`: from the id of a request to its cause, from
- * the lines that entry hosts have logged.
+ * `azurestile-trace REQUEST FILE`: finds the decisions about a request in the
+ * lines that entry hosts have logged.
  *
  * @module
  */
@@ -14,7 +14,7 @@
 import { CommandError, createUsageError } from "./errors.ts";
 import type { Program } from "./program.ts";
 
-/** Names the standard input in place of a file. */
+/** File argument that stands for the standard input. */
 const STANDARD_INPUT = "-";
 
 const STANDARD_INPUT_FD = 0;
@@ -23,12 +23,12 @@
   request: {
     type: "positional",
     required: true,
-    description: "The id of the caller's try",
+    description: "The id of the caller's attempt",
   },
   file: {
     type: "positional",
     required: true,
-    description: 'Lines of one host or of many; "-" for the standard input',
+    description: 'Log of one or more hosts; "-" for the standard input',
   },
 } as const;
 
@@ -42,7 +42,7 @@
   run({ request, file }, host) {
     const { logged, unreadable } = parseDecisionLines(readText(file));
     const trace = tryTraceRequest(logged, request);
-    if (unreadable > 0) host.printError(`Lines passed over: ${unreadable}`);
+    if (unreadable > 0) host.printError(`Unreadable lines: ${unreadable}`);
     if (trace === undefined) {
       throw new CommandError({
         exit: "notFound",
