--- a/src/discovery/mod.ts
+++ b/src/discovery/mod.ts
@@ -1,14 +1,15 @@
 /**
- * What the entry hosts learn from the platform, and how they pass it on.
+ * How the entry hosts read the platform's tables and distribute them among
+ * themselves.
  *
  * @module
  */
 
-export * from "./leaving_lives.ts";
-export * from "./passing_on.ts";
+export * from "./leaving_instances.ts";
+export * from "./table_distribution.ts";
 export * from "./positions.ts";
-export * from "./readers.ts";
-export * from "./shared_table.ts";
+export * from "./reader_selection.ts";
+export * from "./table_replica.ts";
 export * from "./table_follower.ts";
 export * from "./types.ts";
 export * from "./upstream_directory.ts";
--- /dev/null
+++ b/src/entry/drain_test.ts
@@ -0,0 +1,81 @@
+import { deepStrictEqual, strictEqual } from "node:assert";
+import { EventEmitter } from "node:events";
+import type { ServerResponse } from "node:http";
+import { test } from "node:test";
+import * as Effect from "effect/Effect";
+import { createManualClock } from "../core/mod.ts";
+import { createDrain } from "./drain.ts";
+
+const GRACE_MS = 8_000;
+
+function createFixture() {
+  const clock = createManualClock(1_000);
+  const phases: string[] = [];
+  const drain = createDrain({
+    clock,
+    graceMs: GRACE_MS,
+    announceLeaving: () => phases.push("told"),
+    onPhase: (phase) => phases.push(phase),
+  });
+  return { clock, drain, phases };
+}
+
+function createResponse() {
+  const headers = new Map<string, string>();
+  const res = Object.assign(new EventEmitter(), {
+    headersSent: false,
+    setHeader: (name: string, value: string) => headers.set(name, value),
+  });
+  return { res: res as unknown as ServerResponse, headers };
+}
+
+test("a host that is not draining starts every request", () => {
+  const { drain } = createFixture();
+  strictEqual(drain.mayStartRequest(60_000), true);
+  strictEqual(drain.isDraining(), false);
+});
+
+test("a draining host refuses requests that can't complete in time, and starts others", async () => {
+  // Callers still send requests on kept-alive connections 6.7 s after SIGTERM.
+  // A stream of 5 s that started then would be cut off by SIGKILL; a call of
+  // 0.9 s completes in time.
+  const { clock, drain, phases } = createFixture();
+  const running = Effect.runPromise(drain.run);
+  await Promise.resolve();
+  clock.advance(1_900);
+  strictEqual(drain.mayStartRequest(8_000), true);
+  clock.advance(4_500);
+  strictEqual(drain.mayStartRequest(5_000), false);
+  strictEqual(drain.mayStartRequest(900), true);
+  clock.advance(1_300);
+  deepStrictEqual(await running, { cut: 0, tookMs: 7_700 });
+  deepStrictEqual(phases, ["told", "leaving", "ending"]);
+});
+
+test("a long stream that arrives three seconds after the signal is not started", async () => {
+  // Guards against a stream that is cut off by the end of the grace period.
+  // During a rolling restart, a stream of 10 s arrived 3.03 s after SIGTERM,
+  // which this host had received a little later. The stream was started and cut
+  // off. A refused caller is served by another host at once.
+  const { clock, drain } = createFixture();
+  const running = Effect.runPromise(drain.run);
+  await Promise.resolve();
+  clock.advance(2_950);
+  strictEqual(drain.mayStartRequest(15_000), false);
+  clock.advance(GRACE_MS);
+  await running;
+});
+
+test("each response of a draining host closes its connection", async () => {
+  const { clock, drain } = createFixture();
+  const before = createResponse();
+  drain.track(before.res);
+  const running = Effect.runPromise(drain.run);
+  await Promise.resolve();
+  const after = createResponse();
+  drain.track(after.res);
+  strictEqual(before.headers.get("connection"), "close");
+  strictEqual(after.headers.get("connection"), "close");
+  clock.advance(GRACE_MS);
+  strictEqual((await running).cut, 2);
+});
--- /dev/null
+++ b/src/entry/platform_view_test.ts
@@ -0,0 +1,238 @@
+import { deepStrictEqual, ok } from "node:assert";
+import { test } from "node:test";
+import * as Effect from "effect/Effect";
+import {
+  createKnowledgeFleet,
+  type KnowledgeFleet,
+  runFleet,
+} from "../testing/knowledge_fleet.ts";
+
+/** A configuration must be in force at all hosts within this time, in ms. */
+const BOUND_MS = 2_500;
+
+/** Without failures it is in force at all hosts within this time, in ms. */
+const FAULT_FREE_MS = 200;
+
+/**
+ * Changes the configuration during the failures that `causeFailures` sets up;
+ * returns the time until the last host has it in force, in ms.
+ */
+async function measureChange(
+  causeFailures: (fleet: KnowledgeFleet) => void | Effect.Effect<void>,
+  { hosts = 9, isPassingOn = true } = {},
+): Promise<number> {
+  const fleet = createKnowledgeFleet({ hosts, isPassingOn });
+  let tookMs = 0;
+  await runFleet(Effect.gen(function* () {
+    fleet.tables.put(1);
+    fleet.tables.putUpstreams(["one", "two"]);
+    yield* fleet.start;
+    // Without the distribution a host reads the tables itself after two
+    // seconds.
+    yield* fleet.run(5_000);
+    deepStrictEqual(new Set(fleet.getVersions()), new Set([1]));
+    yield* causeFailures(fleet) ?? Effect.void;
+    fleet.tables.put(2);
+    const sinceMs = fleet.nowMs();
+    while (fleet.getVersions().some((each) => each < 2)) {
+      yield* fleet.run(10);
+      tookMs = fleet.nowMs() - sinceMs;
+      if (tookMs > 20_000) return;
+    }
+  }));
+  return tookMs;
+}
+
+/**
+ * The platform answers no host for `outageMs`, and all upstream entries expire.
+ */
+function simulateOutage(
+  fleet: KnowledgeFleet,
+  outageMs: number,
+): Effect.Effect<void> {
+  return Effect.gen(function* () {
+    fleet.treatAll("silent");
+    yield* fleet.run(outageMs);
+    fleet.treatAll("served");
+    fleet.tables.putUpstreams([]);
+  });
+}
+
+test("a change is in force at 9 and at 90 hosts within 200 ms", async () => {
+  ok(await measureChange(() => {}) <= FAULT_FREE_MS);
+  ok(await measureChange(() => {}, { hosts: 90 }) <= FAULT_FREE_MS);
+});
+
+for (const treatment of ["refused", "silent"] as const) {
+  test(`a change reaches hosts that the platform keeps ${treatment} within the bound`, async () => {
+    // The platform rejects a third of the hosts, in the worst case including
+    // all three readers, while an operator revokes an API key. Each of those
+    // hosts would accept the revoked key until it learns of the change.
+    for (let first = 0; first < 9; first++) {
+      const tookMs = await measureChange(({ tables, hosts }) => {
+        for (let at = 0; at < 3; at++) {
+          tables.treat(hosts[(first + at) % hosts.length]!, treatment);
+        }
+      });
+      ok(tookMs <= BOUND_MS, `${tookMs} ms from host ${first}`);
+    }
+  });
+}
+
+test("without the distribution, hosts whose reads fail miss the bound", async () => {
+  const tookMs = await measureChange(({ tables, hosts }) => {
+    for (const host of hosts.slice(0, 3)) tables.treat(host, "refused");
+  }, { isPassingOn: false });
+  ok(tookMs > BOUND_MS, `${tookMs} ms`);
+});
+
+test("a change is in force within the bound if polls return nothing and history is lost", async () => {
+  // Polls return no changes for a second while an operator changes a route.
+  // Then the change history is dropped, so no later poll returns that change.
+  const tookMs = await measureChange((fleet) => {
+    fleet.tables.silenceUntil(fleet.nowMs() + 1_000);
+    fleet.tables.dropHistory();
+  });
+  ok(tookMs <= BOUND_MS, `${tookMs} ms`);
+});
+
+test("no host goes back to an older configuration when the platform does", async () => {
+  // A host that missed the change may answer a fetch; its older copy must not
+  // replace a newer one.
+  const fleet = createKnowledgeFleet({ hosts: 9 });
+  await runFleet(Effect.gen(function* () {
+    fleet.tables.put(1);
+    yield* fleet.start;
+    yield* fleet.run(1_000);
+    fleet.tables.put(5);
+    yield* fleet.run(1_000);
+    fleet.tables.put(3);
+    yield* fleet.run(1_000);
+  }));
+  deepStrictEqual(new Set(fleet.getVersions()), new Set([5]));
+});
+
+test("after an outage a change is in force as fast as without one", async () => {
+  // Guards against routes that callers are refused on for another second,
+  // although the platform has been back for longer than a call's time-out. Each
+  // previous reader excluded itself for five seconds after its last failure,
+  // while the other hosts had received only the report of its first failure and
+  // relied on it again. So no host read the table.
+  for (let outageMs = 6_000; outageMs <= 10_000; outageMs += 170) {
+    const tookMs = await measureChange((fleet) =>
+      simulateOutage(fleet, outageMs).pipe(Effect.andThen(fleet.run(2_500)))
+    );
+    ok(
+      tookMs <= FAULT_FREE_MS,
+      `${tookMs} ms after ${outageMs} ms without platform`,
+    );
+  }
+});
+
+test("the only host that can read the configuration distributes it", async () => {
+  // The platform serves the list of upstreams to all hosts and the
+  // configuration to only one of them, each host in turn. Callers are refused
+  // on new routes until hosts that can't read the configuration are excluded
+  // for that table.
+  for (let served = 0; served < 9; served++) {
+    const tookMs = await measureChange((fleet) => {
+      const refused = fleet.hosts.filter((_, at) => at !== served);
+      for (const host of refused) {
+        fleet.tables.treatTable(host, "config", "silent");
+      }
+      return fleet.run(4_000);
+    });
+    ok(tookMs <= BOUND_MS, `${tookMs} ms from host ${served}`);
+  }
+});
+
+test("a change to one table does not make hosts fetch the other", async () => {
+  // The platform has one version counter for all tables. When an upstream
+  // registers, readers know the configuration up to a newer version, without
+  // any change in it. Hosts used to mistake that for a newer configuration and
+  // fetched it after each report until a configuration was published, which
+  // wasted processor time and bandwidth.
+  const fleet = createKnowledgeFleet({ hosts: 9 });
+  await runFleet(Effect.gen(function* () {
+    fleet.tables.put(1);
+    yield* fleet.start;
+    yield* fleet.run(8_000);
+    const before = fleet.fetches.length;
+    fleet.tables.putUpstreams(["one"]);
+    yield* fleet.run(10_000);
+    const outcomes = fleet.fetches.slice(before);
+    deepStrictEqual(outcomes, Array(6).fill("newer"));
+  }));
+});
+
+test("a host logs whether it reads a table, and why", async () => {
+  // Operators need to find out why a host had an old configuration: whether it
+  // was a reader, and if not, why not.
+  const fleet = createKnowledgeFleet({ hosts: 9 });
+  await runFleet(Effect.gen(function* () {
+    fleet.tables.put(1);
+    yield* fleet.start;
+    yield* fleet.run(5_000);
+  }));
+  const lines = fleet.logged.map((each) => each.decision)
+    .filter((each) => each.event === "table-reader-changed")
+    .filter((each) => each.table === "config");
+  const countLines = (because: string) =>
+    lines.filter((each) => each.because === because).length;
+  deepStrictEqual(
+    [countLines("first-in-rank"), countLines("others-first")],
+    [3, 6],
+  );
+});
+
+test("a change is in force within the bound after a long outage of the platform", async () => {
+  // Guards against 404 answers of healthy hosts on a route that operators have
+  // added. The platform answers no host for six to ten seconds. When it
+  // returns, the upstream entries that expired are missing from its list, and
+  // operators add the route. One host read the list of upstreams and reported
+  // it. That counted as a read of both tables, so for two seconds at a time no
+  // host read the configuration, and this repeated. In addition, each previous
+  // reader left the configuration to the other hosts, and these left it to the
+  // reader. In the logs, the age of the last confirmed read fell from two
+  // seconds to zero at all hosts whenever the list arrived, while no host
+  // logged a new configuration.
+  for (let outageMs = 6_000; outageMs <= 10_000; outageMs += 170) {
+    const tookMs = await measureChange((fleet) =>
+      simulateOutage(fleet, outageMs)
+    );
+    ok(
+      tookMs <= BOUND_MS,
+      `${tookMs} ms after ${outageMs} ms without platform`,
+    );
+  }
+});
+
+test("a restored platform is detected at once, even if its version is unchanged", async () => {
+  // Guards against a poll that waits for changes in an era that has ended.
+  for (let outageMs = 0; outageMs <= 3_000; outageMs += 150) {
+    const fleet = createKnowledgeFleet({ hosts: 9 });
+    let tookMs = 0;
+    await runFleet(Effect.gen(function* () {
+      fleet.tables.put(1);
+      yield* fleet.start;
+      yield* fleet.run(6_000);
+      fleet.tables.put(2);
+      yield* fleet.run(1_000);
+      fleet.treatAll("silent");
+      yield* fleet.run(Math.max(10, outageMs));
+      fleet.tables.rewind(outageMs + 1_200);
+      fleet.treatAll("served");
+      fleet.tables.put(3);
+      const sinceMs = fleet.nowMs();
+      while (fleet.getVersions().some((each) => each < 3)) {
+        yield* fleet.run(10);
+        tookMs = fleet.nowMs() - sinceMs;
+        if (tookMs > 20_000) return;
+      }
+    }));
+    ok(
+      tookMs <= BOUND_MS,
+      `${tookMs} ms after ${outageMs} ms without platform`,
+    );
+  }
+});
