--- a/src/commands/explain.ts
+++ b/src/commands/explain.ts
@@ -14,7 +14,7 @@
   request: {
     type: "positional",
     required: true,
-    description: 'The id in the response header "azurestile-request", ' +
+    description: 'The id in the response\'s header "azurestile-request", ' +
       "or a prefix of it",
   },
   ...fleetArgs,
--- a/src/config/store_test.ts
+++ b/src/config/store_test.ts
@@ -156,9 +156,7 @@
     const isEnd = result._tag === "Success" &&
       result.success.kind !== "unknown";
     if (isEnd) return result.success;
-    if (attempts > 50) {
-      throw new Error("Still unknown after 50 attempts");
-    }
+    if (attempts > 50) throw new Error("Still unknown after 50 attempts");
   }
 }
 
