--- a/src/core/mod.ts
+++ b/src/core/mod.ts
@@ -7,4 +7,4 @@
 export * from "./clock.ts";
 export * from "./core.ts";
 export * from "./hlc.ts";
-export * from "./read_first.ts";
+export * from "./timers.ts";
