--- a/src/core/clock.ts
+++ b/src/core/clock.ts
@@ -40,13 +40,13 @@
 }
 
 /** A clock that stands still while its process does. */
-export interface WorkingClock extends Clock {
+export interface StallTolerantClock extends Clock {
   /** Called in each turn of the event loop. */
   tick(): void;
 }
 
 /** A turn counts for so long at most, in ms. */
-const MAX_TURN_MS = 200;
+const MAX_ITERATION_MS = 200;
 
 /**
  * Makes a clock for the age of what others tell and for their silence.
@@ -56,16 +56,17 @@
  * the process's own pause it took their last news for old: upstreams looked free
  * that others had filled, and busy ones looked silent.
  */
-export function createWorkingClock(clock: Clock): WorkingClock {
-  let turnMs = clock.monotonicMs();
-  let workedMs = turnMs;
-  const getInTurn = () => Math.min(clock.monotonicMs() - turnMs, MAX_TURN_MS);
+export function createStallTolerantClock(clock: Clock): StallTolerantClock {
+  let iterationStartMs = clock.monotonicMs();
+  let elapsedMs = iterationStartMs;
+  const getIterationMs = () =>
+    Math.min(clock.monotonicMs() - iterationStartMs, MAX_ITERATION_MS);
   return {
-    monotonicMs: () => workedMs + getInTurn(),
+    monotonicMs: () => elapsedMs + getIterationMs(),
     wallMs: clock.wallMs,
     tick() {
-      workedMs += getInTurn();
-      turnMs = clock.monotonicMs();
+      elapsedMs += getIterationMs();
+      iterationStartMs = clock.monotonicMs();
     },
   };
 }
--- a/src/core/clock_test.ts
+++ b/src/core/clock_test.ts
@@ -1,17 +1,17 @@
 import { strictEqual } from "node:assert";
 import { test } from "node:test";
-import { createManualClock, createWorkingClock } from "./clock.ts";
+import { createManualClock, createStallTolerantClock } from "./clock.ts";
 
 function createFixture() {
   const clock = createManualClock(1_000);
-  const working = createWorkingClock(clock);
+  const tolerant = createStallTolerantClock(clock);
   return {
-    working,
+    working: tolerant,
     /** Turns of ten ms each, for so long. */
-    work(forMs: number): void {
-      for (let atMs = 0; atMs < forMs; atMs += 10) {
+    work(durationMs: number): void {
+      for (let atMs = 0; atMs < durationMs; atMs += 10) {
         clock.advance(10);
-        working.tick();
+        tolerant.tick();
       }
     },
     pause: (forMs: number) => clock.advance(forMs),
--- a/src/core/core.ts
+++ b/src/core/core.ts
@@ -29,9 +29,9 @@
 ): V {
   const known = map.get(key);
   if (known !== undefined) return known;
-  const made = create();
-  map.set(key, made);
-  return made;
+  const created = create();
+  map.set(key, created);
+  return created;
 }
 
 /** SHA-256 of the content, in hexadecimal. */
--- a/src/core/timers.ts
+++ b/src/core/timers.ts
@@ -15,40 +15,43 @@
  * Turns of the event loop after which what had come has been read and acted
  * upon: a message, the close behind it, and the end of the connection.
  */
-const READ_TURNS = 3;
+const READ_ITERATIONS = 3;
 
 /** Runs once what has come so far is read; disposing of it prevents that. */
-export function afterReading(run: () => void): Disposable {
-  let turns = 0;
-  function endTurn(): void {
-    turns++;
-    if (turns === READ_TURNS) run();
-    else immediate = setImmediate(endTurn);
+export function runAfterPendingReads(run: () => void): Disposable {
+  let iterations = 0;
+  function endIteration(): void {
+    iterations++;
+    if (iterations === READ_ITERATIONS) run();
+    else immediate = setImmediate(endIteration);
   }
-  let immediate = setImmediate(endTurn);
+  let immediate = setImmediate(endIteration);
   return { [Symbol.dispose]: () => clearImmediate(immediate) };
 }
 
 /** A limit on the time in which something has to come. */
-export interface TimeLimit extends Disposable {
+export interface ReadAwareTimeout extends Disposable {
   /** It came; the next has the whole time again. */
   restart(): void;
 }
 
 /** Runs after so long, in ms, unless what is read until then disposes of it. */
-export function startTimeLimit(limitMs: number, run: () => void): TimeLimit {
-  let reading: Disposable | undefined;
+export function startTimeout(
+  timeoutMs: number,
+  run: () => void,
+): ReadAwareTimeout {
+  let pendingRead: Disposable | undefined;
   const timer = setTimeout(() => {
-    reading = afterReading(run);
-  }, limitMs);
+    pendingRead = runAfterPendingReads(run);
+  }, timeoutMs);
   return {
     restart() {
-      reading?.[Symbol.dispose]();
+      pendingRead?.[Symbol.dispose]();
       timer.refresh();
     },
     [Symbol.dispose]() {
       clearTimeout(timer);
-      reading?.[Symbol.dispose]();
+      pendingRead?.[Symbol.dispose]();
     },
   };
 }
--- a/src/entry/entry.ts
+++ b/src/entry/entry.ts
@@ -9,7 +9,7 @@
 import * as Effect from "effect/Effect";
 import * as Fiber from "effect/Fiber";
 import { createRetryBudget, getFleetOptions } from "../admission/mod.ts";
-import { createWorkingClock, getOrCreate } from "../core/mod.ts";
+import { createStallTolerantClock, getOrCreate } from "../core/mod.ts";
 import type { Decision } from "../diagnostics/mod.ts";
 import {
   CRASH_KEY,
@@ -108,7 +108,7 @@
     else platformView.receive(fact);
   }
 
-  const workingClock = createWorkingClock(clock);
+  const workingClock = createStallTolerantClock(clock);
   const health = createHealthWatch(workingClock);
   const loopMonitor = createEventLoopMonitor(clock, QUEUE_TICK_MS);
   const fullHosts = createFullHosts({
--- a/src/entry/ticker.ts
+++ b/src/entry/ticker.ts
@@ -14,7 +14,7 @@
  */
 
 import { performance } from "node:perf_hooks";
-import { afterReading } from "../core/mod.ts";
+import { runAfterPendingReads } from "../core/mod.ts";
 
 /** The functions that a ticker runs. */
 export interface TickerJobs {
@@ -47,7 +47,7 @@
     jobs.measure?.();
     if (pendingRead !== undefined) return;
     const lateMs = performance.now() - lastMs - periodMs;
-    if (lateMs > LATE_TICK_MS) pendingRead = afterReading(runDecide);
+    if (lateMs > LATE_TICK_MS) pendingRead = runAfterPendingReads(runDecide);
     else runDecide();
   }
 
--- a/src/forwarding/pass_on_stream.ts
+++ b/src/forwarding/pass_on_stream.ts
@@ -9,7 +9,7 @@
 import type { Buffer } from "node:buffer";
 import type { ServerResponse } from "node:http";
 import * as Effect from "effect/Effect";
-import { startTimeLimit } from "../core/mod.ts";
+import { startTimeout } from "../core/mod.ts";
 import {
   type CallerLost,
   createDisconnected,
@@ -43,7 +43,7 @@
     const frames = createEventFrames();
     const mayMove = route.isResumable && progress.runs < route.maxAttempts;
     const silence = mayMove
-      ? startTimeLimit(RESUME_SILENCE_MS, onSilence)
+      ? startTimeout(RESUME_SILENCE_MS, onSilence)
       : undefined;
 
     function onSilence(): void {
--- a/src/forwarding/read_body.ts
+++ b/src/forwarding/read_body.ts
@@ -8,7 +8,7 @@
 import { Buffer } from "node:buffer";
 import type { IncomingMessage, ServerResponse } from "node:http";
 import * as Effect from "effect/Effect";
-import { startTimeLimit } from "../core/mod.ts";
+import { startTimeout } from "../core/mod.ts";
 import {
   type CallerLost,
   createDisconnected,
@@ -60,7 +60,7 @@
       caller[Symbol.dispose]();
     }
 
-    const limit = startTimeLimit(
+    const limit = startTimeout(
       BODY_LIMIT_MS,
       () => reject(408, `The body did not arrive in ${BODY_LIMIT_MS} ms`),
     );
--- a/src/forwarding/serve.ts
+++ b/src/forwarding/serve.ts
@@ -8,7 +8,7 @@
 
 import type { IncomingMessage, ServerResponse } from "node:http";
 import * as Effect from "effect/Effect";
-import { getDigest, startTimeLimit } from "../core/mod.ts";
+import { getDigest, startTimeout } from "../core/mod.ts";
 import {
   type CallerLost,
   createDisconnected,
@@ -269,7 +269,7 @@
       res,
       () => resume(Effect.fail(createDisconnected())),
     );
-    const limit = startTimeLimit(
+    const limit = startTimeout(
       Math.max(0, getLeftMs(host, call)),
       () => resume(Effect.fail(createTimeLimit(call))),
     );
--- a/src/forwarding/upstream_call.ts
+++ b/src/forwarding/upstream_call.ts
@@ -13,7 +13,7 @@
   request as sendRequest,
 } from "node:http";
 import * as Effect from "effect/Effect";
-import { startTimeLimit } from "../core/mod.ts";
+import { startTimeout } from "../core/mod.ts";
 import { AttemptFailed } from "./types.ts";
 
 /** A request on its way to an upstream. */
@@ -74,7 +74,7 @@
       if (!isOpen) resume(Effect.fail(new AttemptFailed({ kind, reason })));
     }
 
-    let limit = startTimeLimit(
+    let limit = startTimeout(
       CONNECT_LIMIT_MS,
       () => fail("not-sent", `No connection in ${CONNECT_LIMIT_MS} ms`),
     );
@@ -85,7 +85,7 @@
       isSent = true;
       call.onSent();
       limit[Symbol.dispose]();
-      limit = startTimeLimit(
+      limit = startTimeout(
         call.headLimitMs,
         () => fail("silent", `No answer in ${call.headLimitMs} ms`),
       );
@@ -126,7 +126,7 @@
       abort();
       resume(Effect.fail(new AttemptFailed({ kind, reason })));
     };
-    const limit = startTimeLimit(
+    const limit = startTimeout(
       limits.limitMs,
       () => fail("silent", `The body took over ${limits.limitMs} ms`),
     );
--- a/src/load/load_test.ts
+++ b/src/load/load_test.ts
@@ -4,7 +4,7 @@
 import {
   type Clock,
   createManualClock,
-  createWorkingClock,
+  createStallTolerantClock,
 } from "../core/mod.ts";
 import { getNameDigest } from "../peers/mod.ts";
 import { createLoadView } from "./load_view.ts";
@@ -155,7 +155,7 @@
 test("an upstream that others have filled is not free after a pause of this host", () => {
   // Guards against starts on the ground of a host's own silence.
   const a = createView("a");
-  const working = createWorkingClock(a.clock);
+  const working = createStallTolerantClock(a.clock);
   const b = createView("b", a.clock, working);
   a.view.beginReading("engine-1", 9_000);
   b.view.receive(a.createReport());
--- a/src/orders/order_client.ts
+++ b/src/orders/order_client.ts
@@ -6,7 +6,7 @@
 
 import { request as sendRequest } from "node:http";
 import * as Effect from "effect/Effect";
-import { startTimeLimit } from "../core/mod.ts";
+import { startTimeout } from "../core/mod.ts";
 import type { Upstream } from "../types.ts";
 import { formatOrder, type Order, type OrderResult } from "./types.ts";
 
@@ -49,7 +49,7 @@
       agent: false,
       timeout: ORDER_TIMEOUT_MS,
     });
-    const limit = startTimeLimit(ORDER_TIMEOUT_MS, () => req.destroy());
+    const limit = startTimeout(ORDER_TIMEOUT_MS, () => req.destroy());
     req.on("response", (res) => {
       res.resume();
       end(res.statusCode === 200 ? "taken" : "refused");
--- a/src/upstreams/http_upstreams.ts
+++ b/src/upstreams/http_upstreams.ts
@@ -9,7 +9,7 @@
 import { type IncomingMessage, request as sendRequest } from "node:http";
 import * as Effect from "effect/Effect";
 import { createParser } from "eventsource-parser";
-import { startTimeLimit } from "../core/mod.ts";
+import { startTimeout } from "../core/mod.ts";
 import {
   type AnswerEvent,
   type AnswerStream,
@@ -120,7 +120,7 @@
       },
     });
     // A connection can go silent for good without raising any error.
-    const limit = startTimeLimit(
+    const limit = startTimeout(
       call.limitMs,
       () => req.destroy(createSilence(call.limitMs)),
     );
@@ -199,7 +199,7 @@
   res: IncomingMessage,
   chunks: AsyncIterator<string>,
 ): Promise<IteratorResult<string>> {
-  using _limit = startTimeLimit(
+  using _limit = startTimeout(
     STREAM_SILENCE_MS,
     () => res.destroy(createSilence(STREAM_SILENCE_MS)),
   );
