--- a/src/bin/azurestile_explain.ts
+++ b/src/bin/azurestile_explain.ts
@@ -1,6 +1,6 @@
 #!/usr/bin/env node
 /**
- * `azurestile-explain REQUEST`: why a request was served as it was.
+ * `azurestile-explain REQUEST`: explains the decisions about a request.
  *
  * @module
  */
--- a/src/bin/azurestile_history.ts
+++ b/src/bin/azurestile_history.ts
@@ -1,6 +1,6 @@
 #!/usr/bin/env node
 /**
- * `azurestile-history`: the record of accepted configurations.
+ * `azurestile-history`: shows and exports accepted configurations.
  *
  * @module
  */
--- a/src/bin/azurestile_replay.ts
+++ b/src/bin/azurestile_replay.ts
@@ -1,6 +1,7 @@
 #!/usr/bin/env node
 /**
- * `azurestile-replay FILE`: checks a recorded history against its trace.
+ * `azurestile-replay FILE`: checks a recorded history against the outcome that
+ * its trace states.
  *
  * @module
  */
--- a/src/bin/azurestile_router.ts
+++ b/src/bin/azurestile_router.ts
@@ -1,6 +1,6 @@
 #!/usr/bin/env node
 /**
- * `azurestile-router`: one router daemon.
+ * `azurestile-router`: runs one router.
  *
  * @module
  */
--- a/src/bin/azurestile_status.ts
+++ b/src/bin/azurestile_status.ts
@@ -1,6 +1,6 @@
 #!/usr/bin/env node
 /**
- * `azurestile-status`: what is in force where.
+ * `azurestile-status`: shows the state of the hosts, upstreams and queues.
  *
  * @module
  */
--- a/src/bin/azurestile_timeline.ts
+++ b/src/bin/azurestile_timeline.ts
@@ -1,6 +1,6 @@
 #!/usr/bin/env node
 /**
- * `azurestile-timeline`: the events of all hosts in causal order.
+ * `azurestile-timeline`: shows the events of all hosts in causal order.
  *
  * @module
  */
--- a/src/bin/azurestile_trace.ts
+++ b/src/bin/azurestile_trace.ts
@@ -1,6 +1,6 @@
 #!/usr/bin/env node
 /**
- * `azurestile-trace REQUEST FILE`: from the id of a request to its cause.
+ * `azurestile-trace REQUEST FILE`: finds the decisions about a request in logs.
  *
  * @module
  */
--- a/src/core/clock.ts
+++ b/src/core/clock.ts
@@ -1,5 +1,5 @@
 /**
- * Time as the program sees it. Durations come from the monotonic clock alone,
+ * Clocks of a process. Durations are measured by the monotonic clock only,
  * since the wall clock can jump; the wall clock only labels events.
  *
  * @module
@@ -7,27 +7,27 @@
 
 import { performance } from "node:perf_hooks";
 
-/** The two clocks of a process; tests pass one that they move by hand. */
+/** The clocks of a process; tests use one that they advance themselves. */
 export interface Clock {
-  /** Milliseconds since an arbitrary start; never goes back. */
+  /** Milliseconds since an arbitrary start; never decreases. */
   monotonicMs(): number;
-  /** Milliseconds since the epoch; may jump either way. */
+  /** Milliseconds since the epoch; can jump forwards and backwards. */
   wallMs(): number;
 }
 
-/** The clocks of the machine. */
+/** The clocks of the operating system. */
 export const systemClock: Clock = {
   monotonicMs: () => performance.now(),
   wallMs: () => Date.now(),
 };
 
-/** A clock that moves only when told to. */
+/** A clock for tests that moves only by calls of `advance`. */
 export interface ManualClock extends Clock {
-  /** Moves both clocks forward by the milliseconds given. */
+  /** Moves both clocks forward by the given milliseconds. */
   advance(ms: number): void;
 }
 
-/** Makes a clock that stands still at the milliseconds given. */
+/** Makes a clock that starts at the given milliseconds. */
 export function createManualClock(startMs = 0): ManualClock {
   let nowMs = startMs;
   return {
@@ -39,22 +39,24 @@
   };
 }
 
-/** A clock that stands still while its process does. */
+/** A clock that does not count the time in which its process is stalled. */
 export interface StallTolerantClock extends Clock {
-  /** Called in each turn of the event loop. */
+  /** Must be called in each iteration of the event loop. */
   tick(): void;
 }
 
-/** A turn counts for so long at most, in ms. */
+/** Upper bound for the counted time of one event-loop iteration, in ms. */
 const MAX_ITERATION_MS = 200;
 
 /**
- * Makes a clock for the age of what others tell and for their silence.
+ * Makes a clock that measures the age of reports from other hosts and the time
+ * since an upstream's last response.
  *
- * Load: a process that is stopped for seconds, or whose turns of the event loop
- * take that long. Harm prevented: what others sent meanwhile lies unread, and by
- * the process's own pause it took their last news for old: upstreams looked free
- * that others had filled, and busy ones looked silent.
+ * Load: a process that is stopped for seconds, or whose event-loop iterations
+ * take that long. Failure prevented: messages that arrive during such a stall
+ * are not read yet, so the process would take the reports before them for
+ * outdated. Upstreams that other hosts had filled looked free, and busy
+ * upstreams looked as if they did not respond.
  */
 export function createStallTolerantClock(clock: Clock): StallTolerantClock {
   let iterationStartMs = clock.monotonicMs();
--- a/src/core/clock_test.ts
+++ b/src/core/clock_test.ts
@@ -4,35 +4,35 @@
 
 function createFixture() {
   const clock = createManualClock(1_000);
-  const tolerant = createStallTolerantClock(clock);
+  const tolerantClock = createStallTolerantClock(clock);
   return {
-    working: tolerant,
-    /** Turns of ten ms each, for so long. */
-    work(durationMs: number): void {
+    tolerantClock,
+    /** Runs event-loop iterations of 10 ms each. */
+    runIterations(durationMs: number): void {
       for (let atMs = 0; atMs < durationMs; atMs += 10) {
         clock.advance(10);
-        tolerant.tick();
+        tolerantClock.tick();
       }
     },
-    pause: (forMs: number) => clock.advance(forMs),
+    stall: (durationMs: number) => clock.advance(durationMs),
   };
 }
 
-test("a working clock goes on in short turns and stands still in a long one", () => {
-  const { working, work, pause } = createFixture();
-  work(500);
-  strictEqual(working.monotonicMs(), 1_500);
-  pause(3_000);
-  strictEqual(working.monotonicMs(), 1_700);
-  working.tick();
-  work(100);
-  strictEqual(working.monotonicMs(), 1_800);
+test("a stall-tolerant clock counts short iterations in full, long ones in part", () => {
+  const { tolerantClock, runIterations, stall } = createFixture();
+  runIterations(500);
+  strictEqual(tolerantClock.monotonicMs(), 1_500);
+  stall(3_000);
+  strictEqual(tolerantClock.monotonicMs(), 1_700);
+  tolerantClock.tick();
+  runIterations(100);
+  strictEqual(tolerantClock.monotonicMs(), 1_800);
 });
 
-test("a working clock never goes back", () => {
-  const { working, pause } = createFixture();
-  pause(150);
-  const before = working.monotonicMs();
-  working.tick();
-  strictEqual(working.monotonicMs(), before);
+test("a stall-tolerant clock never goes back", () => {
+  const { tolerantClock, stall } = createFixture();
+  stall(150);
+  const before = tolerantClock.monotonicMs();
+  tolerantClock.tick();
+  strictEqual(tolerantClock.monotonicMs(), before);
 });
--- a/src/core/core.ts
+++ b/src/core/core.ts
@@ -1,27 +1,29 @@
 /**
- * Helpers that know nothing of requests, teams or hosts.
+ * General helpers: assertions, numbers, maps and digests.
  *
  * @module
  */
 
 import { createHash, timingSafeEqual } from "node:crypto";
 
-/** Thrown when an invariant of the program does not hold; always a bug. */
+/** Thrown if an invariant is violated, which is always a bug. */
 export class AssertionError extends Error {
   override readonly name = "AssertionError";
 }
 
-/** Closes a switch over a union: the compiler proves that no kind is left. */
+/**
+ * Ends a switch over a union; compiles only if all of its kinds are handled.
+ */
 export function assertNever(value: never): never {
   throw new AssertionError(`Unexpected kind "${JSON.stringify(value)}"`);
 }
 
-/** Limits a number to the closed range from low to high. */
+/** Limits a number to the inclusive range from low to high. */
 export function clamp(value: number, low: number, high: number): number {
   return Math.min(high, Math.max(low, value));
 }
 
-/** Gives the entry for a key, made and stored first when absent. */
+/** Returns the value of a key; creates and stores it if it is absent. */
 export function getOrCreate<K, V>(
   map: Map<K, V>,
   key: K,
@@ -34,12 +36,12 @@
   return created;
 }
 
-/** SHA-256 of the content, in hexadecimal. */
+/** The SHA-256 of the content in hexadecimal. */
 export function getDigest(content: string | Uint8Array): string {
   return createHash("sha256").update(content).digest("hex");
 }
 
-/** Compares two secrets or digests without telling by time where they differ. */
+/** Compares secrets in a time that does not depend on where they differ. */
 export function isEqualInConstantTime(a: string, b: string): boolean {
   const left = createHash("sha256").update(a).digest();
   const right = createHash("sha256").update(b).digest();
--- a/src/core/hlc.ts
+++ b/src/core/hlc.ts
@@ -1,25 +1,26 @@
 /**
- * Hybrid logical clock: orders events over all processes by cause, while
- * staying near the wall clock. A stamp is one number: wall milliseconds times
- * 2^10, plus a counter; it stays below 2^53 until the year 2248.
+ * Hybrid logical clock: its timestamps order the events of all processes
+ * causally and stay close to the wall clock. A timestamp is one number: wall
+ * milliseconds times 2^10 plus a counter. It stays below 2^53, and so is an
+ * exact JavaScript number, until the year 2248.
  *
  * @module
  */
 
 import type { Clock } from "./clock.ts";
 
-/** Stamps within one wall millisecond. */
+/** Number of timestamps within one wall millisecond. */
 export const COUNTER_RANGE = 1024;
 
-/** A hybrid logical clock of one process. */
+/** The hybrid logical clock of one process. */
 export interface HybridClock {
-  /** Stamps a local event, later than all stamps made or received before. */
+  /** Returns the timestamp of a local event, later than all previous ones. */
   tick(): number;
-  /** Takes in the stamp of a received message. */
+  /** Advances the clock to the timestamp of a received message. */
   receive(stamp: number): void;
 }
 
-/** Makes the clock of one process over the wall clock given. */
+/** Makes a hybrid logical clock that is based on the given wall clock. */
 export function createHybridClock(clock: Clock): HybridClock {
   let last = 0;
   return {
@@ -33,7 +34,7 @@
   };
 }
 
-/** The wall time of a stamp in milliseconds since the epoch. */
+/** The wall time of a timestamp in milliseconds since the epoch. */
 export function getWallMs(stamp: number): number {
   return Math.floor(stamp / COUNTER_RANGE);
 }
--- a/src/core/mod.ts
+++ b/src/core/mod.ts
@@ -1,5 +1,6 @@
 /**
- * Helpers without knowledge of the domain: assertions, clocks, digests.
+ * Helpers that are independent of the domain: assertions, clocks, timers and
+ * digests.
  *
  * @module
  */
--- a/src/core/timers.ts
+++ b/src/core/timers.ts
@@ -1,23 +1,28 @@
 /**
- * Timers that decide only after the event loop has read what came before them.
+ * Time-outs that take effect only after the event loop has read all input that
+ * arrived before them.
  *
- * Load: a host with an eighth of a core whose turns of the event loop take a
- * second, or a process that was stopped for some. Harm prevented: Node runs the
- * timers that are due before it reads sockets. An answer, or a caller's close,
- * that came in time still lies unread when the timer runs, so a request was
- * started for a caller that had left, and an upstream that had answered was
- * called silent and asked again.
+ * Load: a host with an eighth of a core whose event-loop iterations take a
+ * second, or a process that was stopped for seconds. Failure prevented: Node
+ * runs due timers before it reads sockets. A response, or a caller's
+ * disconnect, that arrived in time is still unread when the timer runs.
+ * Requests were then started for callers that had disconnected, and upstreams
+ * that had responded were treated as timed out and sent the request again.
  *
  * @module
  */
 
 /**
- * Turns of the event loop after which what had come has been read and acted
- * upon: a message, the close behind it, and the end of the connection.
+ * Event-loop iterations after which all input that had arrived is read and
+ * handled: one each for a message, the close behind it and the end of the
+ * connection.
  */
 const READ_ITERATIONS = 3;
 
-/** Runs once what has come so far is read; disposing of it prevents that. */
+/**
+ * Runs a function once all input that has arrived so far is read. Disposal
+ * cancels it.
+ */
 export function runAfterPendingReads(run: () => void): Disposable {
   let iterations = 0;
   function endIteration(): void {
@@ -29,13 +34,16 @@
   return { [Symbol.dispose]: () => clearImmediate(immediate) };
 }
 
-/** A limit on the time in which something has to come. */
+/** A time-out that input cancels if it arrived in time, even if read late. */
 export interface ReadAwareTimeout extends Disposable {
-  /** It came; the next has the whole time again. */
+  /** Starts the time-out again from zero. */
   restart(): void;
 }
 
-/** Runs after so long, in ms, unless what is read until then disposes of it. */
+/**
+ * Starts a time-out, in ms, that runs a function unless it is disposed of by
+ * input that arrived before it expired.
+ */
 export function startTimeout(
   timeoutMs: number,
   run: () => void,
--- a/src/entry/ticker.ts
+++ b/src/entry/ticker.ts
@@ -8,7 +8,7 @@
  * event-loop iterations and twice the processor time, which is wasted on idle
  * hosts and which busy hosts need for their callers. After a long iteration or
  * a pause of the process, an immediate decision would be based on outdated
- * input; see `afterReading`.
+ * input; see `runAfterPendingReads`.
  *
  * @module
  */
