--- a/src/core/clock.ts
+++ b/src/core/clock.ts
@@ -55,8 +55,8 @@
  * Load: a process that is stopped for seconds, or whose event-loop iterations
  * take that long. Failure prevented: messages that arrive during such a stall
  * are not read yet, so the process would take the reports before them for
- * outdated. Upstreams that other hosts had filled looked free, and busy
- * upstreams looked as if they did not respond.
+ * outdated. It would treat upstreams that other hosts have filled as free, and
+ * busy upstreams as unresponsive.
  */
 export function createStallTolerantClock(clock: Clock): StallTolerantClock {
   let iterationStartMs = clock.monotonicMs();
--- a/src/core/timers.ts
+++ b/src/core/timers.ts
@@ -4,18 +4,17 @@
  *
  * Load: a host with an eighth of a core whose event-loop iterations take a
  * second, or a process that was stopped for seconds. Failure prevented: Node
- * runs due timers before it reads sockets. A response, or a caller's
- * disconnect, that arrived in time is still unread when the timer runs.
- * Requests were then started for callers that had disconnected, and upstreams
- * that had responded were treated as timed out and sent the request again.
+ * runs due timers before it reads sockets, so a response, or a caller's
+ * disconnect, that arrived in time is still unread when the timer runs. A
+ * request would start for a caller that has disconnected, and an upstream that
+ * has responded would be treated as timed out and be sent the request again.
  *
  * @module
  */
 
 /**
  * Event-loop iterations after which all input that had arrived is read and
- * handled: one each for a message, the close behind it and the end of the
- * connection.
+ * handled: a message, the close that follows it, and the end of the connection.
  */
 const READ_ITERATIONS = 3;
 
