--- a/src/commands/timeline.ts
+++ b/src/commands/timeline.ts
@@ -104,7 +104,9 @@
 ) {
   if (request === undefined) return await fetchEvents(host, fleet, filter);
   const { story, isComplete } = await fetchStory(host, fleet, request);
-  const events = story.all.filter((event) => matchesFilter(event, filter));
+  const events = story.allEvents.filter((event) =>
+    matchesFilter(event, filter)
+  );
   return { events, isComplete };
 }
 
--- a/src/router/operator_handlers.ts
+++ b/src/router/operator_handlers.ts
@@ -123,7 +123,7 @@
   const until = host.hybridClock.tick();
   const events = host.recorder.getSince(filter.after ?? 0)
     .filter((event) => matchesFilter(event, filter));
-  return { events, until, lost: host.recorder.getLost() };
+  return { events, until, lost: host.recorder.getNewestLostStamp() };
 }
 
 function getLimit(url: URL): number {
--- a/src/timeline/describe.ts
+++ b/src/timeline/describe.ts
@@ -12,19 +12,21 @@
   switch (event.kind) {
     case "request-admitted":
       return `Admitted a request of ${event.team} for ${event.service}: ` +
-        `${formatCount(event.queued)} of the team waited for it here, below ` +
+        `${
+          formatRequestCount(event.queued)
+        } of the team waited for it here, below ` +
         "the team's limit, and the expected wait fitted the deadline";
     case "request-refused":
       return `Refused a request of ${event.team} as not run: ` +
         `${describeRefusal(event.reason)}; it may come again in ` +
-        formatMs(event.retryAfterMs);
+        formatDuration(event.retryAfterMs);
     case "slot-granted":
       return `Granted a slot of ${event.upstream} to ${event.team} at ` +
         `${event.to}: of the teams that waited it had the least service for ` +
         `its weight, with a counter of ${formatNumber(event.counter)}`;
     case "request-dispatched":
       return `Sent the request of ${event.team} to ${event.upstream} after ` +
-        `it had waited ${formatMs(event.waitedMs)} for a slot`;
+        `it had waited ${formatDuration(event.waitedMs)} for a slot`;
     case "request-shifted":
       return `Shifted a request of ${event.team}: ${event.reason}`;
     case "request-retried":
@@ -89,7 +91,7 @@
 }
 
 /** A time in the unit that reads best. */
-export function formatMs(ms: number): string {
+export function formatDuration(ms: number): string {
   return ms < 10_000 ? `${Math.round(ms)} ms` : `${formatNumber(ms / 1000)} s`;
 }
 
@@ -149,7 +151,7 @@
   return fields.map(([key, value]) => `${key} ${value}`).join(", ");
 }
 
-function formatCount(count: number): string {
+function formatRequestCount(count: number): string {
   if (count === 0) return "no other request";
   return count === 1 ? "1 request" : `${count} requests`;
 }
--- a/src/timeline/lanes_svg.ts
+++ b/src/timeline/lanes_svg.ts
@@ -11,11 +11,11 @@
  */
 
 import { getWallMs } from "../core/mod.ts";
-import { describeEvent, formatMs, formatTime } from "./describe.ts";
+import { describeEvent, formatDuration, formatTime } from "./describe.ts";
 import type { EventKind, TimelineEvent } from "./types.ts";
 
 /** More columns can't be read; later events are left out and counted. */
-export const MAX_EVENTS_SHOWN = 60;
+export const MAX_DRAWN_EVENTS = 60;
 
 const LANE_HEIGHT = 44;
 const COLUMN_WIDTH = 62;
@@ -46,7 +46,7 @@
   events: readonly TimelineEvent[],
   title: string,
 ): string {
-  const shown = events.slice(0, MAX_EVENTS_SHOWN);
+  const shown = events.slice(0, MAX_DRAWN_EVENTS);
   const lanes = getLanes(shown);
   const legend = getLegend(shown, events.length);
   const legendTop = TOP + lanes.length * LANE_HEIGHT + 60;
@@ -181,7 +181,7 @@
     text(
       getColumnX(layout, index),
       y,
-      `+${formatMs(getWallMs(event.at) - firstMs)}`,
+      `+${formatDuration(getWallMs(event.at) - firstMs)}`,
       'font-size="10" fill="#57606a" text-anchor="middle"',
     )
   );
@@ -196,8 +196,11 @@
     describeEvent(event)
   );
   if (total === shown.length) return lines;
-  const left = total - shown.length;
-  return [...lines, `${left} later events are left out; narrow the filters`];
+  const omittedCount = total - shown.length;
+  return [
+    ...lines,
+    `${omittedCount} later events are left out; narrow the filters`,
+  ];
 }
 
 function getColor(event: TimelineEvent): string {
--- a/src/timeline/recorder.ts
+++ b/src/timeline/recorder.ts
@@ -18,7 +18,7 @@
 /** The recorder of a process, which loses its oldest events when it is full. */
 export interface RingRecorder extends Recorder {
   /** Stamp of the newest event that the ring has lost; 0 for none. */
-  getLost(): number;
+  getNewestLostStamp(): number;
 }
 
 /** What the recorder needs of the process. */
@@ -35,21 +35,21 @@
   capacity: number,
 ): RingRecorder {
   const ring: TimelineEvent[] = [];
-  let next = 0;
-  let lost = 0;
+  let nextIndex = 0;
+  let newestLostStamp = 0;
 
   return {
     record(body) {
       const event = { ...body, at: host.hybridClock.tick(), host: host.id };
-      lost = ring[next]?.at ?? lost;
-      ring[next] = event;
-      next = (next + 1) % capacity;
+      newestLostStamp = ring[nextIndex]?.at ?? newestLostStamp;
+      ring[nextIndex] = event;
+      nextIndex = (nextIndex + 1) % capacity;
       host.onEvent?.(event);
     },
     getSince(stamp) {
-      const inOrder = [...ring.slice(next), ...ring.slice(0, next)];
-      return inOrder.filter((event) => event.at > stamp);
+      const ordered = [...ring.slice(nextIndex), ...ring.slice(0, nextIndex)];
+      return ordered.filter((event) => event.at > stamp);
     },
-    getLost: () => lost,
+    getNewestLostStamp: () => newestLostStamp,
   };
 }
--- a/src/timeline/story.ts
+++ b/src/timeline/story.ts
@@ -6,17 +6,17 @@
  */
 
 import { getWallMs } from "../core/mod.ts";
-import { describeEvent, formatMs, formatTime } from "./describe.ts";
+import { describeEvent, formatDuration, formatTime } from "./describe.ts";
 import type { EventKind, TimelineEvent } from "./types.ts";
 
 /** The events of one request in causal order. */
 export interface RequestStory {
   readonly request: string;
-  readonly own: readonly TimelineEvent[];
+  readonly ownEvents: readonly TimelineEvent[];
   /** Own events together with those that bear on them. */
-  readonly all: readonly TimelineEvent[];
+  readonly allEvents: readonly TimelineEvent[];
   /** Dispatches on a slot that the host had kept from before the request. */
-  readonly onKeptSlot: ReadonlySet<TimelineEvent>;
+  readonly dispatchesOnKeptSlots: ReadonlySet<TimelineEvent>;
 }
 
 /** Kinds that bear on a request without naming it, beside its grants. */
@@ -34,11 +34,11 @@
 /** Ids of the requests that start with the text, in order of appearance. */
 export function findRequests(
   events: readonly TimelineEvent[],
-  start: string,
+  idPrefix: string,
 ): readonly string[] {
   const found = new Set<string>();
   for (const event of events) {
-    if ("request" in event && event.request.startsWith(start)) {
+    if ("request" in event && event.request.startsWith(idPrefix)) {
       found.add(event.request);
     }
   }
@@ -63,22 +63,22 @@
   const all = new Set([...own, ...grants, ...context]);
   return {
     request,
-    own,
-    all: events.filter((event) => all.has(event)),
-    onKeptSlot,
+    ownEvents: own,
+    allEvents: events.filter((event) => all.has(event)),
+    dispatchesOnKeptSlots: onKeptSlot,
   };
 }
 
 /** The story as sentences, one a line, with a summary at the end. */
 export function explainStory(story: RequestStory): readonly string[] {
-  const [first] = story.own;
+  const [first] = story.ownEvents;
   if (first === undefined) return [];
-  const lines = story.all.map((event) => {
+  const lines = story.allEvents.map((event) => {
     const afterMs = getWallMs(event.at) - getWallMs(first.at);
     const sign = afterMs < 0 ? "-" : "+";
-    const offset = `${sign}${formatMs(Math.abs(afterMs))}`.padStart(9);
+    const offset = `${sign}${formatDuration(Math.abs(afterMs))}`.padStart(9);
     const time = formatTime(event.at);
-    const kept = story.onKeptSlot.has(event)
+    const kept = story.dispatchesOnKeptSlots.has(event)
       ? ", which the host had kept while nobody else wanted it"
       : "";
     return `${time} ${offset}  ${event.host}: ${describeEvent(event)}${kept}`;
@@ -87,15 +87,19 @@
 }
 
 function summarize(story: RequestStory): string {
-  const first = story.own[0]!;
-  const last = story.own.findLast((event) => event.kind === "request-ended");
+  const first = story.ownEvents[0]!;
+  const last = story.ownEvents.findLast((event) =>
+    event.kind === "request-ended"
+  );
   if (last?.kind === "request-ended") {
     const tookMs = getWallMs(last.at) - getWallMs(first.at);
-    const sends = story.own.filter(isDispatch).length;
-    return `It ended as ${last.outcome} after ${formatMs(tookMs)}, ` +
+    const sends = story.ownEvents.filter(isDispatch).length;
+    return `It ended as ${last.outcome} after ${formatDuration(tookMs)}, ` +
       `sent to upstreams ${formatTimes(sends)}.`;
   }
-  const refused = story.own.find((event) => event.kind === "request-refused");
+  const refused = story.ownEvents.find((event) =>
+    event.kind === "request-refused"
+  );
   if (refused !== undefined) return "It was refused and did not run.";
   return `No host knows its end: it is under way, or ${first.host} is gone.`;
 }
--- a/src/timeline/timeline_test.ts
+++ b/src/timeline/timeline_test.ts
@@ -4,7 +4,7 @@
 import fc from "fast-check";
 import { createHybridClock, createManualClock } from "../core/mod.ts";
 import { fromQuery, matchesFilter, toQuery } from "./filter.ts";
-import { createLanesSvg, MAX_EVENTS_SHOWN } from "./lanes_svg.ts";
+import { createLanesSvg, MAX_DRAWN_EVENTS } from "./lanes_svg.ts";
 import { mergeEvents } from "./merge.ts";
 import { createRecorder } from "./recorder.ts";
 import { explainStory, findRequests, getRequestStory } from "./story.ts";
@@ -24,12 +24,12 @@
   });
 }
 
-function createDraining(reason: string): EventBody {
+function createDrainingEvent(reason: string): EventBody {
   return { kind: "host-draining", reason };
 }
 
 /** A request that waits, is shifted, fails once and ends on its second run. */
-function createRun(): readonly TimelineEvent[] {
+function createRetriedRequest(): readonly TimelineEvent[] {
   const [entry, owner] = createHosts([0, 0]);
   const { recorder } = entry!;
   const team = "yaba-care-home";
@@ -122,9 +122,9 @@
     messages.forEach(([from, to, ms], index) => {
       const sender = hosts[from % hosts.length]!;
       const receiver = hosts[to % hosts.length]!;
-      sender.recorder.record(createDraining(`sent ${index}`));
+      sender.recorder.record(createDrainingEvent(`sent ${index}`));
       receiver.hybridClock.receive(sender.hybridClock.tick());
-      receiver.recorder.record(createDraining(`received ${index}`));
+      receiver.recorder.record(createDrainingEvent(`received ${index}`));
       sender.clock.advance(ms);
     });
     const lists = hosts.map((host) => host.recorder.getSince(0));
@@ -143,13 +143,13 @@
 });
 
 test("a message's receipt stands after its sending", () => {
-  const [early, late] = createHosts([0, 5_000]);
-  late!.recorder.record(createDraining("cause"));
-  early!.hybridClock.receive(late!.hybridClock.tick());
-  early!.recorder.record(createDraining("effect"));
+  const [slow, fast] = createHosts([0, 5_000]);
+  fast!.recorder.record(createDrainingEvent("cause"));
+  slow!.hybridClock.receive(fast!.hybridClock.tick());
+  slow!.recorder.record(createDrainingEvent("effect"));
   const merged = mergeEvents([
-    early!.recorder.getSince(0),
-    late!.recorder.getSince(0),
+    slow!.recorder.getSince(0),
+    fast!.recorder.getSince(0),
   ]);
   deepStrictEqual(merged.map((event) => event.host), ["entry-2", "entry-1"]);
 });
@@ -158,17 +158,20 @@
   const clock = createManualClock(1);
   const hybridClock = createHybridClock(clock);
   const recorder = createRecorder({ id: "entry-1", hybridClock }, 2);
-  recorder.record(createDraining("one"));
-  recorder.record(createDraining("two"));
-  deepStrictEqual(recorder.getLost(), 0);
-  recorder.record(createDraining("three"));
+  recorder.record(createDrainingEvent("one"));
+  recorder.record(createDrainingEvent("two"));
+  deepStrictEqual(recorder.getNewestLostStamp(), 0);
+  recorder.record(createDrainingEvent("three"));
   const kept = recorder.getSince(0);
   deepStrictEqual(kept.length, 2);
-  ok(recorder.getLost() > 0 && recorder.getLost() < kept[0]!.at);
+  ok(
+    recorder.getNewestLostStamp() > 0 &&
+      recorder.getNewestLostStamp() < kept[0]!.at,
+  );
 });
 
 test("a filter means the same on both sides of the wire", () => {
-  const events = createRun();
+  const events = createRetriedRequest();
   const filters = [
     {},
     { request: REQUEST.slice(0, 8) },
@@ -181,16 +184,16 @@
   ];
   const counts = filters.map((filter) => {
     const read = fromQuery(new URLSearchParams(toQuery(filter)));
-    const here = events.filter((event) => matchesFilter(event, filter));
-    const there = events.filter((event) => matchesFilter(event, read));
-    deepStrictEqual(there, here);
-    return here.length;
+    const local = events.filter((event) => matchesFilter(event, filter));
+    const remote = events.filter((event) => matchesFilter(event, read));
+    deepStrictEqual(remote, local);
+    return local.length;
   });
   deepStrictEqual(counts, [10, 7, 1, 4, 2, 2, 8, 1]);
 });
 
 test("the story of a request reads as accepted", () => {
-  const events = createRun();
+  const events = createRetriedRequest();
   deepStrictEqual(findRequests(events, "5f0c"), [REQUEST, OTHER]);
   const file = "../../src/testing/baselines/explain_retried_request.txt";
   const accepted = readFileSync(new URL(file, import.meta.url), "utf8");
@@ -202,7 +205,7 @@
 });
 
 test("a dispatch without a grant of its time ran on a kept slot", () => {
-  const events = createRun().filter((event) =>
+  const events = createRetriedRequest().filter((event) =>
     event.kind !== "slot-granted" || event.upstream !== "drafting-model-3"
   );
   const text = explainStory(getRequestStory(events, REQUEST)).join("\n");
@@ -211,13 +214,13 @@
 });
 
 test("a picture has a lane for each process and a line for each event", () => {
-  const events = createRun();
+  const events = createRetriedRequest();
   const svg = createLanesSvg(events, "a <b> & c");
   for (const lane of ["entry-1", "entry-2", "drafting-model-3"]) {
     deepStrictEqual(svg.split(`>${lane}</text>`).length, 2, lane);
   }
   deepStrictEqual(svg.split("<circle").length - 1, events.length);
   ok(svg.includes("a &lt;b&gt; &amp; c"));
-  const many = Array.from({ length: MAX_EVENTS_SHOWN + 5 }, () => events[0]!);
+  const many = Array.from({ length: MAX_DRAWN_EVENTS + 5 }, () => events[0]!);
   ok(createLanesSvg(many, "").includes("5 later events are left out"));
 });
