--- a/src/timeline/story.ts
+++ b/src/timeline/story.ts
@@ -50,22 +50,22 @@
   events: readonly TimelineEvent[],
   request: string,
 ): RequestStory {
-  const own = events.filter((event) =>
+  const ownEvents = events.filter((event) =>
     "request" in event && event.request === request
   );
-  const onKeptSlot = new Set<TimelineEvent>();
-  const grants = own.filter(isDispatch).flatMap((dispatch) => {
-    const grant = tryGetGrant(events, dispatch, own[0]!);
-    if (grant === undefined) onKeptSlot.add(dispatch);
+  const dispatchesOnKeptSlots = new Set<TimelineEvent>();
+  const grants = ownEvents.filter(isDispatch).flatMap((dispatch) => {
+    const grant = tryGetGrant(events, dispatch, ownEvents[0]!);
+    if (grant === undefined) dispatchesOnKeptSlots.add(dispatch);
     return grant ?? [];
   });
-  const context = getContext(events, own);
-  const all = new Set([...own, ...grants, ...context]);
+  const context = getContext(events, ownEvents);
+  const all = new Set([...ownEvents, ...grants, ...context]);
   return {
     request,
-    ownEvents: own,
+    ownEvents: ownEvents,
     allEvents: events.filter((event) => all.has(event)),
-    dispatchesOnKeptSlots: onKeptSlot,
+    dispatchesOnKeptSlots: dispatchesOnKeptSlots,
   };
 }
 
@@ -95,7 +95,7 @@
     const tookMs = getWallMs(last.at) - getWallMs(first.at);
     const sends = story.ownEvents.filter(isDispatch).length;
     return `It ended as ${last.outcome} after ${formatDuration(tookMs)}, ` +
-      `sent to upstreams ${formatTimes(sends)}.`;
+      `sent to upstreams ${formatRepetitions(sends)}.`;
   }
   const refused = story.ownEvents.find((event) =>
     event.kind === "request-refused"
@@ -104,7 +104,7 @@
   return `No host knows its end: it is under way, or ${first.host} is gone.`;
 }
 
-function formatTimes(count: number): string {
+function formatRepetitions(count: number): string {
   if (count === 0) return "never";
   return count === 1 ? "once" : `${count} times`;
 }
@@ -129,13 +129,13 @@
 /** Changes of its hosts and upstreams between its first and last event. */
 function getContext(
   events: readonly TimelineEvent[],
-  own: readonly TimelineEvent[],
+  ownEvents: readonly TimelineEvent[],
 ): readonly TimelineEvent[] {
-  const from = own[0]?.at ?? 0;
-  const to = own.at(-1)?.at ?? 0;
-  const hosts = new Set(own.map((event) => event.host));
+  const from = ownEvents[0]?.at ?? 0;
+  const to = ownEvents.at(-1)?.at ?? 0;
+  const hosts = new Set(ownEvents.map((event) => event.host));
   const upstreams = new Set(
-    own.map((event) => "upstream" in event ? event.upstream : ""),
+    ownEvents.map((event) => "upstream" in event ? event.upstream : ""),
   );
   return events.filter((event) => {
     if (event.at < from || event.at > to) return false;
--- a/src/timeline/timeline_test.ts
+++ b/src/timeline/timeline_test.ts
@@ -183,9 +183,9 @@
     { untilMs: 1_767_225_601_000, after: events[0]!.at },
   ];
   const counts = filters.map((filter) => {
-    const read = fromQuery(new URLSearchParams(toQuery(filter)));
+    const parsed = fromQuery(new URLSearchParams(toQuery(filter)));
     const local = events.filter((event) => matchesFilter(event, filter));
-    const remote = events.filter((event) => matchesFilter(event, read));
+    const remote = events.filter((event) => matchesFilter(event, parsed));
     deepStrictEqual(remote, local);
     return local.length;
   });
