--- a/src/timeline/describe.ts
+++ b/src/timeline/describe.ts
@@ -1,5 +1,5 @@
 /**
- * Events as sentences for operators and buyers.
+ * Describes events in sentences for operators.
  *
  * @module
  */
@@ -7,30 +7,28 @@
 import { getWallMs } from "../core/mod.ts";
 import type { TimelineEvent } from "./types.ts";
 
-/** The event as one sentence without time and host. */
+/** Describes an event in one sentence, without its time and host. */
 export function describeEvent(event: TimelineEvent): string {
   switch (event.kind) {
     case "request-admitted":
       return `Admitted a request of ${event.team} for ${event.service}: ` +
-        `${
-          formatRequestCount(event.queued)
-        } of the team waited for it here, below ` +
-        "the team's limit, and the expected wait fitted the deadline";
+        `the team had ${formatRequestCount(event.queued)} queued here, below ` +
+        "its limit, and the expected wait fitted the deadline";
     case "request-refused":
       return `Refused a request of ${event.team} as not run: ` +
-        `${describeRefusal(event.reason)}; it may come again in ` +
+        `${describeRefusal(event.reason)}; the caller may retry in ` +
         formatDuration(event.retryAfterMs);
     case "slot-granted":
       return `Granted a slot of ${event.upstream} to ${event.team} at ` +
-        `${event.to}: of the teams that waited it had the least service for ` +
-        `its weight, with a counter of ${formatNumber(event.counter)}`;
+        `${event.to}: of the waiting teams it had the least service for its ` +
+        `weight, with a counter of ${formatNumber(event.counter)}`;
     case "request-dispatched":
       return `Sent the request of ${event.team} to ${event.upstream} after ` +
         `it had waited ${formatDuration(event.waitedMs)} for a slot`;
     case "request-shifted":
       return `Shifted a request of ${event.team}: ${event.reason}`;
     case "request-retried":
-      return `Let a request of ${event.team} run again` +
+      return `Allowed a retry of a request of ${event.team}` +
         `${event.upstream === "" ? "" : ` after ${event.upstream}`}: ` +
         event.reason;
     case "stream-resumed":
@@ -47,9 +45,9 @@
       return `Changed the limit of ${event.upstream} to ${event.limit} ` +
         `requests in flight: ${event.reason}`;
     case "member-changed":
-      return `Took host ${event.member} for ${event.state}`;
+      return `Recorded host ${event.member} as ${event.state}`;
     case "owner-changed":
-      return `Took ${event.owner} for the owner of the slots of ` +
+      return `Recorded ${event.owner} as the owner of the slots of ` +
         event.upstream;
     case "config-in-force":
       return `Put version ${event.version} of the configuration in force ` +
@@ -61,16 +59,16 @@
       return `Order "${event.order}" for ${event.upstream} with fencing ` +
         `token ${event.token}: ${event.decision}`;
     case "host-draining":
-      return `Drains: ${describeDrain(event.reason)}`;
+      return `Draining: ${describeDrain(event.reason)}`;
     default:
-      // The compiler proves that no kind is left, but a host that runs a newer
-      // program may send one, and the rest of the time line must still show.
+      // All kinds are handled, but a host that runs a newer program may send an
+      // unknown one, and the other events must still be shown.
       event satisfies never;
       return describeFields(event);
   }
 }
 
-/** The event as one line with time, host, kind and sentence. */
+/** Formats an event as one line with time, host, kind and sentence. */
 export function formatEvent(event: TimelineEvent): string {
   const time = formatTime(event.at);
   const request = tryGetRequest(event);
@@ -80,17 +78,17 @@
     `${describeEvent(event)}${id}`;
 }
 
-/** The wall time of a stamp as HH:MM:SS.mmm, in UTC. */
+/** Formats the wall time of a timestamp as HH:MM:SS.mmm, in UTC. */
 export function formatTime(stamp: number): string {
   return new Date(getWallMs(stamp)).toISOString().slice(11, 23);
 }
 
-/** The request that the event is about, if any. */
+/** The id of the request that the event is about, if any. */
 export function tryGetRequest(event: TimelineEvent): string | undefined {
   return "request" in event ? event.request : undefined;
 }
 
-/** A time in the unit that reads best. */
+/** Formats a duration in milliseconds, or from 10 s up in seconds. */
 export function formatDuration(ms: number): string {
   return ms < 10_000 ? `${Math.round(ms)} ms` : `${formatNumber(ms / 1000)} s`;
 }
@@ -98,11 +96,11 @@
 function describeRefusal(reason: string): string {
   switch (reason) {
     case "draining":
-      return "the host is leaving";
+      return "the host is draining";
     case "queue-full":
-      return "the team has as many requests waiting here as it may";
+      return "the team's queue at this host is full";
     case "host-full":
-      return "the host holds as many waiting requests as it may";
+      return "all queues of this host together are full";
     case "deadline-unreachable":
       return "the expected wait is longer than its deadline allows";
     default:
@@ -113,13 +111,13 @@
 function describeClaim(decision: string): string {
   switch (decision) {
     case "claimed":
-      return "claimed its idempotency key, so that it runs here alone";
+      return "claimed its idempotency key, so that only this host runs it";
     case "ended":
-      return "its idempotency key has an end on record, which is the answer";
+      return "the result recorded for its idempotency key is the response";
     case "under-way":
-      return "another send of it holds the claim, so that it does not run here";
+      return "another attempt of it holds the claim, so that this one does not run";
     case "unknown":
-      return "an earlier send of it may have run, so that it does not run again";
+      return "an earlier attempt may have run, so that it does not run again";
     case "other-content":
       return "its idempotency key was used for other content";
     case "unavailable":
@@ -132,11 +130,11 @@
 function describeDrain(phase: string): string {
   switch (phase) {
     case "leaving":
-      return "told the other hosts; still serves who was sent here before";
+      return "announced to the other hosts; new requests are still served";
     case "refusing":
-      return "refuses new requests and serves those that it has";
+      return "refuses new requests and completes the admitted ones";
     case "giving-up":
-      return "gives up what still waits, as not run";
+      return "rejects the requests that are still queued, as not run";
     case "ended":
       return "ended";
     default:
@@ -144,7 +142,7 @@
   }
 }
 
-/** An event of a kind that this program doesn't know: its fields. */
+/** Lists the fields of an event whose kind this program does not know. */
 function describeFields(event: object): string {
   const fields = Object.entries(event)
     .filter(([key]) => !["kind", "at", "host", "request"].includes(key));
--- a/src/timeline/filter.ts
+++ b/src/timeline/filter.ts
@@ -1,6 +1,6 @@
 /**
- * Which events of the time line are asked for. Hosts filter before they answer,
- * so that a question about one request moves few bytes.
+ * Filters of timeline queries. Hosts filter their events before they answer, so
+ * that a query about one request transfers few bytes.
  *
  * @module
  */
@@ -8,24 +8,24 @@
 import { COUNTER_RANGE } from "../core/mod.ts";
 import type { TimelineEvent } from "./types.ts";
 
-/** Conditions that all hold for an event that is asked for. */
+/** Conditions that an event must all meet. */
 export interface EventFilter {
-  /** Start of the request's id. */
+  /** The request's id or a prefix of it. */
   readonly request?: string | undefined;
   readonly team?: string | undefined;
   readonly upstream?: string | undefined;
   readonly host?: string | undefined;
-  /** Any of these. */
+  /** Any of these kinds. */
   readonly kinds?: readonly string[] | undefined;
-  /** Wall milliseconds, included. */
+  /** Wall milliseconds, inclusive. */
   readonly sinceMs?: number | undefined;
-  /** Wall milliseconds, not included. */
+  /** Wall milliseconds, exclusive. */
   readonly untilMs?: number | undefined;
-  /** Only events after this stamp. */
+  /** Only events after this timestamp. */
   readonly after?: number | undefined;
 }
 
-/** Tells whether the event is asked for. */
+/** Whether the event meets all conditions of the filter. */
 export function matchesFilter(
   event: TimelineEvent,
   filter: EventFilter,
@@ -46,7 +46,7 @@
   return event.at > (filter.after ?? 0);
 }
 
-/** The filter as a query of `/ops/timeline`. */
+/** Encodes a filter as a query of `/ops/timeline`. */
 export function toQuery(filter: EventFilter): string {
   const query = new URLSearchParams();
   for (const [key, value] of Object.entries(filter)) {
@@ -55,7 +55,7 @@
   return query.toString();
 }
 
-/** The filter of a query of `/ops/timeline`. */
+/** Decodes the filter of a query of `/ops/timeline`. */
 export function fromQuery(query: URLSearchParams): EventFilter {
   const text = (key: string) => query.get(key) ?? undefined;
   const number = (key: string) =>
--- a/src/timeline/lanes_svg.ts
+++ b/src/timeline/lanes_svg.ts
@@ -1,11 +1,11 @@
 /**
- * A picture of the time line: a lane for each process, a column for each event
- * in causal order, arrows to the process that an event is for, and below the
- * lanes a numbered list of what happened.
+ * Draws a timeline as SVG: a lane for each process, a column for each event in
+ * causal order, an arrow to the process that the event affects, and below the
+ * lanes a numbered list of the events.
  *
- * Columns are evenly wide, whatever time lies between them: most events of a
- * request come within a few milliseconds, and on a true scale they would lie
- * on each other. The time stands under each column.
+ * All columns have the same width. Most events of a request are a few
+ * milliseconds apart, so that on a true time scale they would overlap. The time
+ * of each event is printed below its column.
  *
  * @module
  */
@@ -14,7 +14,7 @@
 import { describeEvent, formatDuration, formatTime } from "./describe.ts";
 import type { EventKind, TimelineEvent } from "./types.ts";
 
-/** More columns can't be read; later events are left out and counted. */
+/** More columns are not legible; later events are left out and counted. */
 export const MAX_DRAWN_EVENTS = 60;
 
 const LANE_HEIGHT = 44;
@@ -37,11 +37,11 @@
 
 interface Layout {
   readonly lanes: readonly string[];
-  /** Where the lanes begin, right of their names. */
+  /** X coordinate at which the lanes begin, right of their names. */
   readonly left: number;
 }
 
-/** Makes the text of an SVG file. */
+/** Makes the text of an SVG file that shows the events. */
 export function createLanesSvg(
   events: readonly TimelineEvent[],
   title: string,
@@ -80,7 +80,7 @@
   ].join("\n");
 }
 
-/** Hosts first, then what else events point at, each in order of names. */
+/** Names the lanes: hosts first, then other targets of events, each sorted. */
 function getLanes(events: readonly TimelineEvent[]): readonly string[] {
   const hosts = new Set(events.map((event) => event.host));
   const others = new Set(events.flatMap((event) => tryGetTarget(event) ?? []));
@@ -88,7 +88,7 @@
   return [...[...hosts].sort(), ...[...others].sort()];
 }
 
-/** The process that the event is for, when it is another one. */
+/** The process that the event affects; can be its own host. */
 function tryGetTarget(event: TimelineEvent): string | undefined {
   switch (event.kind) {
     case "slot-granted":
--- a/src/timeline/mod.ts
+++ b/src/timeline/mod.ts
@@ -1,6 +1,6 @@
 /**
- * The time line: typed events of every decision, kept in memory, merged over
- * all processes and shown as lines, sentences or a picture.
+ * The timeline: typed events of every decision, which are kept in memory,
+ * merged from all processes, and shown as lines, sentences or a picture.
  *
  * @module
  */
--- a/src/timeline/recorder.ts
+++ b/src/timeline/recorder.ts
@@ -1,6 +1,7 @@
 /**
- * Keeps the newest events of this process in memory. The hosts have no disk, so
- * the ring is all there is; its size bounds the memory whatever the load.
+ * Keeps the newest events of this process in a ring buffer. The hosts have no
+ * disk, so older events are lost; the size of the buffer bounds the memory
+ * under any load.
  *
  * @module
  */
@@ -8,28 +9,28 @@
 import type { HybridClock } from "../core/mod.ts";
 import type { EventBody, TimelineEvent } from "./types.ts";
 
-/** Takes in the events of one process. */
+/** Records the events of one process. */
 export interface Recorder {
   record(body: EventBody): void;
-  /** Events after the stamp given, oldest first. */
+  /** Events after the given timestamp, oldest first. */
   getSince(stamp: number): readonly TimelineEvent[];
 }
 
-/** The recorder of a process, which loses its oldest events when it is full. */
+/** A recorder that overwrites its oldest events when it is full. */
 export interface RingRecorder extends Recorder {
-  /** Stamp of the newest event that the ring has lost; 0 for none. */
+  /** Timestamp of the newest overwritten event; 0 for none. */
   getNewestLostStamp(): number;
 }
 
-/** What the recorder needs of the process. */
+/** Dependencies of the recorder that the process provides. */
 export interface RecorderHost {
   readonly id: string;
   readonly hybridClock: HybridClock;
-  /** Tells metrics of each event. */
+  /** Called with each event, to count it in metrics. */
   onEvent?(event: TimelineEvent): void;
 }
 
-/** Makes a recorder that keeps the newest events up to the capacity. */
+/** Makes a recorder; `capacity` is the number of events that it keeps. */
 export function createRecorder(
   host: RecorderHost,
   capacity: number,
--- a/src/timeline/story.ts
+++ b/src/timeline/story.ts
@@ -1,6 +1,7 @@
 /**
- * All events that bear on one request: its own, the grants that gave it slots,
- * and what happened meanwhile to the upstreams and hosts that it met.
+ * Collects the events that concern one request: its own, the grants of the
+ * slots that it used, and the changes of its upstreams and hosts in the
+ * meantime.
  *
  * @module
  */
@@ -9,17 +10,17 @@
 import { describeEvent, formatDuration, formatTime } from "./describe.ts";
 import type { EventKind, TimelineEvent } from "./types.ts";
 
-/** The events of one request in causal order. */
+/** The events that concern one request, in causal order. */
 export interface RequestStory {
   readonly request: string;
   readonly ownEvents: readonly TimelineEvent[];
-  /** Own events together with those that bear on them. */
+  /** The request's own events and the related ones. */
   readonly allEvents: readonly TimelineEvent[];
-  /** Dispatches on a slot that the host had kept from before the request. */
+  /** Dispatches that used a slot which the host had kept from earlier use. */
   readonly dispatchesOnKeptSlots: ReadonlySet<TimelineEvent>;
 }
 
-/** Kinds that bear on a request without naming it, beside its grants. */
+/** Kinds of related events that do not contain the request's id. */
 export const contextKinds: readonly EventKind[] = [
   "limit-changed",
   "owner-changed",
@@ -31,7 +32,7 @@
 
 type Dispatch = Extract<TimelineEvent, { kind: "request-dispatched" }>;
 
-/** Ids of the requests that start with the text, in order of appearance. */
+/** The request ids that start with the prefix, in order of appearance. */
 export function findRequests(
   events: readonly TimelineEvent[],
   idPrefix: string,
@@ -45,7 +46,7 @@
   return [...found];
 }
 
-/** Collects the story; the events given are merged already. */
+/** Collects the story of a request from events that are already merged. */
 export function getRequestStory(
   events: readonly TimelineEvent[],
   request: string,
@@ -69,7 +70,7 @@
   };
 }
 
-/** The story as sentences, one a line, with a summary at the end. */
+/** Describes a story in sentences, one a line, with a summary at the end. */
 export function explainStory(story: RequestStory): readonly string[] {
   const [first] = story.ownEvents;
   if (first === undefined) return [];
@@ -79,7 +80,7 @@
     const offset = `${sign}${formatDuration(Math.abs(afterMs))}`.padStart(9);
     const time = formatTime(event.at);
     const kept = story.dispatchesOnKeptSlots.has(event)
-      ? ", which the host had kept while nobody else wanted it"
+      ? ", which the host had kept while no other host wanted it"
       : "";
     return `${time} ${offset}  ${event.host}: ${describeEvent(event)}${kept}`;
   });
@@ -101,7 +102,7 @@
     event.kind === "request-refused"
   );
   if (refused !== undefined) return "It was refused and did not run.";
-  return `No host knows its end: it is under way, or ${first.host} is gone.`;
+  return `Its end is not known: it is still running, or ${first.host} is gone.`;
 }
 
 function formatRepetitions(count: number): string {
@@ -110,8 +111,9 @@
 }
 
 /**
- * The grant that the dispatch used: the last one between the first event of the
- * request and the dispatch that fits. None: an earlier one, of a kept slot.
+ * Finds the grant that the dispatch used: the last matching one between the
+ * first event of the request and the dispatch. Without one, the host used a
+ * kept slot, which was granted before the request.
  */
 function tryGetGrant(
   events: readonly TimelineEvent[],
@@ -126,7 +128,7 @@
   );
 }
 
-/** Changes of its hosts and upstreams between its first and last event. */
+/** Changes of the request's hosts and upstreams between its events. */
 function getContext(
   events: readonly TimelineEvent[],
   ownEvents: readonly TimelineEvent[],
--- a/src/timeline/timeline_test.ts
+++ b/src/timeline/timeline_test.ts
@@ -13,7 +13,7 @@
 const REQUEST = "5f0c3a52-0000-4000-8000-000000000001";
 const OTHER = "5f0c3a52-0000-4000-8000-000000000002";
 
-/** Hosts with clocks of their own that send each other messages. */
+/** Makes hosts whose wall clocks differ by the given offsets. */
 function createHosts(offsetsMs: readonly number[]) {
   return offsetsMs.map((offsetMs, index) => {
     const clock = createManualClock(1_767_225_600_000 + offsetMs);
@@ -28,7 +28,7 @@
   return { kind: "host-draining", reason };
 }
 
-/** A request that waits, is shifted, fails once and ends on its second run. */
+/** Records a request that waits, is shifted, fails once and then succeeds. */
 function createRetriedRequest(): readonly TimelineEvent[] {
   const [entry, owner] = createHosts([0, 0]);
   const { recorder } = entry!;
@@ -105,11 +105,11 @@
 }
 
 /**
- * Two hosts' wall clocks differ by seconds. Sorted by wall time, a grant would
- * stand after the dispatch that it allowed, and the reader would draw the wrong
- * conclusion. Stamps that travel with messages keep the order.
+ * The wall clocks of two hosts differ by seconds. In the order of wall time, a
+ * grant would follow the dispatch that it allowed. Timestamps that are sent
+ * with messages keep the causal order.
  */
-test("an effect never stands before its cause, whatever the clocks say", () => {
+test("an effect never precedes its cause, however the wall clocks differ", () => {
   const offsets = fc.array(fc.integer({ min: -60_000, max: 60_000 }), {
     minLength: 2,
     maxLength: 5,
@@ -142,7 +142,7 @@
   }));
 });
 
-test("a message's receipt stands after its sending", () => {
+test("the receipt of a message follows its sending", () => {
   const [slow, fast] = createHosts([0, 5_000]);
   fast!.recorder.record(createDrainingEvent("cause"));
   slow!.hybridClock.receive(fast!.hybridClock.tick());
@@ -154,7 +154,7 @@
   deepStrictEqual(merged.map((event) => event.host), ["entry-2", "entry-1"]);
 });
 
-test("a full ring loses its oldest events and says so", () => {
+test("a full recorder overwrites its oldest events and reports the loss", () => {
   const clock = createManualClock(1);
   const hybridClock = createHybridClock(clock);
   const recorder = createRecorder({ id: "entry-1", hybridClock }, 2);
@@ -170,7 +170,7 @@
   );
 });
 
-test("a filter means the same on both sides of the wire", () => {
+test("a filter selects the same events after it is sent as a query", () => {
   const events = createRetriedRequest();
   const filters = [
     {},
@@ -192,7 +192,7 @@
   deepStrictEqual(counts, [10, 7, 1, 4, 2, 2, 8, 1]);
 });
 
-test("the story of a request reads as accepted", () => {
+test("the explanation of a request matches the baseline", () => {
   const events = createRetriedRequest();
   deepStrictEqual(findRequests(events, "5f0c"), [REQUEST, OTHER]);
   const file = "../../src/testing/baselines/explain_retried_request.txt";
@@ -204,7 +204,7 @@
   deepStrictEqual(lines.join("\n"), accepted);
 });
 
-test("a dispatch without a grant of its time ran on a kept slot", () => {
+test("a dispatch without a grant during the request used a kept slot", () => {
   const events = createRetriedRequest().filter((event) =>
     event.kind !== "slot-granted" || event.upstream !== "drafting-model-3"
   );
--- a/src/timeline/types.ts
+++ b/src/timeline/types.ts
@@ -1,13 +1,13 @@
 /**
- * The events of the time line. Each decision and each step of a request is one
- * typed event; `azurestile-timeline` merges those of all processes.
+ * The events of the timeline. Each decision and each step of a request is one
+ * typed event; `azurestile-timeline` merges the events of all processes.
  *
  * @module
  */
 
 import type { Outcome } from "../types.ts";
 
-/** What happened, without time and place. */
+/** An event without its time and host. */
 export type EventBody =
   | {
     readonly kind: "request-admitted";
@@ -106,9 +106,9 @@
   }
   | { readonly kind: "host-draining"; readonly reason: string };
 
-/** An event with its place in time. */
+/** An event with its time and host. */
 export type TimelineEvent = EventBody & {
-  /** Hybrid logical clock stamp. */
+  /** Timestamp of the hybrid logical clock. */
   readonly at: number;
   readonly host: string;
 };
