--- a/src/commands/replay.ts
+++ b/src/commands/replay.ts
@@ -9,8 +9,8 @@
 import {
   checkHistory,
   compareWithStatement,
+  documentedLimits,
   parseTrace,
-  statedLimits,
   type Trace,
 } from "../proof/mod.ts";
 import { createUsageError } from "./errors.ts";
@@ -35,7 +35,10 @@
     print(`About: ${trace.stated.about}`);
     print(`Observations: ${trace.history.length}`);
     for (
-      const { promise, atMs, what } of checkHistory(trace.history, statedLimits)
+      const { promise, atMs, what } of checkHistory(
+        trace.history,
+        documentedLimits,
+      )
     ) {
       print(`Broken at ${atMs} ms: ${promise}: ${what}`);
     }
--- a/src/proof/check_control.ts
+++ b/src/proof/check_control.ts
@@ -5,7 +5,7 @@
  */
 
 import { getOrCreate } from "../core/mod.ts";
-import { getOfKind } from "./check_requests.ts";
+import { getByKind } from "./check_requests.ts";
 import type { Observation, PromiseLimits, Violation } from "./types.ts";
 
 /** The version seen at a host never falls, over restarts too. */
@@ -13,16 +13,17 @@
   history: readonly Observation[],
 ): readonly Violation[] {
   const highest = new Map<string, number>();
-  return getOfKind(history, "config-seen").flatMap((seen) => {
+  return getByKind(history, "config-seen").flatMap((seen) => {
     // A host that says it is not ready serves nothing, so it reverts nothing.
     if (seen.version === 0) return [];
-    const before = highest.get(seen.host) ?? 0;
-    highest.set(seen.host, Math.max(before, seen.version));
-    if (seen.version >= before) return [];
+    const highestBefore = highest.get(seen.host) ?? 0;
+    highest.set(seen.host, Math.max(highestBefore, seen.version));
+    if (seen.version >= highestBefore) return [];
     return [{
       promise: "config-never-reverts" as const,
       atMs: seen.atMs,
-      what: `"${seen.host}" went from version ${before} to ${seen.version}`,
+      what:
+        `"${seen.host}" went from version ${highestBefore} to ${seen.version}`,
     }];
   });
 }
@@ -32,20 +33,20 @@
   history: readonly Observation[],
   limits: PromiseLimits,
 ): readonly Violation[] {
-  return getOfKind(history, "config-accepted").flatMap((accepted) => {
-    const late = getOfKind(history, "config-seen").find((seen) => {
+  return getByKind(history, "config-accepted").flatMap((accepted) => {
+    const violating = getByKind(history, "config-seen").find((seen) => {
       if (seen.version >= accepted.version || seen.version === 0) return false;
       const sinceMs = tryGetReachableSince(history, seen.host, seen.atMs);
       if (sinceMs === undefined) return false;
       const startMs = Math.max(accepted.atMs, sinceMs);
       return seen.atMs > startMs + limits.configMs;
     });
-    if (late === undefined) return [];
+    if (violating === undefined) return [];
     return [{
       promise: "config-in-force-in-time" as const,
-      atMs: late.atMs,
-      what: `"${late.host}" had version ${late.version} ${
-        late.atMs - accepted.atMs
+      atMs: violating.atMs,
+      what: `"${violating.host}" had version ${violating.version} ${
+        violating.atMs - accepted.atMs
       } ms after version ${accepted.version} was accepted`,
     }];
   });
@@ -56,7 +57,7 @@
   history: readonly Observation[],
 ): readonly Violation[] {
   const digests = new Map<number, string>();
-  return getOfKind(history, "config-accepted").flatMap((accepted) => {
+  return getByKind(history, "config-accepted").flatMap((accepted) => {
     const { version, digest } = accepted;
     if (getOrCreate(digests, version, () => digest) === digest) return [];
     return [{
@@ -98,7 +99,7 @@
   history: readonly Observation[],
 ): readonly Violation[] {
   const highest = new Map<string, number>();
-  return getOfKind(history, "order-taken").flatMap((order) => {
+  return getByKind(history, "order-taken").flatMap((order) => {
     const before = highest.get(order.upstream) ?? 0;
     highest.set(order.upstream, Math.max(before, order.token));
     if (order.token >= before) return [];
--- a/src/proof/check_requests.ts
+++ b/src/proof/check_requests.ts
@@ -13,7 +13,7 @@
 >;
 
 /** The observations of one kind, in the order of the history. */
-export function getOfKind<K extends Observation["kind"]>(
+export function getByKind<K extends Observation["kind"]>(
   history: readonly Observation[],
   kind: K,
 ): readonly Kind<K>[] {
@@ -24,13 +24,13 @@
 export function checkAtMostOnce(
   history: readonly Observation[],
 ): readonly Violation[] {
-  const once = new Set(
-    getOfKind(history, "request-sent").filter((each) => !each.idempotent)
+  const nonIdempotentWork = new Set(
+    getByKind(history, "request-sent").filter((each) => !each.idempotent)
       .map((each) => each.work),
   );
   const runs = new Map<string, Kind<"upstream-ran">[]>();
-  for (const run of getOfKind(history, "upstream-ran")) {
-    if (!once.has(run.work)) continue;
+  for (const run of getByKind(history, "upstream-ran")) {
+    if (!nonIdempotentWork.has(run.work)) continue;
     getOrCreate(runs, run.work, () => []).push(run);
   }
   return [...runs].filter(([, all]) => all.length > 1).map(([work, all]) => ({
@@ -47,9 +47,9 @@
   history: readonly Observation[],
 ): readonly Violation[] {
   const ran = new Map(
-    getOfKind(history, "upstream-ran").map((run) => [run.request, run]),
+    getByKind(history, "upstream-ran").map((run) => [run.request, run]),
   );
-  return getOfKind(history, "request-ended").flatMap((end) => {
+  return getByKind(history, "request-ended").flatMap((end) => {
     const run = ran.get(end.request);
     if (end.outcome !== "not-run" || end.request === "" || run === undefined) {
       return [];
@@ -63,10 +63,10 @@
 }
 
 /** An answer is whole and the caller's own. */
-export function checkWholeAnswers(
+export function checkCompleteAnswers(
   history: readonly Observation[],
 ): readonly Violation[] {
-  return getOfKind(history, "request-ended")
+  return getByKind(history, "request-ended")
     .filter((end) => end.outcome === "answered" && end.fault !== "")
     .map((end) => ({
       promise: "whole-answer" as const,
@@ -80,11 +80,11 @@
   history: readonly Observation[],
 ): readonly Violation[] {
   const ended = new Set(
-    getOfKind(history, "request-ended")
+    getByKind(history, "request-ended")
       .filter((end) => end.outcome !== "silent")
       .map((end) => end.sending),
   );
-  return getOfKind(history, "request-sent")
+  return getByKind(history, "request-sent")
     .filter((sent) => !ended.has(sent.sending))
     .map((sent) => ({
       promise: "always-ended" as const,
@@ -98,14 +98,14 @@
   history: readonly Observation[],
 ): readonly Violation[] {
   const sentMs = new Map(
-    getOfKind(history, "request-sent").map((each) => [each.sending, each.atMs]),
+    getByKind(history, "request-sent").map((each) => [each.sending, each.atMs]),
   );
-  const cuts = getOfKind(history, "request-ended")
+  const cutConnections = getByKind(history, "request-ended")
     .filter((end) => end.outcome === "cut");
-  return getOfKind(history, "host-asked-to-drain").flatMap((asked) => {
-    const { host, atMs: fromMs } = asked;
+  return getByKind(history, "host-asked-to-drain").flatMap((drain) => {
+    const { host, atMs: fromMs } = drain;
     const untilMs = getNextStartMs(history, host, fromMs);
-    return cuts
+    return cutConnections
       .filter((end) =>
         end.host === host && end.atMs >= fromMs &&
         (sentMs.get(end.sending) ?? Infinity) < untilMs
@@ -124,7 +124,7 @@
   host: string,
   afterMs: number,
 ): number {
-  const next = getOfKind(history, "host-reachable").find((each) =>
+  const next = getByKind(history, "host-reachable").find((each) =>
     each.host === host && each.reachable && each.atMs > afterMs
   );
   return next?.atMs ?? Infinity;
@@ -136,11 +136,11 @@
   limits: PromiseLimits,
 ): readonly Violation[] {
   const byWork = new Map<string, number[]>();
-  for (const crash of getOfKind(history, "upstream-crashed")) {
+  for (const crash of getByKind(history, "upstream-crashed")) {
     getOrCreate(byWork, crash.work, () => []).push(crash.atMs);
   }
   return [...byWork].flatMap(([work, crashesMs]) => {
-    const timesMs = getTimes(crashesMs, limits.crashKnownMs);
+    const timesMs = mergeUnknownCrashes(crashesMs, limits.crashKnownMs);
     const atMs = timesMs[getAllowedCrashes(history, timesMs, limits)];
     if (atMs === undefined) return [];
     return [{
@@ -152,14 +152,14 @@
 }
 
 /** Crashes so close that none could be known at the other are one time. */
-function getTimes(
+function mergeUnknownCrashes(
   crashesMs: readonly number[],
-  knownMs: number,
+  propagationMs: number,
 ): readonly number[] {
   const times: number[] = [];
   for (const atMs of crashesMs) {
     const last = times.at(-1);
-    if (last === undefined || atMs > last + knownMs) times.push(atMs);
+    if (last === undefined || atMs > last + propagationMs) times.push(atMs);
   }
   return times;
 }
@@ -170,36 +170,40 @@
   timesMs: readonly number[],
   limits: PromiseLimits,
 ): number {
-  const wereCut = wereRegionsCut(history, timesMs[0]!, timesMs.at(-1)!);
-  return wereCut ? limits.crashes * 2 : limits.crashes;
+  const werePartitioned = wereRegionsPartitioned(
+    history,
+    timesMs[0]!,
+    timesMs.at(-1)!,
+  );
+  return werePartitioned ? limits.crashes * 2 : limits.crashes;
 }
 
-function wereRegionsCut(
+function wereRegionsPartitioned(
   history: readonly Observation[],
   fromMs: number,
   toMs: number,
 ): boolean {
-  let isCut = false;
-  for (const each of getOfKind(history, "regions-cut")) {
+  let isPartitioned = false;
+  for (const each of getByKind(history, "regions-cut")) {
     if (each.atMs > toMs) break;
-    if (each.atMs >= fromMs && isCut) return true;
-    isCut = each.cut;
+    if (each.atMs >= fromMs && isPartitioned) return true;
+    isPartitioned = each.cut;
   }
-  return isCut;
+  return isPartitioned;
 }
 
 /** The gap between backlogged teams, and waits, keep their bounds. */
 export function checkFairness(
   history: readonly Observation[],
 ): readonly Violation[] {
-  const gaps = getOfKind(history, "gap-seen")
+  const gaps = getByKind(history, "gap-seen")
     .filter((seen) => seen.gap > seen.bound)
     .map((seen) => ({
       promise: "gap-is-bounded" as const,
       atMs: seen.atMs,
       what: `Gap ${seen.gap} at "${seen.service}", bound ${seen.bound}`,
     }));
-  const waits = getOfKind(history, "wait-seen")
+  const waits = getByKind(history, "wait-seen")
     .filter((seen) => seen.waitedMs > seen.boundMs)
     .map((seen) => ({
       promise: "no-team-starves" as const,
--- a/src/proof/checker.ts
+++ b/src/proof/checker.ts
@@ -14,11 +14,11 @@
 import {
   checkAlwaysEnded,
   checkAtMostOnce,
+  checkCompleteAnswers,
   checkCrashes,
   checkDrains,
   checkFairness,
   checkNotRun,
-  checkWholeAnswers,
 } from "./check_requests.ts";
 import type {
   Observation,
@@ -36,7 +36,7 @@
   const violations = [
     ...checkAtMostOnce(ordered),
     ...checkNotRun(ordered),
-    ...checkWholeAnswers(ordered),
+    ...checkCompleteAnswers(ordered),
     ...checkAlwaysEnded(ordered),
     ...checkDrains(ordered),
     ...checkCrashes(ordered, limits),
--- a/src/proof/checker_test.ts
+++ b/src/proof/checker_test.ts
@@ -9,10 +9,10 @@
 import { test } from "node:test";
 import { checkHistory, countByPromise } from "./checker.ts";
 import {
+  documentedLimits,
   type Observation,
   type ObservationBody,
   type PromiseName,
-  statedLimits,
 } from "./types.ts";
 
 function at(atMs: number, body: ObservationBody): Observation {
@@ -65,11 +65,15 @@
   return at(atMs, { kind: "regions-cut", cut });
 }
 
-function getBroken(history: readonly Observation[]): readonly string[] {
-  return Object.keys(countByPromise(checkHistory(history, statedLimits)));
+function getViolatedPromises(
+  history: readonly Observation[],
+): readonly string[] {
+  return Object.keys(countByPromise(checkHistory(history, documentedLimits)));
 }
 
-const broken: Readonly<Record<PromiseName, readonly Observation[]>> = {
+const violatingHistories: Readonly<
+  Record<PromiseName, readonly Observation[]>
+> = {
   "at-most-once": [
     at(0, sent("s1", "w1")),
     at(1, ran("id-of-s1", "w1")),
@@ -90,7 +94,7 @@
   "always-ended": [at(0, sent("s1", "w1"))],
   "leaving-upstream-gets-nothing": [
     at(0, { kind: "upstream-leaving", upstream: "desk-1" }),
-    at(statedLimits.leavingMs + 1, ran("r1", "w1")),
+    at(documentedLimits.leavingMs + 1, ran("r1", "w1")),
   ],
   "drain-cuts-nothing": [
     at(0, sent("s1", "w1")),
@@ -104,7 +108,7 @@
   ],
   "config-in-force-in-time": [
     at(0, { kind: "config-accepted", version: 2, digest: "d2" }),
-    at(statedLimits.configMs + 1, {
+    at(documentedLimits.configMs + 1, {
       kind: "config-seen",
       host: "entry-1",
       version: 1,
@@ -137,32 +141,33 @@
   ],
 };
 
-for (const [promise, history] of Object.entries(broken)) {
+for (const [promise, history] of Object.entries(violatingHistories)) {
   test(`the checker reports a history that breaks "${promise}"`, () => {
-    assert.deepEqual(getBroken(history), [promise]);
+    assert.deepEqual(getViolatedPromises(history), [promise]);
   });
 }
 
 test("the checker reports a connection that stays open without an answer", () => {
   const history = [at(0, sent("s1", "w1")), at(1, ended("s1", "silent"))];
-  assert.deepEqual(getBroken(history), ["always-ended"]);
+  assert.deepEqual(getViolatedPromises(history), ["always-ended"]);
 });
 
 test("crashes that could not be known at each other are one time", () => {
   // Two callers send the same content in the same moment, to two hosts.
   const history = [0, 100, 1_000].map(crashedAt);
-  assert.deepEqual(getBroken(history), []);
+  assert.deepEqual(getViolatedPromises(history), []);
 });
 
 test("regions that can't hear each other count crashes each by itself", () => {
   const crashes = [1_000, 2_000, 3_000, 4_000].map(crashedAt);
-  const during = [cutAt(500, true), ...crashes, cutAt(5_000, false)];
-  assert.deepEqual(getBroken(during), []);
-  assert.deepEqual(getBroken([...during, crashedAt(6_000)]), [
-    "crashes-are-limited",
-  ]);
+  const duringPartition = [cutAt(500, true), ...crashes, cutAt(5_000, false)];
+  assert.deepEqual(getViolatedPromises(duringPartition), []);
+  assert.deepEqual(
+    getViolatedPromises([...duringPartition, crashedAt(6_000)]),
+    ["crashes-are-limited"],
+  );
   const before = [cutAt(100, true), cutAt(500, false), ...crashes];
-  assert.deepEqual(getBroken(before), ["crashes-are-limited"]);
+  assert.deepEqual(getViolatedPromises(before), ["crashes-are-limited"]);
 });
 
 test("a cut long after a drain, by the same host started anew, is no drain's", () => {
@@ -174,7 +179,7 @@
     at(4, { kind: "host-killed", host: "entry-1" }),
     at(5, ended("s1", "cut")),
   ];
-  assert.deepEqual(getBroken(history), []);
+  assert.deepEqual(getViolatedPromises(history), []);
 });
 
 test("the checker reports nothing for a history that keeps all", () => {
@@ -190,5 +195,5 @@
     at(8_000, { kind: "config-seen", host: "entry-3", version: 1 }),
     at(8_001, { kind: "config-seen", host: "entry-3", version: 2 }),
   ];
-  assert.deepEqual(getBroken(history), []);
+  assert.deepEqual(getViolatedPromises(history), []);
 });
--- a/src/proof/trace.ts
+++ b/src/proof/trace.ts
@@ -7,7 +7,11 @@
 
 import * as Data from "effect/Data";
 import { checkHistory, countByOutcome, countByPromise } from "./checker.ts";
-import { type Observation, type PromiseName, statedLimits } from "./types.ts";
+import {
+  documentedLimits,
+  type Observation,
+  type PromiseName,
+} from "./types.ts";
 
 /** What a trace states of its history. */
 export interface Statement {
@@ -42,7 +46,7 @@
     kind: "stated-outcome",
     about,
     outcomes: countByOutcome(history),
-    violations: countByPromise(checkHistory(history, statedLimits)),
+    violations: countByPromise(checkHistory(history, documentedLimits)),
   };
 }
 
@@ -66,10 +70,14 @@
 
 /** What differs between the statement and a check made now; empty for nothing. */
 export function compareWithStatement(trace: Trace): readonly string[] {
-  const now = getStatement(trace.stated.about, trace.history);
+  const actual = getStatement(trace.stated.about, trace.history);
   return [
-    ...compareCounts("outcome", trace.stated.outcomes, now.outcomes),
-    ...compareCounts("violation of", trace.stated.violations, now.violations),
+    ...compareCounts("outcome", trace.stated.outcomes, actual.outcomes),
+    ...compareCounts(
+      "violation of",
+      trace.stated.violations,
+      actual.violations,
+    ),
   ];
 }
 
--- a/src/proof/types.ts
+++ b/src/proof/types.ts
@@ -133,7 +133,7 @@
 }
 
 /** The limits that the documentation states. */
-export const statedLimits: PromiseLimits = {
+export const documentedLimits: PromiseLimits = {
   leavingMs: 5_000,
   configMs: 7_000,
   crashes: 2,
--- a/src/quarantine/quarantine_test.ts
+++ b/src/quarantine/quarantine_test.ts
@@ -11,7 +11,11 @@
 import fc from "fast-check";
 import { createGroupCommit } from "../claims/mod.ts";
 import { createManualClock } from "../core/mod.ts";
-import { checkHistory, type Observation, statedLimits } from "../proof/mod.ts";
+import {
+  checkHistory,
+  documentedLimits,
+  type Observation,
+} from "../proof/mod.ts";
 import {
   createFakeStore,
   createFakeTables,
@@ -120,7 +124,7 @@
         for (let host = 0; host < 5; host++) fleet.addHost(faults);
         const options = { sendings: order, isEnforced: true };
         const history = await sendCrashingContent(fleet, options);
-        assert.deepEqual(checkHistory(history, statedLimits), []);
+        assert.deepEqual(checkHistory(history, documentedLimits), []);
         assert.equal(history.length, CRASH_LIMIT);
       },
     ),
@@ -135,7 +139,7 @@
   const options = { sendings: [0], isEnforced: false };
   const broken = checkHistory(
     await sendCrashingContent(fleet, options),
-    statedLimits,
+    documentedLimits,
   );
   assert.deepEqual(broken.map((each) => each.promise), ["crashes-are-limited"]);
 });
--- a/src/requests/run_at_most_once_test.ts
+++ b/src/requests/run_at_most_once_test.ts
@@ -11,7 +11,7 @@
 import * as Effect from "effect/Effect";
 import fc from "fast-check";
 import type { Claims } from "../claims/mod.ts";
-import { checkHistory, statedLimits } from "../proof/mod.ts";
+import { checkHistory, documentedLimits } from "../proof/mod.ts";
 import { type IoFault, type IoPlan, runToRest } from "../testing/fake_io.ts";
 import {
   createFakeHost,
@@ -89,7 +89,7 @@
         );
         await sendToAll(world, hosts);
         await runToRest(scheduler);
-        assert.deepEqual(checkHistory(world.history, statedLimits), []);
+        assert.deepEqual(checkHistory(world.history, documentedLimits), []);
         for (const host of hosts) {
           if (!host.io.isDead()) assert.equal(host.getSlotsInUse(), 0);
         }
@@ -117,7 +117,7 @@
       );
       await sendToAll(world, hosts);
       await runToRest(scheduler);
-      const broken = checkHistory(world.history, statedLimits);
+      const broken = checkHistory(world.history, documentedLimits);
       assert.ok(!broken.some((each) => each.promise === "at-most-once"));
     }),
     { numRuns: 5, seed: 1 },
@@ -139,7 +139,7 @@
   const sent = sendBooking(world, host, options);
   await world.scheduler.waitFor(sent);
   await runToRest(world.scheduler);
-  const broken = checkHistory(world.history, statedLimits)
+  const broken = checkHistory(world.history, documentedLimits)
     .map((each) => each.promise);
   assert.ok(broken.includes("not-run-did-not-run"));
   assert.ok(broken.includes("at-most-once"));
@@ -170,7 +170,7 @@
         await scheduler.waitFor(resent);
         const answer = await resent;
         await runToRest(scheduler);
-        assert.deepEqual(checkHistory(world.history, statedLimits), []);
+        assert.deepEqual(checkHistory(world.history, documentedLimits), []);
         if (end.outcome === "not-run") {
           // The scheduler may let the second claim time out.
           assert.ok(["answered", "not-run"].includes(answer.outcome));
--- a/src/router/leaving_test.ts
+++ b/src/router/leaving_test.ts
@@ -10,7 +10,11 @@
 import { createManualClock } from "../core/mod.ts";
 import type { Fact } from "../membership/mod.ts";
 import type { ListedMachine } from "../platform/mod.ts";
-import { checkHistory, type Observation, statedLimits } from "../proof/mod.ts";
+import {
+  checkHistory,
+  documentedLimits,
+  type Observation,
+} from "../proof/mod.ts";
 import { createOwnerFixture } from "../testing/slot_owner_fixture.ts";
 import type { Upstream } from "../types.ts";
 import { pollLoads, type UpstreamState } from "../upstreams/mod.ts";
@@ -163,11 +167,11 @@
 test("an owner grants nothing at an upstream that leaves", () => {
   const history = runWhileLeaving(true);
   assert.ok(history.some((each) => each.kind === "upstream-ran"));
-  assert.deepEqual(checkHistory(history, statedLimits), []);
+  assert.deepEqual(checkHistory(history, documentedLimits), []);
 });
 
 test("without hearing that it leaves the checker reports the new work", () => {
-  const broken = checkHistory(runWhileLeaving(false), statedLimits);
+  const broken = checkHistory(runWhileLeaving(false), documentedLimits);
   const promises = new Set(broken.map((each) => each.promise));
   assert.deepEqual([...promises], ["leaving-upstream-gets-nothing"]);
 });
--- a/src/streams/follow_stream_test.ts
+++ b/src/streams/follow_stream_test.ts
@@ -10,7 +10,7 @@
 import * as Effect from "effect/Effect";
 import * as Result from "effect/Result";
 import fc from "fast-check";
-import { checkHistory, statedLimits } from "../proof/mod.ts";
+import { checkHistory, documentedLimits } from "../proof/mod.ts";
 import {
   type AnswerEvent,
   type AnswerStream,
@@ -166,7 +166,7 @@
     fault,
     host: "entry-1",
     atMs: 1,
-  }], statedLimits);
+  }], documentedLimits);
 }
 
 const engineOptions = fc.record({
--- a/src/testing/faults.ts
+++ b/src/testing/faults.ts
@@ -13,9 +13,9 @@
   checkHistory,
   countByOutcome,
   countByPromise,
+  documentedLimits,
   formatTrace,
   getStatement,
-  statedLimits,
 } from "../proof/mod.ts";
 import { createCaller } from "./caller.ts";
 import { sendWork } from "./fault_callers.ts";
@@ -177,7 +177,7 @@
   },
 ): boolean {
   const { example, counts, options } = run;
-  const violations = checkHistory(world.history, statedLimits);
+  const violations = checkHistory(world.history, documentedLimits);
   for (const { atMs, promise, what } of violations.slice(0, 20)) {
     console.log(`violation at ${atMs} ms: ${promise}: ${what}`);
   }
