--- a/src/proof/check_control.ts
+++ b/src/proof/check_control.ts
@@ -1,5 +1,5 @@
 /**
- * Checks of configuration, leaving upstreams and orders.
+ * Checks of the promises about configuration, leaving upstreams and orders.
  *
  * @module
  */
@@ -8,13 +8,14 @@
 import { getByKind } from "./check_requests.ts";
 import type { Observation, PromiseLimits, Violation } from "./types.ts";
 
-/** The version seen at a host never falls, over restarts too. */
+/** The version that a host shows never decreases, not even across restarts. */
 export function checkConfigNeverReverts(
   history: readonly Observation[],
 ): readonly Violation[] {
   const highest = new Map<string, number>();
   return getByKind(history, "config-seen").flatMap((seen) => {
-    // A host that says it is not ready serves nothing, so it reverts nothing.
+    // Version 0 means not ready: the host serves no requests, so that callers
+    // do not see an older version.
     if (seen.version === 0) return [];
     const highestBefore = highest.get(seen.host) ?? 0;
     highest.set(seen.host, Math.max(highestBefore, seen.version));
@@ -28,7 +29,7 @@
   });
 }
 
-/** Every reachable host has an accepted version in time. */
+/** Every reachable host has an accepted version in force in time. */
 export function checkConfigInTime(
   history: readonly Observation[],
   limits: PromiseLimits,
@@ -52,7 +53,7 @@
   });
 }
 
-/** No two operators are told that they made the same version. */
+/** A version number is never accepted with two different contents. */
 export function checkOneOperatorWins(
   history: readonly Observation[],
 ): readonly Violation[] {
@@ -63,12 +64,12 @@
     return [{
       promise: "one-operator-wins" as const,
       atMs: accepted.atMs,
-      what: `Version ${version} was accepted with two contents`,
+      what: `Version ${version} was accepted with two different contents`,
     }];
   });
 }
 
-/** A leaving upstream gets nothing new after the stated time. */
+/** A leaving upstream gets no new work after the documented time. */
 export function checkLeavingUpstreams(
   history: readonly Observation[],
   limits: PromiseLimits,
@@ -94,7 +95,7 @@
   });
 }
 
-/** Orders at an upstream never carry a lower token than one before. */
+/** An upstream never accepts an order with a lower token than before. */
 export function checkOrders(
   history: readonly Observation[],
 ): readonly Violation[] {
@@ -111,7 +112,9 @@
   });
 }
 
-/** Since when the host is reachable at the time given, in milliseconds. */
+/**
+ * The time since which a host that is reachable at `atMs` has been reachable.
+ */
 function tryGetReachableSince(
   history: readonly Observation[],
   host: string,
--- a/src/proof/check_requests.ts
+++ b/src/proof/check_requests.ts
@@ -1,5 +1,6 @@
 /**
- * Checks of what callers were told against what upstreams ran.
+ * Checks of the promises about requests: compares the outcomes that callers got
+ * with the runs that upstreams observed.
  *
  * @module
  */
@@ -20,7 +21,7 @@
   return history.filter((each): each is Kind<K> => each.kind === kind);
 }
 
-/** Work that may not be repeated ran at most once, over all its sendings. */
+/** Work that is not idempotent ran at most once, across all its sendings. */
 export function checkAtMostOnce(
   history: readonly Observation[],
 ): readonly Violation[] {
@@ -42,7 +43,7 @@
   }));
 }
 
-/** What a caller was told did not run did not run. */
+/** A request whose outcome is "not-run" did not run. */
 export function checkNotRun(
   history: readonly Observation[],
 ): readonly Violation[] {
@@ -57,12 +58,12 @@
     return [{
       promise: "not-run-did-not-run" as const,
       atMs: end.atMs,
-      what: `"${end.request}" was told "not run" and ran at ${run.upstream}`,
+      what: `"${end.request}" ended as "not-run" but ran at ${run.upstream}`,
     }];
   });
 }
 
-/** An answer is whole and the caller's own. */
+/** An answer is complete and belongs to the caller's request. */
 export function checkCompleteAnswers(
   history: readonly Observation[],
 ): readonly Violation[] {
@@ -75,7 +76,7 @@
     }));
 }
 
-/** Every sending ended, if only by the loss of its connection. */
+/** Every sending ended, by an answer or by the loss of its connection. */
 export function checkAlwaysEnded(
   history: readonly Observation[],
 ): readonly Violation[] {
@@ -93,7 +94,7 @@
     }));
 }
 
-/** A host that drains ends the requests that it has. */
+/** A draining host completes its requests and cuts no connection. */
 export function checkDrains(
   history: readonly Observation[],
 ): readonly Violation[] {
@@ -118,7 +119,7 @@
   });
 }
 
-/** When the host is up again after the time given. */
+/** The time at which the host is next reachable again after `afterMs`. */
 function getNextStartMs(
   history: readonly Observation[],
   host: string,
@@ -130,7 +131,9 @@
   return next?.atMs ?? Infinity;
 }
 
-/** One piece of work crashes upstreams so many times, resends included. */
+/**
+ * One piece of work, with its resends, crashes a limited number of upstreams.
+ */
 export function checkCrashes(
   history: readonly Observation[],
   limits: PromiseLimits,
@@ -151,7 +154,10 @@
   });
 }
 
-/** Crashes so close that none could be known at the other are one time. */
+/**
+ * Merges crashes that are so close in time that the hosts could not know of one
+ * before the next: they count as one.
+ */
 function mergeUnknownCrashes(
   crashesMs: readonly number[],
   propagationMs: number,
@@ -164,7 +170,7 @@
   return times;
 }
 
-/** Regions that can't hear each other may each reach the limit. */
+/** Regions that are partitioned from each other may each reach the limit. */
 function getAllowedCrashes(
   history: readonly Observation[],
   timesMs: readonly number[],
@@ -192,7 +198,7 @@
   return isPartitioned;
 }
 
-/** The gap between backlogged teams, and waits, keep their bounds. */
+/** The service gap between backlogged teams and the waits are within bounds. */
 export function checkFairness(
   history: readonly Observation[],
 ): readonly Violation[] {
@@ -208,7 +214,7 @@
     .map((seen) => ({
       promise: "no-team-starves" as const,
       atMs: seen.atMs,
-      what: `"${seen.team}" waited ${seen.waitedMs} of ${seen.boundMs} ms`,
+      what: `"${seen.team}" waited ${seen.waitedMs}, bound ${seen.boundMs} ms`,
     }));
   return [...gaps, ...waits];
 }
--- a/src/proof/checker.ts
+++ b/src/proof/checker.ts
@@ -1,5 +1,5 @@
 /**
- * Checks a history against every promise.
+ * Checks a history against all promises.
  *
  * @module
  */
@@ -27,7 +27,7 @@
   Violation,
 } from "./types.ts";
 
-/** All violations of the history, in the order of their times. */
+/** Finds all violations of a history, in the order of time. */
 export function checkHistory(
   history: readonly Observation[],
   limits: PromiseLimits,
@@ -50,7 +50,7 @@
   return violations.sort((a, b) => a.atMs - b.atMs);
 }
 
-/** How often each promise is broken; promises that hold are left out. */
+/** Counts the violations of each promise; promises without any are absent. */
 export function countByPromise(
   violations: readonly Violation[],
 ): Readonly<Partial<Record<PromiseName, number>>> {
@@ -61,7 +61,7 @@
   return counts;
 }
 
-/** Requests by how they ended. */
+/** Counts the ended requests by outcome. */
 export function countByOutcome(
   history: readonly Observation[],
 ): Readonly<Record<string, number>> {
--- a/src/proof/checker_test.ts
+++ b/src/proof/checker_test.ts
@@ -1,6 +1,6 @@
 /**
- * Shows for each promise that the checker reports a history that breaks it, and
- * nothing for one that keeps it.
+ * Tests that the checker reports a history that violates a promise, for each
+ * promise, and reports nothing for a history that violates none.
  *
  * @module
  */
@@ -142,7 +142,7 @@
 };
 
 for (const [promise, history] of Object.entries(violatingHistories)) {
-  test(`the checker reports a history that breaks "${promise}"`, () => {
+  test(`the checker reports a history that violates "${promise}"`, () => {
     assert.deepEqual(getViolatedPromises(history), [promise]);
   });
 }
@@ -152,13 +152,13 @@
   assert.deepEqual(getViolatedPromises(history), ["always-ended"]);
 });
 
-test("crashes that could not be known at each other are one time", () => {
-  // Two callers send the same content in the same moment, to two hosts.
+test("crashes that the hosts could not know of in time count as one", () => {
+  // Two callers send the same content to two hosts at the same time.
   const history = [0, 100, 1_000].map(crashedAt);
   assert.deepEqual(getViolatedPromises(history), []);
 });
 
-test("regions that can't hear each other count crashes each by itself", () => {
+test("partitioned regions count crashes separately", () => {
   const crashes = [1_000, 2_000, 3_000, 4_000].map(crashedAt);
   const duringPartition = [cutAt(500, true), ...crashes, cutAt(5_000, false)];
   assert.deepEqual(getViolatedPromises(duringPartition), []);
@@ -170,7 +170,7 @@
   assert.deepEqual(getViolatedPromises(before), ["crashes-are-limited"]);
 });
 
-test("a cut long after a drain, by the same host started anew, is no drain's", () => {
+test("a cut by a host that restarted since its drain does not violate the drain", () => {
   const history = [
     at(0, { kind: "host-asked-to-drain", host: "entry-1" }),
     at(1, { kind: "host-exited", host: "entry-1" }),
@@ -182,7 +182,7 @@
   assert.deepEqual(getViolatedPromises(history), []);
 });
 
-test("the checker reports nothing for a history that keeps all", () => {
+test("the checker reports nothing for a history without violations", () => {
   const history = [
     at(0, sent("s1", "w1")),
     at(1, ran("id-of-s1", "w1")),
--- a/src/proof/mod.ts
+++ b/src/proof/mod.ts
@@ -1,5 +1,6 @@
 /**
- * Checks of recorded histories against the promises, and traces to replay.
+ * Checks of recorded histories against the promises of the system, and traces
+ * of histories that can be replayed.
  *
  * @module
  */
--- a/src/proof/trace.ts
+++ b/src/proof/trace.ts
@@ -1,6 +1,7 @@
 /**
  * Traces: a history with its stated outcome, as JSON lines. The first line is
- * the statement; a replay checks the history anew and compares.
+ * the statement of the outcome. A replay checks the history again and compares
+ * the result with the statement.
  *
  * @module
  */
@@ -13,7 +14,7 @@
   type PromiseName,
 } from "./types.ts";
 
-/** What a trace states of its history. */
+/** The outcome of a history as stated in its trace. */
 export interface Statement {
   readonly kind: "stated-outcome";
   readonly about: string;
@@ -21,13 +22,13 @@
   readonly violations: Readonly<Partial<Record<PromiseName, number>>>;
 }
 
-/** A history with its statement. */
+/** A history with the statement of its outcome. */
 export interface Trace {
   readonly stated: Statement;
   readonly history: readonly Observation[];
 }
 
-/** A trace that can't be read. */
+/** Thrown for a trace that can't be read. */
 export class TraceError extends Data.TaggedError("TraceError")<{
   readonly line: number;
   readonly reason: string;
@@ -37,7 +38,7 @@
   }
 }
 
-/** What the checker says of the history. */
+/** Checks a history and returns its outcome as a statement. */
 export function getStatement(
   about: string,
   history: readonly Observation[],
@@ -50,13 +51,13 @@
   };
 }
 
-/** The trace as JSON lines. */
+/** Formats a trace as JSON lines. */
 export function formatTrace(trace: Trace): string {
   const lines = [trace.stated, ...trace.history];
   return lines.map((line) => JSON.stringify(line) + "\n").join("");
 }
 
-/** Reads a trace; throws `TraceError`. */
+/** Parses a trace; throws `TraceError`. */
 export function parseTrace(text: string): Trace {
   const lines = text.split("\n").filter((line) => line !== "")
     .map((line, index) => parseLine(line, index + 1));
@@ -68,7 +69,7 @@
   return { stated, history: history as readonly Observation[] };
 }
 
-/** What differs between the statement and a check made now; empty for nothing. */
+/** Checks a trace's history again; returns differences from the statement. */
 export function compareWithStatement(trace: Trace): readonly string[] {
   const actual = getStatement(trace.stated.about, trace.history);
   return [
--- a/src/proof/types.ts
+++ b/src/proof/types.ts
@@ -1,24 +1,27 @@
 /**
- * A history: what callers, upstreams, hosts and operators saw in one run. It
- * holds observations from outside only, so that a check of it does not trust the
- * program that it checks.
+ * A history: the observations of callers, upstreams, hosts and operators in one
+ * run. All are made outside the program, so that the checks do not depend on
+ * what the checked program reports about itself.
+ *
+ * A promise is a documented guarantee of the system, such as that a request
+ * runs at most once.
  *
  * @module
  */
 
 import type { Outcome } from "../types.ts";
 
-/** What one observer saw, without the time. */
+/** An observation without its time. */
 export type ObservationBody =
   | {
     readonly kind: "request-sent";
-    /** Names one sending; a resend is another. */
+    /** Id of one sending of a request; a resend has another id. */
     readonly sending: string;
     readonly team: string;
     readonly service: string;
     readonly operation: string;
     readonly idempotent: boolean;
-    /** Same for all sendings of one piece of work. */
+    /** Id of the piece of work, shared by all its sendings. */
     readonly work: string;
   }
   | {
@@ -29,11 +32,11 @@
      * open, and no final answer came long after the deadline.
      */
     readonly outcome: Outcome | "cut" | "silent";
-    /** The request's id at the system; empty when it was never told. */
+    /** The id that the system gave the request; empty if it sent none. */
     readonly request: string;
-    /** What is wrong with the answer; empty when it is whole and the own. */
+    /** Fault of the answer; empty if it is complete and the caller's own. */
     readonly fault: string;
-    /** Host that the caller was connected to; empty when unknown. */
+    /** Host that the caller was connected to; empty if unknown. */
     readonly host: string;
   }
   | {
@@ -64,7 +67,7 @@
   | {
     readonly kind: "config-seen";
     readonly host: string;
-    /** 0: the host said that it is not ready. */
+    /** 0: the host reported that it is not ready. */
     readonly version: number;
   }
   | { readonly kind: "host-asked-to-drain"; readonly host: string }
@@ -79,7 +82,7 @@
   | {
     readonly kind: "gap-seen";
     readonly service: string;
-    /** Largest difference of normalised service of two backlogged teams. */
+    /** Largest difference in normalised service of two backlogged teams. */
     readonly gap: number;
     readonly bound: number;
   }
@@ -93,7 +96,7 @@
 /** An observation with its time in milliseconds since the run's start. */
 export type Observation = ObservationBody & { readonly atMs: number };
 
-/** The promises that a history is checked against. */
+/** The names of the promises that a history is checked against. */
 export type PromiseName =
   | "at-most-once"
   | "not-run-did-not-run"
@@ -109,30 +112,30 @@
   | "gap-is-bounded"
   | "no-team-starves";
 
-/** A promise that the history breaks. */
+/** A violation of a promise in a history. */
 export interface Violation {
   readonly promise: PromiseName;
   readonly atMs: number;
   readonly what: string;
 }
 
-/** Times and counts that the promises state. */
+/** Times and counts that are part of the promises. */
 export interface PromiseLimits {
-  /** A leaving upstream gets no new work after so many milliseconds. */
+  /** Time after which a leaving upstream gets no new work, in milliseconds. */
   readonly leavingMs: number;
-  /** An accepted configuration is in force everywhere within so many ms. */
+  /** Time until an accepted configuration is in force at all hosts, in ms. */
   readonly configMs: number;
   /**
-   * Times that one piece of work may crash upstreams. Crashes before the first
-   * of them can be known elsewhere are one time; while regions are cut, each
-   * region counts by itself.
+   * How often one piece of work may crash upstreams. Crashes before the first
+   * of them can be known at other hosts count as one. While regions are
+   * partitioned from each other, each region counts separately.
    */
   readonly crashes: number;
-  /** Until a crash is known at all hosts, in milliseconds. */
+  /** Time until a crash is known at all hosts, in milliseconds. */
   readonly crashKnownMs: number;
 }
 
-/** The limits that the documentation states. */
+/** The limits as documented. */
 export const documentedLimits: PromiseLimits = {
   leavingMs: 5_000,
   configMs: 7_000,
