--- a/src/entry/entry.ts
+++ b/src/entry/entry.ts
@@ -12,7 +12,7 @@
 import { createStallTolerantClock, getOrCreate } from "../core/mod.ts";
 import type { Decision } from "../diagnostics/mod.ts";
 import {
-  CRASH_KEY,
+  CRASH_KEY_PREFIX,
   createCrashWatch,
   createUpstreamAgent,
   type ForwardHost,
@@ -24,7 +24,7 @@
 import { createPacing, type Pacing, type PacingChange } from "../pacing/mod.ts";
 import type { Distance } from "../placement/mod.ts";
 import { createPromptQueue } from "../queue/mod.ts";
-import { createHealthWatch, createRestWatch } from "../upstreams/mod.ts";
+import { createBackoffWatch, createHealthWatch } from "../upstreams/mod.ts";
 import { chooseAddresses } from "./caller_addresses.ts";
 import { openLoadExchange } from "./load_exchange.ts";
 import { createFullHosts, FULL_KEY_PREFIX } from "./full_hosts.ts";
@@ -103,7 +103,7 @@
   }
 
   function onFact(fact: Fact): void {
-    if (fact.key.startsWith(CRASH_KEY)) crashes.receive(fact);
+    if (fact.key.startsWith(CRASH_KEY_PREFIX)) crashes.receive(fact);
     else if (fact.key.startsWith(FULL_KEY_PREFIX)) fullHosts.receive(fact);
     else platformView.receive(fact);
   }
@@ -137,7 +137,7 @@
       platformView.tryGetRoutes()?.config.tokensPerSecond ?? 0,
     getLearned: () =>
       [...pacings].map(([service, pacing]) => ({
-        ...pacing.getEvidence(),
+        ...pacing.getStats(),
         service: getNameDigest(service),
       })),
   });
@@ -149,7 +149,7 @@
       () =>
         createPacing({
           nowMs: clock.monotonicMs,
-          getOthers: () => load.getOthersLearned(service),
+          getRemoteStats: () => load.getOthersLearned(service),
           onChanged: (change) => logLimit(service, change),
         }),
     );
@@ -180,7 +180,7 @@
   });
   const crashes = createCrashWatch({
     clock,
-    pushFact: (fact) => peers.membership.pushFact(fact),
+    broadcastFact: (fact) => peers.membership.pushFact(fact),
     onSuspected: (fingerprint, count) =>
       log({
         event: "content-suspected",
@@ -259,12 +259,12 @@
     codec: protocol.calls,
     agent,
     directory: platformView.directory,
-    noteLeaving: platformView.markLeaving,
+    markLeaving: platformView.markLeaving,
     queue,
     load,
     getPacing,
     health,
-    rests: createRestWatch(clock),
+    backoffs: createBackoffWatch(clock),
     crashes,
     retryBudget: createRetryBudget(
       clock,
@@ -272,13 +272,13 @@
     ),
     tryGetRoutes: platformView.tryGetRoutes,
     getDistance,
-    isBehind: loopMonitor.isOverloaded,
-    getTurnMs: loopMonitor.getTurnOverrunMs,
+    isOverloaded: loopMonitor.isOverloaded,
+    getTurnOverrunMs: loopMonitor.getTurnOverrunMs,
     getUnreadMs: loopMonitor.getUnreadMs,
-    mayStart: drain.mayStartRequest,
+    mayStartRequest: drain.mayStartRequest,
     getInputs: platformView.getInputs,
     log,
-    onEnded: metrics.observeEnd,
+    onRequestEnded: metrics.observeEnd,
     random: host.random,
   };
 
--- a/src/forwarding/forward.ts
+++ b/src/forwarding/forward.ts
@@ -1,6 +1,6 @@
 /**
- * Brings one request to an answer: picks an upstream, sends, passes the answer
- * on, and after a failure decides what follows.
+ * Forwards one request: picks an upstream, sends the request, relays the
+ * response and, after a failure, decides whether to try another upstream.
  *
  * @module
  */
@@ -9,56 +9,65 @@
 import * as Effect from "effect/Effect";
 import type { CallerLost } from "../requests/caller.ts";
 import { attempt } from "./attempt.ts";
-import { type Call, type ForwardHost, getLeftMs } from "./call.ts";
-import { getForwardable } from "./headers.ts";
+import { type Call, type ForwardHost, getRemainingMs } from "./call.ts";
+import { getEndToEndHeaders } from "./headers.ts";
 import { decideNextStep, type NextStep } from "./next_step.ts";
-import { passOnStream } from "./pass_on_stream.ts";
+import { relayStream } from "./relay_stream.ts";
 import {
-  createNoUpstream,
+  createUnavailable,
   getCandidates,
-  type Picked,
+  type PickedUpstream,
   pickUpstream,
 } from "./pick_upstream.ts";
-import { createNotRun, Rejected } from "./replies.ts";
+import { createNotRunRejection, Rejected } from "./rejections.ts";
 import { FAILED_RETRY_MS } from "./retry_after.ts";
 import { AttemptFailed } from "./types.ts";
-import { type OpenAnswer, readAnswerBody } from "./upstream_call.ts";
+import { readResponseBody, type UpstreamResponse } from "./upstream_call.ts";
 
-/** Whole answers up to this size are held; streams are not held. */
-const MAX_ANSWER_BYTES = 8 * 1024 * 1024;
+/**
+ * Largest response that is buffered before it is sent on, in bytes. Streams are
+ * not buffered.
+ */
+const MAX_RESPONSE_BYTES = 8 * 1024 * 1024;
 
 /**
- * An idempotent call is sent once more after this share of the time that is
- * left: late enough that few answers come after it, early enough for another.
+ * An idempotent call that has not been answered after this share of its
+ * remaining time is sent to another upstream: late enough that few responses
+ * arrive after it, early enough for a second attempt to finish.
  */
-const REPEAT_SHARE = 0.5;
+const RESEND_AFTER_SHARE = 0.5;
 
 /**
- * A resumable stream whose upstream shows no sign of life for so long, in ms,
- * goes on elsewhere. Callers leave a stream after two seconds or more.
+ * If an upstream sends no response head for a resumable stream within this
+ * time, in ms, the request is sent to another upstream. Callers abandon a
+ * stream after two seconds or more.
  */
-const STREAM_SILENCE_MS = 1_600;
+const STREAM_HEAD_TIMEOUT_MS = 1_600;
 
-/** Forwards the request until it is answered or given up. */
+/**
+ * Forwards the request until it has been answered or no further attempt is
+ * allowed.
+ */
 export function forward(
   host: ForwardHost,
   call: Call,
 ): Effect.Effect<void, Rejected | CallerLost> {
   let connects = 0;
 
-  const turn: Effect.Effect<void, Rejected | CallerLost> = Effect.suspend(
-    () =>
-      pickUpstream(host, call).pipe(
-        Effect.mapError((err) => toTruthful(call, err)),
-        Effect.flatMap((picked) => {
-          connects++;
-          return runAt(host, call, picked);
-        }),
-        Effect.catchTag("AttemptFailed", (err) => goOn(err)),
-      ),
-  );
+  const tryUpstream: Effect.Effect<void, Rejected | CallerLost> = Effect
+    .suspend(
+      () =>
+        pickUpstream(host, call).pipe(
+          Effect.mapError((err) => correctRejection(call, err)),
+          Effect.flatMap((picked) => {
+            connects++;
+            return attemptAt(host, call, picked);
+          }),
+          Effect.catchTag("AttemptFailed", (err) => handleFailure(err)),
+        ),
+    );
 
-  function goOn(
+  function handleFailure(
     err: AttemptFailed,
   ): Effect.Effect<void, Rejected | CallerLost> {
     const { route, progress, service } = call;
@@ -68,63 +77,66 @@
       isResumable: route.isResumable,
       maxAttempts: route.maxAttempts,
       attempts: progress.attempts,
-      runs: progress.runs,
+      possibleRuns: progress.possibleRuns,
       connects,
       hasSentEvents: call.res.headersSent,
       hasEventId: progress.lastEventId !== undefined,
-      leftMs: getLeftMs(host, call),
+      remainingMs: getRemainingMs(host, call),
       hasCandidate: getCandidates(host, call).length > 0,
       tryTakeRetry: () => host.retryBudget.tryTake("", service),
     });
     logFailure(host, call, err, step);
-    if (step.kind !== "give-up") return turn;
-    return Effect.fail(toRejected(host, call, err));
+    if (step.kind !== "give-up") return tryUpstream;
+    return Effect.fail(createFinalRejection(host, call, err));
   }
 
-  return turn.pipe(
-    Effect.ensuring(Effect.sync(() => call.progress.endReading())),
+  return tryUpstream.pipe(
+    Effect.ensuring(Effect.sync(() => call.progress.endPrefill())),
   );
 }
 
-/** One attempt at the upstream, with what it tells about the upstream. */
-function runAt(
+/**
+ * Makes one attempt at the upstream and records its result in the upstream's
+ * health, back-off and crash state.
+ */
+function attemptAt(
   host: ForwardHost,
   call: Call,
-  picked: Picked,
+  picked: PickedUpstream,
 ): Effect.Effect<void, AttemptFailed | CallerLost> {
   const { upstream } = picked;
   const { health } = host;
   call.progress.upstream = upstream;
-  call.progress.attemptedMs = host.clock.monotonicMs();
-  call.progress.tried.add(upstream.id);
+  call.progress.attemptStartedMs = host.clock.monotonicMs();
+  call.progress.triedUpstreams.add(upstream.id);
   logAttempt(host, call, picked);
-  health.begin(upstream.id);
+  health.beginRequest(upstream.id);
   host.load.begin(upstream.id);
-  const headLimitMs = getHeadLimitMs(host, call);
-  return attempt(host, call, { upstream, headLimitMs }).pipe(
+  const headTimeoutMs = getHeadTimeoutMs(host, call);
+  return attempt(host, call, { upstream, headTimeoutMs }).pipe(
     Effect.tap(() =>
       Effect.sync(() => {
-        health.noteLife(upstream.id);
-        host.rests.noteAnswered(upstream);
+        health.recordActivity(upstream.id);
+        host.backoffs.recordSuccess(upstream);
       })
     ),
-    Effect.flatMap((answer) => passOn(host, call, picked, answer)),
+    Effect.flatMap((response) => relay(host, call, picked, response)),
     Effect.tap(() =>
       Effect.sync(() => {
-        health.noteAnswered(upstream.id);
-        host.crashes.noteAnswered(call.fingerprint);
+        health.recordSuccess(upstream.id);
+        host.crashes.recordSuccess(call.fingerprint);
       })
     ),
-    Effect.tapError((err) => Effect.sync(() => noteFailure(host, call, err))),
+    Effect.tapError((err) => Effect.sync(() => recordFailure(host, call, err))),
     Effect.ensuring(Effect.sync(() => {
-      call.progress.endReading();
-      health.end(upstream.id);
+      call.progress.endPrefill();
+      health.endRequest(upstream.id);
       host.load.end(upstream.id);
     })),
   );
 }
 
-function noteFailure(
+function recordFailure(
   host: ForwardHost,
   call: Call,
   err: AttemptFailed | CallerLost,
@@ -132,73 +144,76 @@
   if (err._tag === "CallerLost" || err.kind === "unwanted") return;
   const { id } = call.progress.upstream!;
   if (err.kind === "not-sent") {
-    host.health.noteFailed(id, "unreachable");
-    host.crashes.noteUnreachable(id);
+    host.health.recordFailure(id, "unreachable");
+    host.crashes.recordUnreachable(id);
     return;
   }
-  host.health.noteFailed(id, "failed");
-  if (err.kind === "broken") host.crashes.noteBroken(id, call.fingerprint);
+  host.health.recordFailure(id, "failed");
+  if (err.kind === "broken") host.crashes.recordBroken(id, call.fingerprint);
 }
 
-function passOn(
+function relay(
   host: ForwardHost,
   call: Call,
-  picked: Picked,
-  answer: OpenAnswer,
+  picked: PickedUpstream,
+  response: UpstreamResponse,
 ): Effect.Effect<void, AttemptFailed | CallerLost> {
-  const status = answer.res.statusCode ?? 0;
+  const status = response.res.statusCode ?? 0;
   if (call.route.kind === "stream" && status >= 200 && status < 300) {
-    return passOnStream(host, call, picked, answer);
+    return relayStream(host, call, picked, response);
   }
-  return passOnWhole(host, call, answer);
+  return relayBuffered(host, call, response);
 }
 
-function passOnWhole(
+function relayBuffered(
   host: ForwardHost,
   call: Call,
-  answer: OpenAnswer,
+  response: UpstreamResponse,
 ): Effect.Effect<void, AttemptFailed> {
   const limits = {
-    maxBytes: MAX_ANSWER_BYTES,
-    limitMs: Math.max(1, getLeftMs(host, call)),
+    maxBytes: MAX_RESPONSE_BYTES,
+    timeoutMs: Math.max(1, getRemainingMs(host, call)),
   };
-  return readAnswerBody(answer, limits).pipe(
+  return readResponseBody(response, limits).pipe(
     Effect.flatMap((chunks) => {
-      const { res: upstreamRes } = answer;
+      const { res: upstreamRes } = response;
       const status = upstreamRes.statusCode ?? 0;
       const isFailure = status >= 500;
-      if (isFailure && mayAskAnother(host, call)) {
+      if (isFailure && canTryAnother(host, call)) {
         const reason = `Status ${status}`;
         return Effect.fail(new AttemptFailed({ kind: "broken", reason }));
       }
-      // A stream that has begun can't end with another status.
+      // The status line of a stream that has started has already been sent.
       if (call.res.headersSent) {
-        const reason = `Status ${status} for the rest of a stream`;
+        const reason = `Status ${status} when resuming a stream`;
         return Effect.fail(new AttemptFailed({ kind: "broken", reason }));
       }
       call.progress.status = status;
-      sendWhole(call.res, answer, chunks);
+      sendBuffered(call.res, response, chunks);
       return Effect.void;
     }),
   );
 }
 
-/** An upstream's own failure is passed on where nothing else can be done. */
-function mayAskAnother(host: ForwardHost, call: Call): boolean {
+/**
+ * Whether a 5xx response leads to an attempt at another upstream. Otherwise the
+ * response is passed on to the caller.
+ */
+function canTryAnother(host: ForwardHost, call: Call): boolean {
   const { route, progress } = call;
   const isRepeatable = route.kind === "idempotent" || route.isResumable;
   const hasOther = getCandidates(host, call).length > 0;
-  return isRepeatable && hasOther && progress.runs < route.maxAttempts;
+  return isRepeatable && hasOther && progress.possibleRuns < route.maxAttempts;
 }
 
-function sendWhole(
+function sendBuffered(
   res: ServerResponse,
-  answer: OpenAnswer,
+  response: UpstreamResponse,
   chunks: readonly Uint8Array[],
 ): void {
-  const { rawHeaders, statusCode = 502 } = answer.res;
+  const { rawHeaders, statusCode = 502 } = response.res;
   const length = chunks.reduce((sum, chunk) => sum + chunk.length, 0);
-  const headers = getForwardable(rawHeaders);
+  const headers = getEndToEndHeaders(rawHeaders);
   if (res.getHeader("connection") !== undefined) {
     headers.push("Connection", "close");
   }
@@ -208,38 +223,45 @@
   res.end();
 }
 
-function getHeadLimitMs(host: ForwardHost, call: Call): number {
-  const leftMs = Math.max(1, getLeftMs(host, call));
+function getHeadTimeoutMs(host: ForwardHost, call: Call): number {
+  const remainingMs = Math.max(1, getRemainingMs(host, call));
   const { route, progress } = call;
-  const mayRepeat = progress.runs + 1 < route.maxAttempts;
-  if (!mayRepeat) return leftMs;
-  if (route.kind === "idempotent") return leftMs * REPEAT_SHARE;
-  if (route.isResumable) return Math.min(leftMs, STREAM_SILENCE_MS);
-  return leftMs;
+  const mayRepeat = progress.possibleRuns + 1 < route.maxAttempts;
+  if (!mayRepeat) return remainingMs;
+  if (route.kind === "idempotent") return remainingMs * RESEND_AFTER_SHARE;
+  if (route.isResumable) return Math.min(remainingMs, STREAM_HEAD_TIMEOUT_MS);
+  return remainingMs;
 }
 
-/** What may have run at an upstream before is not refused as "not run". */
-function toTruthful(call: Call, rejected: Rejected): Rejected {
-  if (call.progress.runs === 0) return rejected;
+/**
+ * Replaces a rejection that promises "not run" by a 502 if an earlier attempt
+ * may have run the request.
+ */
+function correctRejection(call: Call, rejected: Rejected): Rejected {
+  if (call.progress.possibleRuns === 0) return rejected;
   return new Rejected({ status: 502, reason: rejected.reason });
 }
 
-/** What the caller is told once nothing more is tried. */
-function toRejected(
+/** Creates the rejection for a request that is not attempted again. */
+function createFinalRejection(
   host: ForwardHost,
   call: Call,
   err: AttemptFailed,
 ): Rejected {
-  if (call.progress.runs === 0) {
-    const isAnyLeft = getCandidates(host, call).length > 0;
-    if (!isAnyLeft) return createNoUpstream(host, call);
-    return createNotRun(err.reason, FAILED_RETRY_MS);
+  if (call.progress.possibleRuns === 0) {
+    const hasCandidate = getCandidates(host, call).length > 0;
+    if (!hasCandidate) return createUnavailable(host, call);
+    return createNotRunRejection(err.reason, FAILED_RETRY_MS);
   }
   const status = err.kind === "silent" ? 504 : 502;
   return new Rejected({ status, reason: err.reason });
 }
 
-function logAttempt(host: ForwardHost, call: Call, picked: Picked): void {
+function logAttempt(
+  host: ForwardHost,
+  call: Call,
+  picked: PickedUpstream,
+): void {
   const nowMs = host.clock.monotonicMs();
   const { queuedAtMs } = call.progress;
   host.log({
@@ -252,7 +274,7 @@
     queuedMs: queuedAtMs === undefined
       ? undefined
       : Math.round(nowMs - queuedAtMs),
-    turnMs: Math.round(host.getTurnMs()),
+    turnMs: Math.round(host.getTurnOverrunMs()),
     unreadMs: Math.round(host.getUnreadMs()),
     inFlight: host.health.getInFlight(picked.upstream.id),
     readingTokens: picked.readingTokens,
--- a/src/forwarding/upstream_call.ts
+++ b/src/forwarding/upstream_call.ts
@@ -1,6 +1,6 @@
 /**
- * One attempt of a request at one upstream. Interrupting it closes the
- * connection, which is how an upstream is told to stop working.
+ * Sends one request to one upstream over HTTP. Interrupting the call closes the
+ * connection, which tells the upstream to stop working on it.
  *
  * @module
  */
@@ -16,89 +16,94 @@
 import { startTimeout } from "../core/mod.ts";
 import { AttemptFailed } from "./types.ts";
 
-/** A request on its way to an upstream. */
+/** A request to an upstream. */
 export interface UpstreamCall {
   readonly agent: Agent;
   /** IP address and port. */
   readonly address: string;
   readonly method: string;
-  /** Path and query, as the caller sent them. */
+  /** Path and query as sent by the caller. */
   readonly target: string;
-  /** Name and value by turns. */
+  /** Alternating names and values. */
   readonly headers: string[];
   readonly body: Buffer;
-  /** Time until the head of the answer, in ms. */
-  readonly headLimitMs: number;
-  /** Asked right before the first byte: a connection may take a while. */
+  /** Time-out for the head of the response, in ms. */
+  readonly headTimeoutMs: number;
+  /**
+   * Called right before the first byte is written, since conditions may have
+   * changed while the connection was being made.
+   */
   mayStillSend(): boolean;
-  /** Called when the first byte may have left this host. */
+  /** Called once the first byte may have left this host. */
   onSent(): void;
 }
 
-/** The head of an answer; its body is still to be read. */
-export interface OpenAnswer {
+/** A response whose head has been received but whose body has not been read. */
+export interface UpstreamResponse {
   readonly res: IncomingMessage;
-  /** Closes the connection, whatever has been read. */
+  /** Closes the connection, regardless of how much has been read. */
   abort(): void;
-  /** Whether the whole body has come; asked once the body has ended. */
-  readonly isWhole: Effect.Effect<boolean>;
+  /**
+   * Whether the body arrived completely. Evaluated after the body has ended.
+   */
+  readonly isComplete: Effect.Effect<boolean>;
 }
 
 /**
- * Longest time to connect, in ms: a dozen round trips between regions. A host
- * without power does not answer at all.
+ * Time-out for connecting, in ms: a dozen round trips between regions. A
+ * machine without power never answers a connection attempt.
  */
-export const CONNECT_LIMIT_MS = 500;
+export const CONNECT_TIMEOUT_MS = 500;
 
-/** Sends the request; succeeds with the head of the answer. */
+/** Sends the request; succeeds with the head of the response. */
 export function openCall(
   call: UpstreamCall,
-): Effect.Effect<OpenAnswer, AttemptFailed> {
-  return Effect.callback<OpenAnswer, AttemptFailed>((resume) => {
+): Effect.Effect<UpstreamResponse, AttemptFailed> {
+  return Effect.callback<UpstreamResponse, AttemptFailed>((resume) => {
     const [host, port] = call.address.split(":");
     let isSent = false;
-    let isOpen = false;
+    let hasHead = false;
     const req = sendRequest({
       agent: call.agent,
       host,
       port: Number(port),
       method: call.method,
       path: call.target,
-      headers: getFramed(call),
+      headers: getHeadersWithLength(call),
       setHost: false,
     });
 
     function fail(kind: AttemptFailed["kind"], reason: string): void {
-      limit[Symbol.dispose]();
+      timeout[Symbol.dispose]();
       req.destroy();
-      if (!isOpen) resume(Effect.fail(new AttemptFailed({ kind, reason })));
+      if (!hasHead) resume(Effect.fail(new AttemptFailed({ kind, reason })));
     }
 
-    let limit = startTimeout(
-      CONNECT_LIMIT_MS,
-      () => fail("not-sent", `No connection in ${CONNECT_LIMIT_MS} ms`),
+    let timeout = startTimeout(
+      CONNECT_TIMEOUT_MS,
+      () => fail("not-sent", `No connection within ${CONNECT_TIMEOUT_MS} ms`),
     );
     onConnected(req, () => {
       if (!call.mayStillSend()) {
-        return fail("unwanted", "It takes no requests any more");
+        return fail("unwanted", "The upstream no longer accepts requests");
       }
       isSent = true;
       call.onSent();
-      limit[Symbol.dispose]();
-      limit = startTimeout(
-        call.headLimitMs,
-        () => fail("silent", `No answer in ${call.headLimitMs} ms`),
+      timeout[Symbol.dispose]();
+      timeout = startTimeout(
+        call.headTimeoutMs,
+        () => fail("silent", `No response within ${call.headTimeoutMs} ms`),
       );
     });
     req.on("response", (res) => {
-      limit[Symbol.dispose]();
-      isOpen = true;
-      // Without a listener an error of the body would end the process.
+      timeout[Symbol.dispose]();
+      hasHead = true;
+      // Without a listener, an error event of the body would end the process.
       res.on("error", () => {});
-      const isWhole = hasLength(res)
+      const isComplete = hasBodyLength(res)
         ? Effect.sync(() => res.complete)
-        : watchEnd(res);
-      resume(Effect.succeed({ res, abort: () => req.destroy(), isWhole }));
+        : watchForReset(res);
+      resume(Effect.succeed({ res, abort: () => req.destroy(), isComplete }));
     });
     req.on("error", (err) => {
       const reason = `${(err as NodeJS.ErrnoException).code ?? err.message}`;
@@ -106,71 +111,80 @@
     });
     req.end(call.body);
     return Effect.sync(() => {
-      limit[Symbol.dispose]();
-      if (!isOpen) req.destroy();
+      timeout[Symbol.dispose]();
+      if (!hasHead) req.destroy();
     });
   });
 }
 
-/** Reads the whole body; fails when it ends early or is larger than allowed. */
-export function readAnswerBody(
-  answer: OpenAnswer,
-  limits: { readonly maxBytes: number; readonly limitMs: number },
+/**
+ * Reads the complete body. Fails if it is truncated or exceeds the size limit.
+ */
+export function readResponseBody(
+  response: UpstreamResponse,
+  limits: { readonly maxBytes: number; readonly timeoutMs: number },
 ): Effect.Effect<readonly Buffer[], AttemptFailed> {
-  const { res, abort } = answer;
+  const { res, abort } = response;
   return Effect.callback<readonly Buffer[], AttemptFailed>((resume) => {
     const chunks: Buffer[] = [];
     let size = 0;
     const fail = (kind: "broken" | "silent", reason: string) => {
-      limit[Symbol.dispose]();
+      timeout[Symbol.dispose]();
       abort();
       resume(Effect.fail(new AttemptFailed({ kind, reason })));
     };
-    const limit = startTimeout(
-      limits.limitMs,
-      () => fail("silent", `The body took over ${limits.limitMs} ms`),
+    const timeout = startTimeout(
+      limits.timeoutMs,
+      () =>
+        fail(
+          "silent",
+          `The response body did not arrive within ${limits.timeoutMs} ms`,
+        ),
     );
     res.on("data", (chunk: Buffer) => {
       size += chunk.length;
-      if (size > limits.maxBytes) fail("broken", "The body is too large");
+      if (size > limits.maxBytes) fail("broken", "The response is too large");
       else chunks.push(chunk);
     });
     res.on("close", () => {
-      limit[Symbol.dispose]();
+      timeout[Symbol.dispose]();
       resume(
-        answer.isWhole.pipe(
-          Effect.flatMap((isWhole) =>
-            isWhole ? Effect.succeed(chunks) : Effect.fail(createEndedEarly())
+        response.isComplete.pipe(
+          Effect.flatMap((isComplete) =>
+            isComplete
+              ? Effect.succeed(chunks)
+              : Effect.fail(createTruncatedError())
           ),
         ),
       );
     });
     return Effect.sync(() => {
-      limit[Symbol.dispose]();
+      timeout[Symbol.dispose]();
       if (!res.complete) abort();
     });
   });
 }
 
-/** The failure of a body that ended before its end. */
-export function createEndedEarly(): AttemptFailed {
-  const reason = "The body ended early";
+/** Creates the failure for a truncated body. */
+export function createTruncatedError(): AttemptFailed {
+  const reason = "The response body is truncated";
   return new AttemptFailed({ kind: "broken", reason });
 }
 
-function hasLength(res: IncomingMessage): boolean {
+function hasBodyLength(res: IncomingMessage): boolean {
   return res.headers["content-length"] !== undefined ||
     res.headers["transfer-encoding"] !== undefined;
 }
 
 /**
- * Tells whether a body without length ended with its connection, or broke off
- * by a reset. Node reports a reset that arrives together with the last data as
- * an ordinary end, and the caller would take the part for the whole. A write
- * tells them apart: on a connection that was reset it fails at once. An
- * upstream that has ended its side ignores the empty line.
+ * Determines whether a body without a length ended with an orderly close of its
+ * connection or with a reset. Node reports a reset that arrives together with
+ * the last data as an ordinary end, so that the caller would take a truncated
+ * body for a complete one. A write tells them apart: it fails at once on a
+ * connection that was reset, whereas an upstream that has closed its side
+ * ignores the empty line.
  */
-function watchEnd(res: IncomingMessage): Effect.Effect<boolean> {
+function watchForReset(res: IncomingMessage): Effect.Effect<boolean> {
   const { socket } = res;
   let wasReset = false;
   const ended = new Promise<void>((resolve) => {
@@ -191,8 +205,11 @@
   );
 }
 
-/** The body's length stands in one header, by what is really sent. */
-function getFramed(call: UpstreamCall): string[] {
+/**
+ * Adds a `Content-Length` header that states the length of the body actually
+ * sent.
+ */
+function getHeadersWithLength(call: UpstreamCall): string[] {
   const hasBody = call.body.length > 0 ||
     !["GET", "HEAD", "DELETE", "OPTIONS"].includes(call.method);
   if (!hasBody) return call.headers;
--- a/src/queue/common_room_test.ts
+++ b/src/queue/common_room_test.ts
@@ -70,13 +70,13 @@
       getStatedCapacity: () =>
         TOKENS_PER_MS * UPSTREAMS.length * 1_000 * (options.statedFactor ?? 1),
       getLearned: () => [{
-        ...pacing.getEvidence(),
+        ...pacing.getStats(),
         service: getNameDigest(SERVICE),
       }],
     });
     const pacing = createPacing({
       nowMs: clock.monotonicMs,
-      getOthers: () => view.getOthersLearned(SERVICE),
+      getRemoteStats: () => view.getOthersLearned(SERVICE),
       onChanged: () => {},
     });
     const sums = createLoadSums({
@@ -117,8 +117,8 @@
       const isLate = answers % 100 < options.lateShares[hostAt]! * 100;
       agenda.after(endMs - startedMs + LINK_MS, () => {
         view.endReading(upstream, promptTokens);
-        pacing.noteFirstEvent(queuedTokens, clock.monotonicMs() - startedMs);
-        pacing.notePause(isLate);
+        pacing.recordFirstEvent(queuedTokens, clock.monotonicMs() - startedMs);
+        pacing.recordPause(isLate);
       });
     }
 
--- a/src/router/leaving_test.ts
+++ b/src/router/leaving_test.ts
@@ -17,7 +17,7 @@
 } from "../proof/mod.ts";
 import { createOwnerFixture } from "../testing/slot_owner_fixture.ts";
 import type { Upstream } from "../types.ts";
-import { pollLoads, type UpstreamState } from "../upstreams/mod.ts";
+import { pollUpstreamStates, type UpstreamState } from "../upstreams/mod.ts";
 import { createLeavingUpstreams } from "./leaving.ts";
 
 function createFixture(wallMs = 1_000_000) {
@@ -100,7 +100,7 @@
     role: "",
     workingOn: "",
   };
-  const polled = Effect.runPromise(pollLoads({
+  const polled = Effect.runPromise(pollUpstreamStates({
     getOwned: () => upstreams,
     tryGetState: ({ id }) =>
       id === "engine-1" ? Effect.promise(() => silent) : Effect.succeed(state),
--- a/src/router/serving.ts
+++ b/src/router/serving.ts
@@ -22,8 +22,8 @@
 import type { Deployment } from "../types.ts";
 import {
   createHttpUpstreams,
-  createOccupancy,
   createUpstreamHealth,
+  createUpstreamLocks,
 } from "../upstreams/mod.ts";
 import { createCrashFact } from "./crash_facts.ts";
 import type { Drain } from "./drain.ts";
@@ -114,7 +114,7 @@
       onRegionalBytes: metrics.addRegionalPayload,
     }),
     health: createUpstreamHealth(clock),
-    occupancy: createOccupancy(),
+    occupancy: createUpstreamLocks(),
     quarantine,
     recorder: parts.recorder,
     backlog,
--- a/src/testing/forward_fixture.ts
+++ b/src/testing/forward_fixture.ts
@@ -23,10 +23,10 @@
 } from "../forwarding/mod.ts";
 import { createLoadView } from "../load/mod.ts";
 import { getNameDigest } from "../peers/mod.ts";
-import { NO_EVIDENCE, type Pacing } from "../pacing/mod.ts";
+import { EMPTY_PACING_STATS, type Pacing } from "../pacing/mod.ts";
 import { createPromptQueue } from "../queue/mod.ts";
 import { createRouteTable, type Route } from "../routing/mod.ts";
-import { createHealthWatch, createRestWatch } from "../upstreams/mod.ts";
+import { createBackoffWatch, createHealthWatch } from "../upstreams/mod.ts";
 import {
   createRoute,
   createRoutingConfig,
@@ -116,7 +116,7 @@
       if (id === FAULTY_ID) throw new TypeError("Meant by the test");
       return {
         requestId: id,
-        patienceMs: 4_000,
+        callerTimeoutMs: 4_000,
         key: req.headers["x-key"] as string | undefined,
         prompt: {
           model: "m",
@@ -134,16 +134,16 @@
       if (lastEventId === undefined) return [...rawHeaders];
       return [...rawHeaders, "x-last-event", lastEventId];
     },
-    readAnswer: (status, headers) => ({
+    readResponseHeaders: (status, headers) => ({
       requestId: headers["x-id"] as string | undefined,
       isSealed: headers["x-seal"] !== undefined,
       isNotRun: status === 421 || headers["x-not-run"] !== undefined,
       isLeaving: headers["x-leaving"] !== undefined,
-      rest: headers["x-rest-ms"] === undefined
+      backoff: headers["x-rest-ms"] === undefined
         ? undefined
         : { kind: "for", ms: Number(headers["x-rest-ms"]) },
     }),
-    createReplyHeaders({ retryAfterMs }): Record<string, string> {
+    createRejectionHeaders({ retryAfterMs }): Record<string, string> {
       if (retryAfterMs === undefined) return {};
       return { "retry-after": String(retryAfterMs) };
     },
@@ -239,10 +239,10 @@
     getLearned: () => [],
   });
   const pacing: Pacing = {
-    noteFirstEvent: (tokens) => void parts.paced.firstEvents.push(tokens),
-    notePause: (isLate) => void parts.paced.pauses.push(isLate),
+    recordFirstEvent: (tokens) => void parts.paced.firstEvents.push(tokens),
+    recordPause: (isLate) => void parts.paced.pauses.push(isLate),
     getLimitTokens: () => LIMIT_TOKENS,
-    getEvidence: () => NO_EVIDENCE,
+    getStats: () => EMPTY_PACING_STATS,
   };
   return {
     log: parts.log,
@@ -252,7 +252,7 @@
     codec: createTestCodec(),
     agent: createUpstreamAgent(),
     directory,
-    noteLeaving: (life) => void directory.markLeaving(life, "answer"),
+    markLeaving: (life) => void directory.markLeaving(life, "answer"),
     load,
     getPacing: () => pacing,
     queue: createPromptQueue({
@@ -274,24 +274,24 @@
         load.beginReading(upstream, readingTokens),
     }),
     health: createHealthWatch(clock),
-    rests: createRestWatch(clock),
+    backoffs: createBackoffWatch(clock),
     crashes: createCrashWatch({
       clock,
-      pushFact: () => {},
+      broadcastFact: () => {},
       onSuspected: () => {},
     }),
     retryBudget: createRetryBudget(clock),
     getDistance: () => "same-data-centre",
-    isBehind: () => parts.delay.isBehind,
-    getTurnMs: () => 0,
+    isOverloaded: () => parts.delay.isBehind,
+    getTurnOverrunMs: () => 0,
     getUnreadMs: () => parts.delay.unreadMs,
-    mayStart: () => true,
+    mayStartRequest: () => true,
     getInputs: () => ({
       configVersion: 1,
       upstreamsVersion: 1,
       confirmedMsAgo: 0,
     }),
-    onEnded: () => {},
+    onRequestEnded: () => {},
     random: () => 0,
   };
 }
