--- a/src/diagnostics/decision_lines.ts
+++ b/src/diagnostics/decision_lines.ts
@@ -15,14 +15,14 @@
 }
 
 /** What was read. */
-export interface DecisionLines {
+export interface ParsedDecisionLines {
   readonly logged: readonly LoggedDecision[];
   /** Lines that are no decisions: cut short, or of another program. */
   readonly unreadable: number;
 }
 
 /** Reads lines in any order; other text before a line's object is passed over. */
-export function parseDecisionLines(text: string): DecisionLines {
+export function parseDecisionLines(text: string): ParsedDecisionLines {
   const lines = text.split("\n").filter((line) => line.trim() !== "");
   const logged = lines.map(tryParseLine).filter((each) => each !== undefined);
   return {
--- a/src/diagnostics/decision_log.ts
+++ b/src/diagnostics/decision_log.ts
@@ -21,13 +21,13 @@
 }
 
 /** Lines wait at most so long for others, in ms: one write for all of them. */
-const GATHER_MS = 100;
+const BATCH_DELAY_MS = 100;
 
 /**
  * Bytes that may wait for the reader: some 2,000 lines, over a second of
  * decisions at the most that a host serves.
  */
-const MAX_WAITING_BYTES = 512 * 1024;
+const MAX_BUFFERED_BYTES = 512 * 1024;
 
 /** The standard output of a process, written without blocking it. */
 export function openStandardOutput(): Writable {
@@ -39,8 +39,8 @@
   host: string,
   output: Writable = openStandardOutput(),
 ): DecisionLog {
-  let gathered: string[] = [];
-  let gatheredBytes = 0;
+  let batch: string[] = [];
+  let batchBytes = 0;
   let dropped = 0;
   let timer: NodeJS.Timeout | undefined;
   // A closed reader must not end the process; the lines are lost either way.
@@ -49,27 +49,27 @@
   const sink = bunyan.createLogger({
     name: "azurestile-entry",
     host,
-    streams: [{ type: "raw", stream: { write: gather } }],
+    streams: [{ type: "raw", stream: { write: addToBatch } }],
   });
 
-  function gather(record: object): void {
+  function addToBatch(record: object): void {
     const line = `${JSON.stringify(record)}\n`;
-    const waitingBytes = output.writableLength + gatheredBytes;
-    if (waitingBytes + line.length > MAX_WAITING_BYTES) {
+    const bufferedBytes = output.writableLength + batchBytes;
+    if (bufferedBytes + line.length > MAX_BUFFERED_BYTES) {
       dropped++;
       return;
     }
-    gathered.push(line);
-    gatheredBytes += line.length;
-    timer ??= setTimeout(flush, GATHER_MS).unref();
+    batch.push(line);
+    batchBytes += line.length;
+    timer ??= setTimeout(flush, BATCH_DELAY_MS).unref();
   }
 
   function flush(): void {
     clearTimeout(timer);
     timer = undefined;
-    const text = gathered.join("");
-    gathered = [];
-    gatheredBytes = 0;
+    const text = batch.join("");
+    batch = [];
+    batchBytes = 0;
     if (text !== "") output.write(text);
     if (dropped === 0) return;
     const lines = dropped;
--- a/src/diagnostics/logger.ts
+++ b/src/diagnostics/logger.ts
@@ -33,13 +33,13 @@
 /** Makes the logger of a process; lines below the severity are dropped. */
 export function createLogger(
   host: string,
-  lowest: Severity,
+  minSeverity: Severity,
   output: NodeJS.WritableStream = process.stdout,
 ): Logger {
   const sink = bunyan.createLogger({
     name: "azurestile-router",
     host,
-    level: lowest,
+    level: minSeverity,
     stream: output,
   });
   return {
--- a/src/diagnostics/request_trace.ts
+++ b/src/diagnostics/request_trace.ts
@@ -11,41 +11,43 @@
 /** The story of a request. */
 export interface RequestTrace {
   /** The request's own lines, in order of time. */
-  readonly own: readonly LoggedDecision[];
+  readonly ownDecisions: readonly LoggedDecision[];
   /** What bears on it: at its host, and of its upstreams at any host. */
-  readonly around: readonly LoggedDecision[];
+  readonly relatedDecisions: readonly LoggedDecision[];
   /** Ends of other requests at its host around it, by team and outcome. */
-  readonly ends: ReadonlyMap<string, number>;
+  readonly otherEnds: ReadonlyMap<string, number>;
 }
 
 /** What is around a request: so long before its first line, after its last. */
-export const AROUND_MS = 5_000;
+export const CONTEXT_MS = 5_000;
 
 /** Traces the request; `undefined` when no line names it. */
 export function tryTraceRequest(
   logged: readonly LoggedDecision[],
   request: string,
-  aroundMs: number = AROUND_MS,
+  contextMs: number = CONTEXT_MS,
 ): RequestTrace | undefined {
-  const own = logged.filter(({ decision }) =>
+  const ownDecisions = logged.filter(({ decision }) =>
     "request" in decision && decision.request === request
   );
-  const [first] = own;
+  const [first] = ownDecisions;
   if (first === undefined) return undefined;
-  const hosts = new Set(own.map((each) => each.host));
+  const hosts = new Set(ownDecisions.map((each) => each.host));
   const upstreams = new Set(
-    own.flatMap(({ decision }) => tryGetUpstream(decision) ?? []),
+    ownDecisions.flatMap(({ decision }) => tryGetUpstream(decision) ?? []),
   );
-  const fromMs = first.atMs - aroundMs;
-  const toMs = own.at(-1)!.atMs + aroundMs;
-  const near = logged.filter((each) =>
-    each.atMs >= fromMs && each.atMs <= toMs && !own.includes(each)
+  const fromMs = first.atMs - contextMs;
+  const toMs = ownDecisions.at(-1)!.atMs + contextMs;
+  const inWindow = logged.filter((each) =>
+    each.atMs >= fromMs && each.atMs <= toMs && !ownDecisions.includes(each)
   );
-  const here = near.filter((each) => hosts.has(each.host));
+  const atSameHosts = inWindow.filter((each) => hosts.has(each.host));
   return {
-    own,
-    around: near.filter((each) => bearsOn(each, { hosts, upstreams })),
-    ends: countEnds(here),
+    ownDecisions: ownDecisions,
+    relatedDecisions: inWindow.filter((each) =>
+      isRelated(each, { hosts, upstreams })
+    ),
+    otherEnds: countByTeamAndOutcome(atSameHosts),
   };
 }
 
@@ -53,29 +55,29 @@
   return "upstream" in decision ? decision.upstream : undefined;
 }
 
-function bearsOn(
+function isRelated(
   { host, decision }: LoggedDecision,
-  about: {
+  subject: {
     readonly hosts: ReadonlySet<string>;
     readonly upstreams: ReadonlySet<string>;
   },
 ): boolean {
-  const isHere = about.hosts.has(host);
+  const isAtHost = subject.hosts.has(host);
   switch (decision.event) {
     case "attempt-started":
     case "request-ended":
       return false;
     case "attempt-failed":
-      return about.upstreams.has(decision.upstream);
+      return subject.upstreams.has(decision.upstream);
     case "upstream-changed":
     case "upstream-said":
-      return isHere || about.upstreams.has(decision.upstream);
+      return isAtHost || subject.upstreams.has(decision.upstream);
     default:
-      return isHere;
+      return isAtHost;
   }
 }
 
-function countEnds(
+function countByTeamAndOutcome(
   logged: readonly LoggedDecision[],
 ): ReadonlyMap<string, number> {
   const ends = new Map<string, number>();
@@ -89,10 +91,11 @@
 
 /** The trace as lines for people. */
 export function formatRequestTrace(trace: RequestTrace): readonly string[] {
-  const { own, around, ends } = trace;
-  const zeroMs = own[0]!.atMs;
+  const { ownDecisions: own, relatedDecisions: around, otherEnds: ends } =
+    trace;
+  const startMs = own[0]!.atMs;
   const format = (each: LoggedDecision) =>
-    `${formatOffset(each.atMs - zeroMs)}  ${each.host}  ${
+    `${formatOffset(each.atMs - startMs)}  ${each.host}  ${
       describeDecision(each.decision)
     }`;
   const lines = ["The request:", ...own.map(format)];
@@ -115,7 +118,7 @@
       return `Sent to ${decision.upstream} (attempt ${decision.attempt}) after ` +
         `${decision.waitedMs} ms here; ${decision.inFlight} of this host's ` +
         `requests were in flight there${
-          formatReading(decision.readingTokens)
+          formatPrefill(decision.readingTokens)
         }; ${formatInputs(decision.inputs)}`;
     case "attempt-failed":
       return `${decision.upstream} gave no answer: ${decision.kind}, ` +
@@ -151,7 +154,7 @@
         `${decision.change}, from ${decision.from} (platform's version ` +
         `${decision.platformVersion})`;
     case "upstream-said":
-      return describeSaid(decision);
+      return describeUpstreamSignal(decision);
     case "member-changed":
       return `Host ${decision.member} is ${decision.state}`;
     case "table-reader-changed":
@@ -186,7 +189,7 @@
   }
 }
 
-function describeSaid(
+function describeUpstreamSignal(
   said: Extract<Decision, { readonly event: "upstream-said" }>,
 ): string {
   const from = `Upstream ${said.upstream} with status ${said.status}`;
@@ -200,7 +203,7 @@
   }
 }
 
-function formatReading(readingTokens: number | undefined): string {
+function formatPrefill(readingTokens: number | undefined): string {
   if (readingTokens === undefined) return "";
   return `, which reads ${readingTokens} tokens of it`;
 }
@@ -210,7 +213,7 @@
   return `; told to come back in ${Math.round(retryAfterMs)} ms`;
 }
 
-const yieldTexts = [
+const priorityTexts = [
   "yielded to none",
   "was sparse",
   "was of a team over its share",
@@ -218,11 +221,13 @@
 
 function formatQueue(queue: QueueInputs | undefined): string {
   if (queue === undefined) return "";
-  return `; of ${queue.waiting} that waited it ${yieldTexts[queue.yields]} ` +
-    `(${queue.shareUsed} of the share used), for ${formatRoom(queue)}`;
+  return `; of ${queue.waiting} that waited it ${
+    priorityTexts[queue.yields]
+  } ` +
+    `(${queue.shareUsed} of the share used), for ${formatCapacity(queue)}`;
 }
 
-function formatRoom(queue: QueueInputs): string {
+function formatCapacity(queue: QueueInputs): string {
   const { backlog, load, upstream, limitTokens } = queue;
   if (backlog !== undefined) {
     return `a place behind ${backlog.waiting} of its team and route, of which ` +
--- a/src/diagnostics/request_trace_test.ts
+++ b/src/diagnostics/request_trace_test.ts
@@ -85,17 +85,20 @@
   const { logged, unreadable } = parseDecisionLines(crash);
   strictEqual(unreadable, 0);
   const trace = tryTraceRequest(logged, "r-1")!;
-  deepStrictEqual(trace.own.map(({ decision }) => decision.event), [
+  deepStrictEqual(trace.ownDecisions.map(({ decision }) => decision.event), [
     "attempt-started",
     "attempt-failed",
     "request-ended",
   ]);
-  deepStrictEqual(trace.around.map(({ decision }) => decision.event), [
-    "attempt-failed",
-    "upstream-changed",
-  ]);
   deepStrictEqual(
-    [...trace.ends],
+    trace.relatedDecisions.map(({ decision }) => decision.event),
+    [
+      "attempt-failed",
+      "upstream-changed",
+    ],
+  );
+  deepStrictEqual(
+    [...trace.otherEnds],
     [["calm: answered", 1], ["flood: answered", 1]],
   );
   const text = formatRequestTrace(trace).join("\n");
