--- a/src/diagnostics/decision_lines.ts
+++ b/src/diagnostics/decision_lines.ts
@@ -1,27 +1,29 @@
 /**
- * Reads the lines that entry hosts log, of one host or of many in one text.
+ * Parses the decisions that entry hosts log, from one host or several.
  *
  * @module
  */
 
 import type { Decision } from "./decisions.ts";
 
-/** A decision with where and when it was taken. */
+/** A decision with its host and its time. */
 export interface LoggedDecision {
   readonly host: string;
-  /** Wall milliseconds of that host, which may be off by some. */
+  /** Wall time of that host in ms; the clocks of hosts can differ. */
   readonly atMs: number;
   readonly decision: Decision;
 }
 
-/** What was read. */
+/** The result of parsing a log. */
 export interface ParsedDecisionLines {
   readonly logged: readonly LoggedDecision[];
-  /** Lines that are no decisions: cut short, or of another program. */
+  /** Number of lines that are truncated or are not decisions. */
   readonly unreadable: number;
 }
 
-/** Reads lines in any order; other text before a line's object is passed over. */
+/**
+ * Parses lines in any order; ignores text before the JSON object of a line.
+ */
 export function parseDecisionLines(text: string): ParsedDecisionLines {
   const lines = text.split("\n").filter((line) => line.trim() !== "");
   const logged = lines.map(tryParseLine).filter((each) => each !== undefined);
--- a/src/diagnostics/decision_log.ts
+++ b/src/diagnostics/decision_log.ts
@@ -1,11 +1,11 @@
 /**
- * One JSON line for each decision that touches a request or changes what the
- * process believes: the request's id, the inputs with their age or version, the
- * outcome. On-call engineers have these lines and the metrics and nothing else.
+ * Logs one JSON line for each decision that affects a request or changes the
+ * state of the process: the request's id, the inputs with their age or version,
+ * and the outcome. On-call engineers have only these lines and the metrics.
  *
- * Lines are gathered and written in the background. When the reader of the
- * output falls behind, lines are dropped and counted: a full pipe must never
- * stop a request.
+ * Lines are written in batches in the background. If the reader of the output
+ * is too slow, lines are dropped and counted, since a full pipe must never
+ * block a request.
  *
  * @module
  */
@@ -15,26 +15,26 @@
 import bunyan from "bunyan";
 import type { Decision } from "./decisions.ts";
 
-/** Takes in decisions. */
+/** Writes decisions to the log. */
 export interface DecisionLog extends AsyncDisposable {
   write(decision: Decision): void;
 }
 
-/** Lines wait at most so long for others, in ms: one write for all of them. */
+/** Lines are collected for this long, in ms, and written together. */
 const BATCH_DELAY_MS = 100;
 
 /**
- * Bytes that may wait for the reader: some 2,000 lines, over a second of
- * decisions at the most that a host serves.
+ * Bytes that may be buffered for the reader: about 2,000 lines, which is more
+ * than a second of decisions of a host at its highest load.
  */
 const MAX_BUFFERED_BYTES = 512 * 1024;
 
-/** The standard output of a process, written without blocking it. */
+/** Opens the standard output for writes that do not block the process. */
 export function openStandardOutput(): Writable {
   return createWriteStream("", { fd: 1, autoClose: false });
 }
 
-/** Makes the log of the host named. */
+/** Makes the decision log of a host. */
 export function createDecisionLog(
   host: string,
   output: Writable = openStandardOutput(),
@@ -43,7 +43,8 @@
   let batchBytes = 0;
   let dropped = 0;
   let timer: NodeJS.Timeout | undefined;
-  // A closed reader must not end the process; the lines are lost either way.
+  // The process must not end if the reader closes the pipe; the lines are lost
+  // in any case.
   output.on("error", () => {});
 
   const sink = bunyan.createLogger({
--- a/src/diagnostics/decisions.ts
+++ b/src/diagnostics/decisions.ts
@@ -1,55 +1,61 @@
 /**
- * The decisions that an entry host logs. Names and fields are part of what
- * operators rely on: docs/OPERATIONS.md explains each.
+ * The decisions that an entry host logs. Operators rely on the names and the
+ * fields; docs/OPERATIONS.md documents each of them.
  *
  * @module
  */
 
 import type { Outcome } from "../types.ts";
 
-/** Where a decision's inputs came from, and how new they were. */
+/** The versions and the age of the data that a decision was based on. */
 export interface Inputs {
-  /** The operator's version of the configuration in force. */
+  /** Version of the configuration in force. */
   readonly configVersion: number;
-  /** The platform's era, by the list of upstreams; absent if it names none. */
+  /** The platform's era in the list of upstreams; absent if it names none. */
   readonly platformEra?: number | undefined;
-  /** The platform's version of the list of upstreams, in that era. */
+  /** The platform's version of the list of upstreams within that era. */
   readonly upstreamsVersion: number;
-  /** Time since a host last read the older of both at the platform, in ms. */
+  /**
+   * Time in ms since a host last read both from the platform: the larger of the
+   * two ages.
+   */
   readonly confirmedMsAgo: number;
 }
 
-/** Load and shares as the queue saw them when it refused a prompt. */
+/** Load and shares that the queue knew when it refused a prompt. */
 export interface QueueInputs {
   readonly waitedMs: number;
-  /** Prompts that waited at the host. */
+  /** Prompts in the queue of the host. */
   readonly waiting: number;
-  /** 0: yields to none; 1: sparse; 2: of a team over its share. */
+  /** 0: yields to no others; 1: inefficient; 2: of a team over its share. */
   readonly yields: 0 | 1 | 2;
-  /** What the team was given of late, over its fair share. */
+  /** The service that the team recently got, divided by its fair share. */
   readonly shareUsed: number;
-  /** Of a prompt refused before it waited: what of its kind did, and started. */
+  /**
+   * For a prompt refused on arrival: the queued requests of its team and route,
+   * and the rate at which they start.
+   */
   readonly backlog?: {
     readonly waiting: number;
     readonly startedPerSecond: number;
   };
-  /** Tokens that an upstream may have to read at once, for all but it. */
+  /** Limit of prefill tokens in flight at an upstream, without this prompt. */
   readonly limitTokens: number | undefined;
-  /** The upstream that it waited for, and that one's load from all hosts. */
+  /** The upstream that the prompt waited for; `load` is its load. */
   readonly upstream: string | undefined;
   readonly load:
     | {
       readonly slots: number;
       readonly inFlight: number;
-      /** Tokens being read there, attention counted. */
+      /** Tokens being prefilled there, with the cost of attention. */
       readonly readingTokens: number;
-      /** Prompts of underserved teams, waiting for it at other hosts. */
+      /** Prompts of underserved teams that wait for it at other hosts. */
       readonly underservedElsewhere: number;
     }
     | undefined;
 }
 
-/** A decision with what decided it. */
+/** A decision with the data that it was based on. */
 export type Decision =
   | {
     readonly event: "attempt-started";
@@ -58,15 +64,18 @@
     readonly upstream: string;
     readonly attempt: number;
     readonly waitedMs: number;
-    /** Of it, in the queue; absent for what doesn't wait there. */
+    /** The part of `waitedMs` in the queue; absent if it is not queued. */
     readonly queuedMs: number | undefined;
-    /** The present turn of the event loop has taken so long. */
+    /** Duration of the current event-loop iteration so far. */
     readonly turnMs: number;
-    /** What is read now may have waited so long unread. */
+    /** Time that input read now may have waited unread in the socket. */
     readonly unreadMs: number;
-    /** Requests of this host at the upstream, this one not counted. */
+    /** Other requests of this host at the upstream. */
     readonly inFlight: number;
-    /** Tokens to read there, attention counted, as far as this host knows. */
+    /**
+     * Tokens to prefill there, with the cost of attention, as far as this host
+     * knows.
+     */
     readonly readingTokens: number | undefined;
     readonly inputs: Inputs;
   }
@@ -77,9 +86,9 @@
     readonly attempt: number;
     readonly kind: string;
     readonly reason: string;
-    /** What is done next. */
+    /** The next step for the request. */
     readonly next: "another-upstream" | "resume" | "give-up";
-    /** Why there is no further attempt. */
+    /** Reason why there is no further attempt. */
     readonly because: string | undefined;
   }
   | {
@@ -92,35 +101,37 @@
     readonly reason: string;
     readonly upstream: string | undefined;
     readonly attempts: number;
-    /** Since the latest attempt began; absent without one. */
+    /** Time since the start of the last attempt; absent without one. */
     readonly sinceAttemptMs: number | undefined;
     readonly totalMs: number;
-    /** Of a stream; absent before its first event. */
+    /** Time to the first event of a stream; absent before it. */
     readonly firstEventMs: number | undefined;
-    /** Pieces of a stream passed on. */
+    /** Chunks of a stream that were relayed to the caller. */
     readonly chunks: number;
-    /** Between two pieces of a stream. */
+    /** Longest time between two chunks of a stream. */
     readonly longestPauseMs: number | undefined;
     readonly retryAfterMs: number | undefined;
-    /** What a refusal by the queue was decided from. */
+    /** The data that a refusal by the queue was based on. */
     readonly queue: QueueInputs | undefined;
     readonly inputs: Inputs;
   }
   | {
-    /** This host takes no new callers for now, or does again. */
+    /** This host stopped or resumed accepting new callers. */
     readonly event: "intake-changed";
     readonly isFull: boolean;
-    /** Of the event loop, over the last second. */
+    /** Mean duration of event-loop iterations over the last second. */
     readonly meanTurnMs: number;
   }
   | {
-    /** What upstreams of the service may have to read at once is another. */
+    /**
+     * The limit of prefill tokens in flight changed for a service's upstreams.
+     */
     readonly event: "reading-limit-changed";
     readonly service: string;
     readonly limitTokens: number;
-    /** Tokens that are read within the service's target, as learned. */
+    /** Tokens that are prefilled within the service's target, as measured. */
     readonly inTimeTokens: number;
-    /** Share of the answers of the last seconds that paused too long. */
+    /** Share of the responses of the last seconds that paused too long. */
     readonly lateShare: number;
   }
   | {
@@ -131,21 +142,21 @@
     readonly from: string;
   }
   | {
-    /** The platform has come back from an older copy of itself. */
+    /** The platform was restored from an older backup. */
     readonly event: "platform-era-changed";
     readonly table: string;
-    /** The platform, or the host that has passed the table on. */
+    /** The platform, or the host that sent the table. */
     readonly from: string;
     readonly era: number;
     readonly platformVersion: number;
-    /** Of the copy that this host had. */
+    /** Era and version of the replica that this host had. */
     readonly lastEra: number;
     readonly lastVersion: number;
   }
   | {
-    /** Answers of the platform name no era that can be read, or do again. */
+    /** Responses of the platform have no readable era, or have one again. */
     readonly event: "platform-era-unnamed" | "platform-era-named";
-    /** What stands in the answer instead; absent for nothing. */
+    /** The text in place of the era; absent if there is none. */
     readonly text: string | undefined;
   }
   | {
@@ -154,23 +165,23 @@
     readonly service: string;
     readonly address: string;
     readonly change: string;
-    /** The platform's table, the upstream's own answer, or another host. */
+    /** The platform's table, a response of the upstream, or another host. */
     readonly from: string;
     readonly platformEra?: number | undefined;
     readonly platformVersion: number;
   }
   | {
-    /** An upstream said something of itself in an answer. */
+    /** An upstream signalled its state in a response. */
     readonly event: "upstream-said";
     readonly request: string;
     readonly upstream: string;
-    /** Wall milliseconds of its start. */
+    /** Wall milliseconds of the start of the upstream. */
     readonly incarnation: number;
     readonly status: number;
     readonly said: "leaving" | "rest" | "unreadable-rest";
-    /** How long it wants no request from this host. */
+    /** Back-off: how long it asked this host not to send requests. */
     readonly restMs: number | undefined;
-    /** What can't be read. */
+    /** The text that can't be read. */
     readonly text: string | undefined;
   }
   | {
@@ -180,18 +191,18 @@
     readonly incarnation: number;
   }
   | {
-    /** This host begins to read a table at the platform, or leaves it. */
+    /** This host starts or stops reading a table from the platform. */
     readonly event: "table-reader-changed";
     readonly table: string;
     readonly reads: boolean;
     readonly because: string;
-    /** Hosts that it passed over, since the platform turned them away. */
+    /** Hosts that were skipped as readers since their reads failed. */
     readonly passedOver: number;
-    /** Time since it heard that a host had read the table, in ms. */
+    /** Time since the last reported successful read of the table, in ms. */
     readonly unconfirmedMs: number;
   }
   | {
-    /** Another host had a newer copy of a table and did not give it. */
+    /** Another host had a newer version of a table and did not send it. */
     readonly event: "table-not-fetched";
     readonly table: string;
     readonly peer: string;
--- a/src/diagnostics/logger.ts
+++ b/src/diagnostics/logger.ts
@@ -1,6 +1,6 @@
 /**
- * JSON lines on standard output. Each line names its host and a message of the
- * catalogue; the fields beside it carry the request id where there is one.
+ * Writes log lines as JSON to standard output. Each line has its host, a
+ * message of the catalogue and fields, such as the request's id.
  *
  * @module
  */
@@ -9,10 +9,10 @@
 import bunyan from "bunyan";
 import { formatMessage, type MessageName, messages } from "./messages.ts";
 
-/** How bad a log line is. */
+/** The severity of a log line, in ascending order. */
 export type Severity = "debug" | "info" | "warn" | "error";
 
-/** Fields beside a message; never a key, a token or a body. */
+/** Fields of a log line; they never contain a key, a token or a body. */
 export interface LogFields {
   readonly request?: string;
   readonly team?: string;
@@ -21,7 +21,7 @@
   readonly outcome?: string;
 }
 
-/** Writes log lines of one process. */
+/** Writes the log lines of one process. */
 export interface Logger {
   write(
     severity: Severity,
@@ -30,7 +30,7 @@
   ): void;
 }
 
-/** Makes the logger of a process; lines below the severity are dropped. */
+/** Makes the logger of a process; lines below `minSeverity` are dropped. */
 export function createLogger(
   host: string,
   minSeverity: Severity,
--- a/src/diagnostics/logger_test.ts
+++ b/src/diagnostics/logger_test.ts
@@ -38,10 +38,11 @@
 });
 
 /**
- * An operator types a secret into the wrong key or leaves a quote open, and the
- * reason goes into the log, which more people read than the settings.
+ * An operator puts a secret under the wrong key or leaves a quote open. The
+ * reason of the error is logged, and more people read the log than the
+ * settings.
  */
-test("no secret of broken settings reaches the log", () => {
+test("no secret of invalid settings is logged", () => {
   const secrets = ["fleet-secret-31a", "operator-key-77b"];
   const good = `host = "entry-1"
 data_centre = "dc-a"
--- a/src/diagnostics/messages_test.ts
+++ b/src/diagnostics/messages_test.ts
@@ -7,14 +7,14 @@
 
 const SOURCES = fileURLToPath(new URL("../../src", import.meta.url));
 
-/** The prefix of the codes of each category. */
+/** The first digit of the codes of each category. */
 const firstDigits = {
   "caller-error": 1,
   "operator-error": 2,
   log: 3,
 } as const;
 
-/** Text of every source but tests and the catalogue itself. */
+/** The text of all sources except tests and the catalogue itself. */
 function readSources(): string {
   return readdirSync(SOURCES, { recursive: true, encoding: "utf8" })
     .filter((name) => name.endsWith(".ts") && !name.endsWith("_test.ts"))
@@ -32,7 +32,7 @@
   }
 });
 
-test("every message is used somewhere", () => {
+test("every message is used in a source", () => {
   const sources = readSources();
   const unused = Object.keys(messages).filter((name) =>
     !sources.includes(`"${name}"`)
@@ -40,7 +40,7 @@
   deepStrictEqual(unused, []);
 });
 
-test("arguments are put in where the text names them", () => {
+test("arguments replace the placeholders of the text", () => {
   const name: MessageName = "badHeader";
   const text = formatMessage(name, ["a", "b", "c"]);
   deepStrictEqual(text, 'The header "a" has the value "b", expected c');
--- a/src/diagnostics/mod.ts
+++ b/src/diagnostics/mod.ts
@@ -1,5 +1,5 @@
 /**
- * What the program says to people: the catalogue of messages and the log.
+ * Messages, logs and the analysis of logged decisions.
  *
  * @module
  */
--- a/src/diagnostics/request_trace.ts
+++ b/src/diagnostics/request_trace.ts
@@ -1,6 +1,6 @@
 /**
- * From a request's id to its cause: its own lines, and what its host and its
- * upstreams went through around it.
+ * Traces a request by its id through logged decisions: the decisions about the
+ * request itself, and those about its host and its upstreams at the time.
  *
  * @module
  */
@@ -8,20 +8,20 @@
 import type { Decision, Inputs, QueueInputs } from "./decisions.ts";
 import type { LoggedDecision } from "./decision_lines.ts";
 
-/** The story of a request. */
+/** The logged decisions that concern one request. */
 export interface RequestTrace {
-  /** The request's own lines, in order of time. */
+  /** The decisions about the request itself, in the order of time. */
   readonly ownDecisions: readonly LoggedDecision[];
-  /** What bears on it: at its host, and of its upstreams at any host. */
-  readonly relatedDecisions: readonly LoggedDecision[];
-  /** Ends of other requests at its host around it, by team and outcome. */
+  /** Related decisions: at its host, and about its upstreams at any host. */
+  readonly related: readonly LoggedDecision[];
+  /** Number of other requests that ended at its host, by team and outcome. */
   readonly otherEnds: ReadonlyMap<string, number>;
 }
 
-/** What is around a request: so long before its first line, after its last. */
+/** Decisions this long before the first line and after the last are related. */
 export const CONTEXT_MS = 5_000;
 
-/** Traces the request; `undefined` when no line names it. */
+/** Traces a request; `undefined` if no line names it. */
 export function tryTraceRequest(
   logged: readonly LoggedDecision[],
   request: string,
@@ -43,10 +43,8 @@
   );
   const atSameHosts = inWindow.filter((each) => hosts.has(each.host));
   return {
-    ownDecisions: ownDecisions,
-    relatedDecisions: inWindow.filter((each) =>
-      isRelated(each, { hosts, upstreams })
-    ),
+    ownDecisions,
+    related: inWindow.filter((each) => isRelated(each, { hosts, upstreams })),
     otherEnds: countByTeamAndOutcome(atSameHosts),
   };
 }
@@ -89,20 +87,19 @@
   return new Map([...ends].sort(([, a], [, b]) => b - a));
 }
 
-/** The trace as lines for people. */
+/** Formats a trace as lines of text. */
 export function formatRequestTrace(trace: RequestTrace): readonly string[] {
-  const { ownDecisions: own, relatedDecisions: around, otherEnds: ends } =
-    trace;
-  const startMs = own[0]!.atMs;
+  const { ownDecisions, related, otherEnds } = trace;
+  const startMs = ownDecisions[0]!.atMs;
   const format = (each: LoggedDecision) =>
     `${formatOffset(each.atMs - startMs)}  ${each.host}  ${
       describeDecision(each.decision)
     }`;
-  const lines = ["The request:", ...own.map(format)];
-  if (around.length > 0) lines.push("Around it:", ...around.map(format));
-  if (ends.size > 0) {
+  const lines = ["The request:", ...ownDecisions.map(format)];
+  if (related.length > 0) lines.push("Around it:", ...related.map(format));
+  if (otherEnds.size > 0) {
     lines.push("Other requests at its host meanwhile:");
-    for (const [what, count] of ends) lines.push(`  ${count} x ${what}`);
+    for (const [what, count] of otherEnds) lines.push(`  ${count} x ${what}`);
   }
   return lines;
 }
@@ -111,17 +108,17 @@
   return `${ms < 0 ? "" : "+"}${ms} ms`.padStart(10);
 }
 
-/** The decision as one sentence without time and host. */
+/** Describes a decision in one sentence, without its time and host. */
 export function describeDecision(decision: Decision): string {
   switch (decision.event) {
     case "attempt-started":
       return `Sent to ${decision.upstream} (attempt ${decision.attempt}) after ` +
-        `${decision.waitedMs} ms here; ${decision.inFlight} of this host's ` +
-        `requests were in flight there${
-          formatPrefill(decision.readingTokens)
-        }; ${formatInputs(decision.inputs)}`;
+        `${decision.waitedMs} ms; ${decision.inFlight} other requests of this ` +
+        `host were in flight there${formatPrefill(decision.readingTokens)}; ${
+          formatInputs(decision.inputs)
+        }`;
     case "attempt-failed":
-      return `${decision.upstream} gave no answer: ${decision.kind}, ` +
+      return `Attempt at ${decision.upstream} failed: ${decision.kind}, ` +
         `"${decision.reason}"; next: ${decision.next}${
           decision.because === undefined ? "" : `, since "${decision.because}"`
         }`;
@@ -133,17 +130,18 @@
         }; ${formatInputs(decision.inputs)}`;
     case "reading-limit-changed":
       return `An upstream of ${decision.service} may have ` +
-        `${decision.limitTokens} tokens to read, of ${decision.inTimeTokens} ` +
-        `that it reads in time; ${decision.lateShare} of the answers paused ` +
-        `too long`;
+        `${decision.limitTokens} tokens to prefill; ${decision.inTimeTokens} ` +
+        `are prefilled in time; a share of ${decision.lateShare} of the ` +
+        `responses paused too long`;
     case "intake-changed":
-      return `${decision.isFull ? "Takes no" : "Takes"} new callers: a turn ` +
-        `took ${decision.meanTurnMs} ms on average`;
+      return `${decision.isFull ? "Accepts no" : "Accepts"} new callers: an ` +
+        `event-loop iteration took ${decision.meanTurnMs} ms on average`;
     case "config-in-force":
       return `Configuration ${decision.version} in force, from ${decision.from}`;
     case "platform-era-changed":
-      return `The platform came back from a copy: ${decision.table} at version ` +
-        `${decision.platformVersion} of era ${decision.era}, after ` +
+      return "The platform was restored from a backup: " +
+        `${decision.table} at version ${decision.platformVersion} of era ` +
+        `${decision.era}, after ` +
         `${decision.lastVersion} of era ${decision.lastEra}; from ` +
         `${decision.from}`;
     case "platform-era-unnamed":
@@ -159,11 +157,11 @@
       return `Host ${decision.member} is ${decision.state}`;
     case "table-reader-changed":
       return `${decision.reads ? "Reads" : "Does not read"} ` +
-        `${decision.table} at the platform, ${decision.because}: ` +
-        `${decision.passedOver} hosts passed over, last confirmed ` +
+        `${decision.table} from the platform, ${decision.because}: ` +
+        `${decision.passedOver} hosts skipped, last successful read ` +
         `${decision.unconfirmedMs} ms before`;
     case "table-not-fetched":
-      return `${decision.peer} did not give its newer ${decision.table} ` +
+      return `${decision.peer} did not send its newer ${decision.table} ` +
         `within ${decision.tookMs} ms`;
     case "platform-lost":
     case "platform-regained":
@@ -172,20 +170,20 @@
       return `Row "${decision.key}" of ${decision.table} can't be read: ` +
         `"${decision.reason}"`;
     case "content-suspected":
-      return `A content is suspected, with ${decision.crashes} crashes`;
+      return `Content is suspect after ${decision.crashes} crashes`;
     case "started":
       return `Started, incarnation ${decision.incarnation}`;
     case "drain-phase":
-      return `Stopping: ${decision.phase}, ${decision.inFlight} in flight`;
+      return `Drain: ${decision.phase}, ${decision.inFlight} requests in flight`;
     case "stopped":
-      return `Stopped after ${decision.tookMs} ms, ${decision.cut} cut`;
+      return `Stopped after ${decision.tookMs} ms, ${decision.cut} requests cut`;
     case "settings-reloaded":
     case "settings-refused":
       return `${decision.event}: "${decision.reason}"`;
     case "task-failed":
       return `Task ${decision.task} failed: "${decision.reason}"`;
     case "log-lines-dropped":
-      return `${decision.lines} lines were lost here: the reader fell behind`;
+      return `${decision.lines} log lines were dropped: their reader was too slow`;
   }
 }
 
@@ -195,52 +193,53 @@
   const from = `Upstream ${said.upstream} with status ${said.status}`;
   switch (said.said) {
     case "leaving":
-      return `${from}: it leaves`;
+      return `${from}: it is leaving`;
     case "rest":
-      return `${from}: no requests of this host for ${said.restMs} ms`;
+      return `${from}: it asked this host to back off for ${said.restMs} ms`;
     case "unreadable-rest":
-      return `${from}: a rest that can't be read, "${said.text}"`;
+      return `${from}: a back-off that can't be read, "${said.text}"`;
   }
 }
 
 function formatPrefill(readingTokens: number | undefined): string {
   if (readingTokens === undefined) return "";
-  return `, which reads ${readingTokens} tokens of it`;
+  return `, with ${readingTokens} tokens to prefill`;
 }
 
 function formatRetry(retryAfterMs: number | undefined): string {
   if (retryAfterMs === undefined) return "";
-  return `; told to come back in ${Math.round(retryAfterMs)} ms`;
+  return `; the caller may retry in ${Math.round(retryAfterMs)} ms`;
 }
 
+/** Descriptions of the values of `QueueInputs.yields`. */
 const priorityTexts = [
-  "yielded to none",
-  "was sparse",
-  "was of a team over its share",
+  "of full priority",
+  "inefficient",
+  "of a team over its share",
 ] as const;
 
 function formatQueue(queue: QueueInputs | undefined): string {
   if (queue === undefined) return "";
-  return `; of ${queue.waiting} that waited it ${
-    priorityTexts[queue.yields]
-  } ` +
-    `(${queue.shareUsed} of the share used), for ${formatCapacity(queue)}`;
+  return `; with ${queue.waiting} prompts queued it was ` +
+    `${priorityTexts[queue.yields]} (${queue.shareUsed} of the share used); ` +
+    formatCapacity(queue);
 }
 
 function formatCapacity(queue: QueueInputs): string {
   const { backlog, load, upstream, limitTokens } = queue;
   if (backlog !== undefined) {
-    return `a place behind ${backlog.waiting} of its team and route, of which ` +
-      `${backlog.startedPerSecond} start in a second`;
+    return `${backlog.waiting} requests of its team and route were ahead, of ` +
+      `which ${backlog.startedPerSecond} start per second`;
   }
   if (load === undefined) return "no upstream to wait for";
-  const room = `${upstream} with ${load.inFlight} of ${load.slots} slots in ` +
-    `use and ${load.readingTokens} of ${limitTokens} tokens to read`;
-  if (load.underservedElsewhere === 0) return room;
-  return `${room}, left to ${load.underservedElsewhere} of underserved teams`;
+  const usage = `${upstream} had ${load.inFlight} of ${load.slots} slots in ` +
+    `use and ${load.readingTokens} of ${limitTokens} tokens to prefill`;
+  if (load.underservedElsewhere === 0) return usage;
+  return `${usage}, and ${load.underservedElsewhere} prompts of underserved ` +
+    "teams waited for it at other hosts";
 }
 
 function formatInputs(inputs: Inputs): string {
   return `configuration ${inputs.configVersion} and upstreams ` +
-    `${inputs.upstreamsVersion}, confirmed ${inputs.confirmedMsAgo} ms before`;
+    `${inputs.upstreamsVersion}, last read ${inputs.confirmedMsAgo} ms before`;
 }
--- a/src/diagnostics/request_trace_test.ts
+++ b/src/diagnostics/request_trace_test.ts
@@ -5,7 +5,7 @@
 
 const inputs = { configVersion: 4, upstreamsVersion: 19, confirmedMsAgo: 90 };
 
-/** A line as a host logs it, so many ms into the test's minute. */
+/** Makes a line as a host logs it, `ms` after the start of the test's log. */
 function createLine(host: string, ms: number, decision: object): string {
   const time = new Date(Date.UTC(2026, 0, 1) + ms).toISOString();
   return JSON.stringify({ name: "azurestile-entry", host, ...decision, time });
@@ -26,7 +26,10 @@
   };
 }
 
-/** An upstream crashed in mid-stream; the platform noticed later. */
+/**
+ * Log of a crash in mid-stream of an upstream, which the platform later
+ * removed.
+ */
 const crash = [
   createLine("h1", 9_000, {
     event: "upstream-changed",
@@ -78,10 +81,11 @@
   }),
 ].join("\n");
 
-test("a request that an upstream's crash cut is traced to the crash", () => {
-  // A caller has half a draft and its try's id. On call there are only the lines
-  // of all hosts, in no order: the cause is that another host found the same
-  // upstream gone, and that the platform removed it a second later.
+test("a request that was cut off by an upstream's crash is traced to the crash", () => {
+  // A caller has half a response and its attempt's id. On-call engineers have
+  // only the unordered lines of all hosts. They show that another host could
+  // not connect to the same upstream, and that the platform removed it a second
+  // later.
   const { logged, unreadable } = parseDecisionLines(crash);
   strictEqual(unreadable, 0);
   const trace = tryTraceRequest(logged, "r-1")!;
@@ -91,7 +95,7 @@
     "request-ended",
   ]);
   deepStrictEqual(
-    trace.relatedDecisions.map(({ decision }) => decision.event),
+    trace.related.map(({ decision }) => decision.event),
     [
       "attempt-failed",
       "upstream-changed",
@@ -102,13 +106,16 @@
     [["calm: answered", 1], ["flood: answered", 1]],
   );
   const text = formatRequestTrace(trace).join("\n");
-  match(text, /\+900 ms {2}h1 {2}i-1 gave no answer: broken/);
+  match(text, /\+900 ms {2}h1 {2}Attempt at i-1 failed: broken/);
   match(text, /since "It may have run and may not be repeated"/);
-  match(text, /\+950 ms {2}h2 {2}i-1 gave no answer: not-sent, "ECONNREFUSED"/);
+  match(
+    text,
+    /\+950 ms {2}h2 {2}Attempt at i-1 failed: not-sent, "ECONNREFUSED"/,
+  );
   match(text, /Upstream i-1 of model: removed/);
 });
 
-test("a refusal says after how long, why, and when to come back", () => {
+test("a refusal is described with its wait, its reason and the time to retry", () => {
   const end = createEnd("r-1", {
     outcome: "not-run",
     status: 503,
@@ -134,15 +141,18 @@
   const { logged } = parseDecisionLines(createLine("h1", 0, end));
   const [, line] = formatRequestTrace(tryTraceRequest(logged, "r-1")!);
   match(line!, /not-run with status 503 after 481 ms and 0 attempts/);
-  match(line!, /come back in 875 ms; of 31 that waited it was of a team over/);
-  match(line!, /1.4 of the share used\), for i-1 with 27 of 48 slots in use/);
   match(
     line!,
-    /and 13900 of 14000 tokens to read; configuration 4 and upstreams 19/,
+    /retry in 875 ms; with 31 prompts queued it was of a team over/,
+  );
+  match(line!, /1.4 of the share used\); i-1 had 27 of 48 slots in use/);
+  match(
+    line!,
+    /and 13900 of 14000 tokens to prefill; configuration 4 and upstreams 19/,
   );
 });
 
-test("a refusal before a wait says what waited already", () => {
+test("a refusal without a wait is described with the requests ahead", () => {
   const end = createEnd("r-1", {
     outcome: "not-run",
     status: 503,
@@ -160,11 +170,15 @@
   });
   const { logged } = parseDecisionLines(createLine("h1", 0, end));
   const [, line] = formatRequestTrace(tryTraceRequest(logged, "r-1")!);
-  match(line!, /behind 12 of its team and route, of which 3.5 start in a sec/);
+  match(
+    line!,
+    /; 12 requests of its team and route were ahead, of which 3.5 start per sec/,
+  );
 });
 
-test("lines that are no decisions are passed over and counted", () => {
-  // The output of many processes, cut at its start, with a prefix from a shipper.
+test("lines that are not decisions are skipped and counted", () => {
+  // Output of several processes that is truncated at its start and has a prefix
+  // from a log shipper.
   const text = `{"event":"request-en\nplain words\n12.5 h1 ${
     createLine("h1", 0, createEnd("r-1"))
   }\n\n`;
