--- a/src/diagnostics/request_trace.ts
+++ b/src/diagnostics/request_trace.ts
@@ -118,7 +118,7 @@
           formatInputs(decision.inputs)
         }`;
     case "attempt-failed":
-      return `Attempt at ${decision.upstream} failed: ${decision.kind}, ` +
+      return `${decision.upstream} gave no answer: ${decision.kind}, ` +
         `"${decision.reason}"; next: ${decision.next}${
           decision.because === undefined ? "" : `, since "${decision.because}"`
         }`;
@@ -139,9 +139,8 @@
     case "config-in-force":
       return `Configuration ${decision.version} in force, from ${decision.from}`;
     case "platform-era-changed":
-      return "The platform was restored from a backup: " +
-        `${decision.table} at version ${decision.platformVersion} of era ` +
-        `${decision.era}, after ` +
+      return `The platform was restored from a backup: ${decision.table} at ` +
+        `version ${decision.platformVersion} of era ${decision.era}, after ` +
         `${decision.lastVersion} of era ${decision.lastEra}; from ` +
         `${decision.from}`;
     case "platform-era-unnamed":
@@ -208,35 +207,36 @@
 
 function formatRetry(retryAfterMs: number | undefined): string {
   if (retryAfterMs === undefined) return "";
-  return `; the caller may retry in ${Math.round(retryAfterMs)} ms`;
+  return `; told to come back in ${Math.round(retryAfterMs)} ms`;
 }
 
 /** Descriptions of the values of `QueueInputs.yields`. */
 const priorityTexts = [
-  "of full priority",
-  "inefficient",
-  "of a team over its share",
+  "was of full priority",
+  "was inefficient",
+  "was of a team over its share",
 ] as const;
 
 function formatQueue(queue: QueueInputs | undefined): string {
   if (queue === undefined) return "";
-  return `; with ${queue.waiting} prompts queued it was ` +
-    `${priorityTexts[queue.yields]} (${queue.shareUsed} of the share used); ` +
-    formatCapacity(queue);
+  return `; of ${queue.waiting} that waited it ${
+    priorityTexts[queue.yields]
+  } ` +
+    `(${queue.shareUsed} of the share used), for ${formatCapacity(queue)}`;
 }
 
 function formatCapacity(queue: QueueInputs): string {
   const { backlog, load, upstream, limitTokens } = queue;
   if (backlog !== undefined) {
-    return `${backlog.waiting} requests of its team and route were ahead, of ` +
-      `which ${backlog.startedPerSecond} start per second`;
+    return `a place behind ${backlog.waiting} of its team and route, of which ` +
+      `${backlog.startedPerSecond} start in a second`;
   }
   if (load === undefined) return "no upstream to wait for";
-  const usage = `${upstream} had ${load.inFlight} of ${load.slots} slots in ` +
-    `use and ${load.readingTokens} of ${limitTokens} tokens to prefill`;
+  const usage = `${upstream} with ${load.inFlight} of ${load.slots} slots in ` +
+    `use and ${load.readingTokens} of ${limitTokens} tokens to read`;
   if (load.underservedElsewhere === 0) return usage;
   return `${usage}, and ${load.underservedElsewhere} prompts of underserved ` +
-    "teams waited for it at other hosts";
+    `teams waited for it at other hosts`;
 }
 
 function formatInputs(inputs: Inputs): string {
