--- a/src/commands/exit_codes.ts
+++ b/src/commands/exit_codes.ts
@@ -24,7 +24,7 @@
     code: 7,
     text: "A live host did not answer; the result lacks the data of that host",
   },
-  notFound: { code: 8, text: "No host has data on the requested item" },
+  notFound: { code: 8, text: "The requested item was not found" },
 } as const satisfies Record<string, { code: number; text: string }>;
 
 /** Name of an exit code. */
--- a/src/commands/timeline.ts
+++ b/src/commands/timeline.ts
@@ -41,9 +41,14 @@
   since: {
     type: "string",
     valueHint: "TIME",
-    description: "Events since: an age (30s, 10m, 2h) or 2026-01-31T10:00:00Z",
+    description:
+      "Only from this time: an age (30s, 10m, 2h) or 2026-01-31T10:00:00Z",
+  },
+  until: {
+    type: "string",
+    valueHint: "TIME",
+    description: "Only before this time",
   },
-  until: { type: "string", valueHint: "TIME", description: "Events until" },
   follow: { type: "boolean", description: "Keep printing new events" },
   ...jsonArg,
   svg: {
@@ -155,7 +160,7 @@
   request: string | undefined,
 ): void {
   const title = request === undefined
-    ? `Time line, ${events.length} events`
+    ? `Timeline, ${events.length} events`
     : `Request ${request}`;
   writeFileSync(file, createLanesSvg(events, title));
 }
--- a/src/diagnostics/request_trace.ts
+++ b/src/diagnostics/request_trace.ts
@@ -211,7 +211,7 @@
 }
 
 /** Descriptions of the values of `QueueInputs.yields`. */
-const priorityTexts = [
+const yieldTexts = [
   "was of full priority",
   "was inefficient",
   "was of a team over its share",
@@ -219,9 +219,7 @@
 
 function formatQueue(queue: QueueInputs | undefined): string {
   if (queue === undefined) return "";
-  return `; of ${queue.waiting} that waited it ${
-    priorityTexts[queue.yields]
-  } ` +
+  return `; of ${queue.waiting} that waited it ${yieldTexts[queue.yields]} ` +
     `(${queue.shareUsed} of the share used), for ${formatCapacity(queue)}`;
 }
 
