--- a/src/diagnostics/request_trace.ts
+++ b/src/diagnostics/request_trace.ts
@@ -118,7 +118,7 @@
           formatInputs(decision.inputs)
         }`;
     case "attempt-failed":
-      return `${decision.upstream} gave no answer: ${decision.kind}, ` +
+      return `Attempt at ${decision.upstream} failed: ${decision.kind}, ` +
         `"${decision.reason}"; next: ${decision.next}${
           decision.because === undefined ? "" : `, since "${decision.because}"`
         }`;
@@ -207,31 +207,32 @@
 
 function formatRetry(retryAfterMs: number | undefined): string {
   if (retryAfterMs === undefined) return "";
-  return `; told to come back in ${Math.round(retryAfterMs)} ms`;
+  return `; the caller may retry in ${Math.round(retryAfterMs)} ms`;
 }
 
 /** Descriptions of the values of `QueueInputs.yields`. */
 const yieldTexts = [
-  "was of full priority",
-  "was inefficient",
-  "was of a team over its share",
+  "of full priority",
+  "inefficient",
+  "of a team over its share",
 ] as const;
 
 function formatQueue(queue: QueueInputs | undefined): string {
   if (queue === undefined) return "";
-  return `; of ${queue.waiting} that waited it ${yieldTexts[queue.yields]} ` +
-    `(${queue.shareUsed} of the share used), for ${formatCapacity(queue)}`;
+  return `; with ${queue.waiting} prompts queued it was ` +
+    `${yieldTexts[queue.yields]} (${queue.shareUsed} of the share used); ` +
+    `${formatCapacity(queue)}`;
 }
 
 function formatCapacity(queue: QueueInputs): string {
   const { backlog, load, upstream, limitTokens } = queue;
   if (backlog !== undefined) {
-    return `a place behind ${backlog.waiting} of its team and route, of which ` +
-      `${backlog.startedPerSecond} start in a second`;
+    return `${backlog.waiting} requests of its team and route were ahead, of ` +
+      `which ${backlog.startedPerSecond} start per second`;
   }
   if (load === undefined) return "no upstream to wait for";
-  const usage = `${upstream} with ${load.inFlight} of ${load.slots} slots in ` +
-    `use and ${load.readingTokens} of ${limitTokens} tokens to read`;
+  const usage = `${upstream} had ${load.inFlight} of ${load.slots} slots in ` +
+    `use and ${load.readingTokens} of ${limitTokens} tokens to prefill`;
   if (load.underservedElsewhere === 0) return usage;
   return `${usage}, and ${load.underservedElsewhere} prompts of underserved ` +
     `teams waited for it at other hosts`;
--- a/src/diagnostics/request_trace_test.ts
+++ b/src/diagnostics/request_trace_test.ts
@@ -106,9 +106,12 @@
     [["calm: answered", 1], ["flood: answered", 1]],
   );
   const text = formatRequestTrace(trace).join("\n");
-  match(text, /\+900 ms {2}h1 {2}i-1 gave no answer: broken/);
+  match(text, /\+900 ms {2}h1 {2}Attempt at i-1 failed: broken/);
   match(text, /since "It may have run and may not be repeated"/);
-  match(text, /\+950 ms {2}h2 {2}i-1 gave no answer: not-sent, "ECONNREFUSED"/);
+  match(
+    text,
+    /\+950 ms {2}h2 {2}Attempt at i-1 failed: not-sent, "ECONNREFUSED"/,
+  );
   match(text, /Upstream i-1 of model: removed/);
 });
 
@@ -140,12 +143,12 @@
   match(line!, /not-run with status 503 after 481 ms and 0 attempts/);
   match(
     line!,
-    /come back in 875 ms; of 31 that waited it was of a team over/,
+    /retry in 875 ms; with 31 prompts queued it was of a team over/,
   );
-  match(line!, /1.4 of the share used\), for i-1 with 27 of 48 slots in use/);
+  match(line!, /1.4 of the share used\); i-1 had 27 of 48 slots in use/);
   match(
     line!,
-    /and 13900 of 14000 tokens to read; configuration 4 and upstreams 19/,
+    /and 13900 of 14000 tokens to prefill; configuration 4 and upstreams 19/,
   );
 });
 
@@ -167,7 +170,10 @@
   });
   const { logged } = parseDecisionLines(createLine("h1", 0, end));
   const [, line] = formatRequestTrace(tryTraceRequest(logged, "r-1")!);
-  match(line!, /behind 12 of its team and route, of which 3.5 start in a sec/);
+  match(
+    line!,
+    /; 12 requests of its team and route were ahead, of which 3.5 start per sec/,
+  );
 });
 
 test("lines that are not decisions are skipped and counted", () => {
