--- a/src/orders/orders_test.ts
+++ b/src/orders/order_reconciler_test.ts
@@ -1,6 +1,6 @@
 /**
- * Tests of orders: who gives them, in which order they arrive, and how the
- * weight store is asked.
+ * Tests of orders: which order is sent, that orders of several hosts arrive in
+ * the order of their tokens, and back-off at the weight store.
  *
  * @module
  */
@@ -14,14 +14,17 @@
 import { createFakePlatform } from "../testing/fake_platform.ts";
 import type { FencingKind, Upstream } from "../types.ts";
 import type { UpstreamState } from "../upstreams/mod.ts";
-import { tryDecideOrder } from "./decide_order.ts";
-import { createLeases, LEASE_MS } from "./lease.ts";
+import { tryGetNextOrder } from "./next_order.ts";
+import { createLeases, LEASE_DURATION_MS } from "./lease.ts";
 import type { OrderCall } from "./order_client.ts";
-import { createOrders, type OrdersHost } from "./orders.ts";
+import {
+  createOrderReconciler,
+  type OrderReconcilerHost,
+} from "./order_reconciler.ts";
 import { createReservations } from "./reservations.ts";
 
-/** Longer than a lease, so that a wait that is left out shows. */
-const FLIGHT_LIMIT_MS = 15_000;
+/** Longer than a lease, so that the test detects a missing wait-out. */
+const MAX_FLIGHT_MS = 15_000;
 
 function createUpstream(input: Partial<Upstream> = {}): Upstream {
   return {
@@ -31,7 +34,7 @@
     address: "127.0.0.1:1",
     maxSlots: 4,
     fencing: "ignores",
-    longestOrderMs: FLIGHT_LIMIT_MS,
+    longestOrderMs: MAX_FLIGHT_MS,
     ...input,
   };
 }
@@ -50,7 +53,7 @@
 test("a new model is loaded before the old one is unloaded", () => {
   const declared = createUpstream({ model: "new" });
   const decide = (state: Partial<UpstreamState>) =>
-    tryDecideOrder(declared, createState(state));
+    tryGetNextOrder(declared, createState(state));
   assert.deepEqual(decide({ models: ["old"] }), { kind: "load", model: "new" });
   assert.equal(decide({ models: ["old"], workingOn: "load new" }), undefined);
   assert.deepEqual(decide({ models: ["old", "new"] }), {
@@ -62,26 +65,26 @@
 
 test("what operators don't declare is left alone", () => {
   const state = createState({ models: ["theirs"], role: "prefill" });
-  assert.equal(tryDecideOrder(createUpstream(), state), undefined);
-  const plain = createState({ models: undefined });
+  assert.equal(tryGetNextOrder(createUpstream(), state), undefined);
+  const unreported = createState({ models: undefined });
   const declared = createUpstream({ model: "new" });
-  assert.equal(tryDecideOrder(declared, plain), undefined);
+  assert.equal(tryGetNextOrder(declared, unreported), undefined);
 });
 
-/** Tries of each host in one run. */
-const ROUNDS = 6;
+/** Reconciliations of each host in one simulation. */
+const RECONCILIATIONS = 6;
 
-/** An order on its way: from the last check to its arrival. */
-interface Act {
+/** An order with the times of its last lease check and of its arrival. */
+interface ArrivedOrder {
   readonly token: number;
   readonly beganMs: number;
   arrivedMs: number;
 }
 
-interface OrderWorld {
-  readonly acts: Act[];
+interface Simulation {
+  readonly arrivedOrders: ArrivedOrder[];
   readonly clock: ReturnType<typeof createManualClock>;
-  readonly runs: readonly (() => Promise<void>)[];
+  readonly reconcilers: readonly (() => Promise<void>)[];
 }
 
 interface OrderFaults {
@@ -89,10 +92,10 @@
   readonly lostRequests: number;
 }
 
-/** Which guard a fixture goes without. */
-type GuardOff = "none" | "last-check" | "wait-out" | "token";
+/** The guard that a simulation leaves out. */
+type SkippedGuard = "none" | "last-check" | "wait-out" | "token";
 
-/** Clocks of one machine each: own start, and a rate within 0.5%. */
+/** A host's clock with its own origin and a rate error of up to 0.5%. */
 function createHostClock(clock: Clock, index: number): Clock {
   const rate = 1 + (index - 1) * 0.005;
   return {
@@ -101,59 +104,61 @@
   };
 }
 
-/** Hosts that each want another model on one upstream, so that they compete. */
-function createOrderWorld(input: {
+/** Hosts that compete by declaring different models for one upstream. */
+function createSimulation(input: {
   readonly fencing: FencingKind;
-  readonly off: GuardOff;
+  readonly skip: SkippedGuard;
   readonly faults: OrderFaults;
   readonly step: (name: string) => Promise<void>;
-}): OrderWorld {
-  const { fencing, off, step } = input;
+}): Simulation {
+  const { fencing, skip, step } = input;
   const clock = createManualClock();
   const platform = createFakePlatform();
   platform.control.pass = step;
   Object.assign(platform.control, input.faults);
-  const acts: Act[] = [];
-  let highest = 0;
+  const arrivedOrders: ArrivedOrder[] = [];
+  let highestToken = 0;
   let models: readonly string[] = [];
 
-  function arrive(act: Act, call: OrderCall): boolean {
-    if (fencing === "checks" && off !== "token" && act.token < highest) {
+  function receive(order: ArrivedOrder, call: OrderCall): boolean {
+    if (
+      fencing === "checks" && skip !== "token" && order.token < highestToken
+    ) {
       return false;
     }
-    highest = Math.max(highest, act.token);
-    act.arrivedMs = clock.monotonicMs();
-    acts.push(act);
+    highestToken = Math.max(highestToken, order.token);
+    order.arrivedMs = clock.monotonicMs();
+    arrivedOrders.push(order);
     if (call.order.kind === "load") models = [call.order.model];
     return true;
   }
 
   async function send(call: OrderCall) {
     await step("dial");
-    if (off !== "last-check" && !call.mayBegin()) return "lapsed" as const;
+    if (skip !== "last-check" && !call.isLeaseValid()) return "lapsed" as const;
     const beganMs = clock.monotonicMs();
-    const act = { token: call.token, beganMs, arrivedMs: Infinity };
+    const order = { token: call.token, beganMs, arrivedMs: Infinity };
     await step("flight");
-    // Declared in the files: nothing is in flight for longer.
+    // The configuration declares that no order is in flight for longer.
     if (
-      fencing === "ignores" && clock.monotonicMs() - beganMs > FLIGHT_LIMIT_MS
+      fencing === "ignores" && clock.monotonicMs() - beganMs > MAX_FLIGHT_MS
     ) {
       return "unanswered" as const;
     }
-    const isTaken = arrive(act, call);
+    const isAccepted = receive(order, call);
     await step("answer");
-    return isTaken ? "taken" as const : "refused" as const;
+    return isAccepted ? "taken" as const : "refused" as const;
   }
 
-  const runs = [0, 1, 2].map((index) => {
+  const reconcilers = [0, 1, 2].map((index) => {
     const hostClock = createHostClock(clock, index);
     let attempts = 0;
-    const host: OrdersHost = {
+    const host: OrderReconcilerHost = {
       leases: createLeases({
         id: `entry-${index}`,
         clock: hostClock,
         tables: platform.tables,
-        createAttempt: () => `${index}/${attempts++}`,
+        createAttemptId: () => `${index}/${attempts++}`,
       }),
       reservations: createReservations({
         clock: hostClock,
@@ -162,40 +167,43 @@
       }),
       tryGetState: () => Effect.sync(() => createState({ models })),
       sendOrder: (_, call) => Effect.promise(() => send(call)),
-      onGiven() {},
+      onOrderResult() {},
     };
-    const orders = createOrders(host);
+    const orders = createOrderReconciler(host);
     const upstream = createUpstream({
       fencing,
       model: `model-${index}`,
-      longestOrderMs: off === "wait-out" ? 0 : FLIGHT_LIMIT_MS,
+      longestOrderMs: skip === "wait-out" ? 0 : MAX_FLIGHT_MS,
     });
     return () =>
       Effect.runPromise(
         orders.reconcile(upstream, createState({ models })).pipe(Effect.ignore),
       );
   });
-  return { acts, clock, runs };
+  return { arrivedOrders, clock, reconcilers };
 }
 
-/** What breaks the promise at the upstream, or `undefined`. */
-function findFault(acts: readonly Act[], fencing: FencingKind) {
+/** Returns how orders mixed at the upstream, or `undefined` if they did not. */
+function findViolation(
+  arrivedOrders: readonly ArrivedOrder[],
+  fencing: FencingKind,
+) {
   let highest = 0;
-  for (const act of acts) {
-    if (act.token < highest) return `Token ${act.token} after ${highest}`;
-    highest = act.token;
+  for (const order of arrivedOrders) {
+    if (order.token < highest) return `Token ${order.token} after ${highest}`;
+    highest = order.token;
   }
   if (fencing === "checks") return undefined;
-  for (const [index, act] of acts.entries()) {
-    const overlaps = acts.slice(index + 1).some((other) =>
-      other.token !== act.token && other.beganMs < act.arrivedMs
+  for (const [index, order] of arrivedOrders.entries()) {
+    const overlaps = arrivedOrders.slice(index + 1).some((other) =>
+      other.token !== order.token && other.beganMs < order.arrivedMs
     );
-    if (overlaps) return `Token ${act.token} overlaps a later one`;
+    if (overlaps) return `Token ${order.token} overlaps a later one`;
   }
   return undefined;
 }
 
-const runInput = [
+const simulationInput = [
   fc.scheduler(),
   fc.array(
     fc.oneof(
@@ -211,64 +219,78 @@
   }),
 ] as const;
 
-/** Three hosts try again and again, with pauses anywhere between their steps. */
-async function runOrders(
-  input: { fencing: FencingKind; off: GuardOff },
-  drawn: { scheduler: fc.Scheduler; pauses: number[]; faults: OrderFaults },
-): Promise<readonly Act[]> {
-  const { scheduler, pauses, faults } = drawn;
+/** Three hosts reconcile repeatedly, with pauses between any two steps. */
+async function simulateOrders(
+  input: { fencing: FencingKind; skip: SkippedGuard },
+  schedule: { scheduler: fc.Scheduler; pauses: number[]; faults: OrderFaults },
+): Promise<readonly ArrivedOrder[]> {
+  const { scheduler, pauses, faults } = schedule;
   const step = async (name: string) => {
     await scheduler.schedule(Promise.resolve(), name);
   };
-  const world = createOrderWorld({ ...input, faults, step });
+  const simulation = createSimulation({ ...input, faults, step });
   let isDone = false;
   const pass = async () => {
     for (let next = 0; !isDone; next = (next + 1) % pauses.length) {
       await step("pause");
-      world.clock.advance(pauses[next]!);
+      simulation.clock.advance(pauses[next]!);
     }
   };
-  const trying = world.runs.map(async (run) => {
-    for (let round = 0; round < ROUNDS; round++) {
+  const attempts = simulation.reconcilers.map(async (run) => {
+    for (let round = 0; round < RECONCILIATIONS; round++) {
       await run();
       await step("again");
     }
   });
-  const tried = Promise.all(trying).then(() => isDone = true);
+  const tried = Promise.all(attempts).then(() => isDone = true);
   await scheduler.waitFor(Promise.all([pass(), tried]));
-  return world.acts;
+  return simulation.arrivedOrders;
 }
 
 for (const fencing of ["ignores", "checks"] as const) {
-  test(`orders at an upstream that ${fencing} tokens come in token order`, async () => {
-    // Three hosts believe that they own one upstream. Any of them may be
-    // stopped between any two steps for up to 25 s, and replies get lost.
-    let given = 0;
-    let holders = 0;
+  test(`orders reach an upstream that ${fencing} tokens in token order`, async () => {
+    // Three hosts believe that they own one upstream. Each may be suspended
+    // between any two steps for up to 25 s, and replies may be lost.
+    let arrivalCount = 0;
+    let tokenCount = 0;
     await fc.assert(
-      fc.asyncProperty(...runInput, async (scheduler, pauses, faults) => {
-        const acts = await runOrders({ fencing, off: "none" }, {
-          scheduler,
-          pauses,
-          faults,
-        });
-        given += acts.length;
-        holders += new Set(acts.map((act) => act.token)).size;
-        assert.equal(findFault(acts, fencing), undefined);
-      }),
+      fc.asyncProperty(
+        ...simulationInput,
+        async (scheduler, pauses, faults) => {
+          const arrivedOrders = await simulateOrders({
+            fencing,
+            skip: "none",
+          }, {
+            scheduler,
+            pauses,
+            faults,
+          });
+          arrivalCount += arrivedOrders.length;
+          tokenCount += new Set(arrivedOrders.map((order) => order.token)).size;
+          assert.equal(findViolation(arrivedOrders, fencing), undefined);
+        },
+      ),
       { seed: 11, numRuns: 200 },
     );
-    assert(given > 200 && holders > 200, "The runs gave too few orders");
+    assert(
+      arrivalCount > 200 && tokenCount > 200,
+      "The runs sent too few orders",
+    );
   });
 }
 
-test("without the last check orders are seen to mix", async () => {
-  // The same runs, with holders that send whatever their lease has become.
-  const fixture = { fencing: "ignores", off: "last-check" } as const;
+test("without the last lease check the simulation detects mixed orders", async () => {
+  // The same simulations, with holders that send orders after their lease
+  // expired.
+  const fixture = { fencing: "ignores", skip: "last-check" } as const;
   const checked = await fc.check(
-    fc.asyncProperty(...runInput, async (scheduler, pauses, faults) => {
-      const acts = await runOrders(fixture, { scheduler, pauses, faults });
-      assert.equal(findFault(acts, fixture.fencing), undefined);
+    fc.asyncProperty(...simulationInput, async (scheduler, pauses, faults) => {
+      const arrivedOrders = await simulateOrders(fixture, {
+        scheduler,
+        pauses,
+        faults,
+      });
+      assert.equal(findViolation(arrivedOrders, fixture.fencing), undefined);
     }),
     { seed: 11, numRuns: 2_000, endOnFailure: true },
   );
@@ -281,8 +303,11 @@
   return { passed, open: () => open() };
 }
 
-/** One host's order is on its way while its lease lapses and another tries. */
-async function runOvertaking(fencing: FencingKind, off: GuardOff) {
+/** A host's lease expires while its order is in flight; another host tries. */
+async function simulateOvertaking(
+  fencing: FencingKind,
+  skip: SkippedGuard,
+) {
   const flight = createGate();
   const sent = createGate();
   let flights = 0;
@@ -292,34 +317,33 @@
     return flight.passed;
   };
   const faults = { lostReplies: 0, lostRequests: 0 };
-  const world = createOrderWorld({ fencing, off, faults, step });
-  const [first, second] = world.runs;
+  const simulation = createSimulation({ fencing, skip, faults, step });
+  const [first, second] = simulation.reconcilers;
   const slow = first!();
   await sent.passed;
   await second!();
-  world.clock.advance(LEASE_MS * 1.05);
+  simulation.clock.advance(LEASE_DURATION_MS * 1.05);
   await second!();
   flight.open();
   await slow;
-  return world.acts;
+  return simulation.arrivedOrders;
 }
 
 for (
-  const { fencing, off } of [
-    { fencing: "ignores", off: "wait-out" },
-    { fencing: "checks", off: "token" },
+  const { fencing, skip } of [
+    { fencing: "ignores", skip: "wait-out" },
+    { fencing: "checks", skip: "token" },
   ] as const
 ) {
-  test(`an order on its way is not overtaken: "${off}"`, async () => {
-    // A host sends an order and is stopped; the order is on its way for longer
-    // than the lease. Another host takes the lease over. An upstream that
-    // ignores tokens must not get the newer order first, and one that checks
-    // them must refuse the older one.
-    const acts = await runOvertaking(fencing, "none");
-    assert.equal(acts.length, 1);
-    assert.equal(findFault(acts, fencing), undefined);
-    const mixed = await runOvertaking(fencing, off);
-    assert.notEqual(findFault(mixed, fencing), undefined);
+  test(`an order in flight is not overtaken: "${skip}"`, async () => {
+    // An order is in flight for longer than its lease, and another host
+    // acquires the lease. An upstream that ignores tokens must not get the
+    // newer order first, and one that checks them must reject the older one.
+    const arrivedOrders = await simulateOvertaking(fencing, "none");
+    assert.equal(arrivedOrders.length, 1);
+    assert.equal(findViolation(arrivedOrders, fencing), undefined);
+    const unguarded = await simulateOvertaking(fencing, skip);
+    assert.notEqual(findViolation(unguarded, fencing), undefined);
   });
 }
 
@@ -332,7 +356,7 @@
       id,
       clock,
       tables: platform.tables,
-      createAttempt: () => `${id}/${attempts++}`,
+      createAttemptId: () => `${id}/${attempts++}`,
     });
   const acquire = (leases: ReturnType<typeof createLeases>, waitOutMs = 0) =>
     Effect.runPromise(leases.tryAcquire("orders/engine-1", waitOutMs));
@@ -345,37 +369,37 @@
   };
 }
 
-test("a lease whose reply is lost is known again", async () => {
-  // The write takes effect, its reply is lost. Taken for a failure, the lease
-  // would block all hosts until it lapses, its holder included.
+test("a lease is acquired even if the reply to its write is lost", async () => {
+  // The write takes effect and its reply is lost. If that counted as a failure,
+  // the lease would block all hosts, its holder included, until it expires.
   const { platform, acquire, one } = createLeaseFixture();
   platform.control.lostReplies = 1;
   assert.equal((await acquire(one))?.token, 1);
 });
 
-test("a dead holder's lease is taken after its time and the wait-out", async () => {
-  // The holder dies with an order under way at an upstream that ignores tokens.
-  // The next one begins neither before the lease lapsed nor before the order
-  // must have ended, and its token is higher.
+test("a dead holder's lease is available after expiry and wait-out", async () => {
+  // The holder dies while its order executes at an upstream that ignores
+  // tokens. The next holder must wait until the lease has expired and the order
+  // must have ended, and gets a higher token.
   const { clock, acquire, one, two } = createLeaseFixture();
   await acquire(one, 5_000);
   assert.equal(await acquire(two, 5_000), undefined);
-  clock.advance(LEASE_MS + 4_900);
+  clock.advance(LEASE_DURATION_MS + 4_900);
   assert.equal(await acquire(two, 5_000), undefined);
   clock.advance(500);
   assert.equal((await acquire(two, 5_000))?.token, 2);
 });
 
-test("a released lease is taken at once, with a higher token", async () => {
+test("a released lease is available at once, with a higher token", async () => {
   const { acquire, one, two } = createLeaseFixture();
   const first = await acquire(one, 5_000);
   await Effect.runPromise(one.release(first!));
   assert.equal((await acquire(two, 5_000))?.token, 2);
 });
 
-test("the weight store is asked seldom after it refused", async () => {
-  // One edit changes hundreds of engines. The store takes a few downloads a
-  // second and refuses the rest; hosts that ask on at once use up its limit.
+test("a host backs off after the weight store refused a download", async () => {
+  // One edit changes hundreds of engines. The store accepts a few downloads per
+  // second and refuses the others; hosts that retry at once use up its limit.
   const clock = createManualClock();
   const platform = createFakePlatform();
   platform.control.reservations = 0;
@@ -401,8 +425,8 @@
   assert.equal(await reserve(), true);
 });
 
-/** Hosts that each need two downloads, against a store of two a second. */
-function runDownloads(hosts: number, pauses: boolean) {
+/** Hosts that need two downloads each from a store that allows two a second. */
+function simulateDownloads(hosts: number, pauses: boolean) {
   const clock = createManualClock();
   const random = createRandom(3);
   let taken: number[] = [];
@@ -433,18 +457,18 @@
       if (isReserved) host.left--;
     }
     clock.advance(250);
-    if (clock.monotonicMs() > 3_600_000) throw new Error("It never ends");
+    if (clock.monotonicMs() > 3_600_000) throw new Error("Took over an hour");
   }
   return { asked, tookMs: clock.monotonicMs() };
 }
 
-test("a fleet's downloads go through the store's limit", () => {
-  // One edit changes the model of 96 engines at 48 hosts; the store gives two
-  // downloads a second, so 48 s is the least. Hosts that ask on each turn send
-  // it questions that it must refuse, from all hosts at once.
-  const fleet = runDownloads(48, true);
-  assert(fleet.tookMs < 4 * 48_000, `It took ${fleet.tookMs} ms`);
-  assert(fleet.asked < 96 * 6, `It asked ${fleet.asked} times`);
-  const eager = runDownloads(48, false);
-  assert(eager.asked > 96 * 20, `Without pauses ${eager.asked} times`);
+test("a fleet's downloads finish within the store's rate limit", () => {
+  // One edit changes the model of 96 engines at 48 hosts. The store allows two
+  // downloads per second, so the minimum is 48 s. Hosts that ask at every step
+  // send it many requests that it must refuse.
+  const fleet = simulateDownloads(48, true);
+  assert(fleet.tookMs < 4 * 48_000, `Took ${fleet.tookMs} ms`);
+  assert(fleet.asked < 96 * 6, `Asked ${fleet.asked} times`);
+  const eager = simulateDownloads(48, false);
+  assert(eager.asked > 96 * 20, `Asked ${eager.asked} times without back-off`);
 });
--- a/src/router/observed_upstreams_test.ts
+++ b/src/router/observed_upstreams_test.ts
@@ -4,8 +4,8 @@
 import type { EventStream, UpstreamClient } from "../upstreams/mod.ts";
 import { createObservedUpstreams } from "./observed_upstreams.ts";
 
-const FAR = "10.1.0.1:80";
-const NEAR = "10.0.0.1:80";
+const OTHER_REGION_ADDRESS = "10.1.0.1:80";
+const SAME_REGION_ADDRESS = "10.0.0.1:80";
 
 function createStream(): EventStream {
   const events = ["ä", "bc"].map((data, offset) => ({
@@ -25,7 +25,7 @@
   };
   const bytes = { "to-upstream": 0, "from-upstream": 0 };
   const observed = createObservedUpstreams(client, {
-    crossesRegion: (address) => address === FAR,
+    crossesRegion: (address) => address === OTHER_REGION_ADDRESS,
     onRegionalBytes: (direction, count) => bytes[direction] += count,
   });
   return { observed, bytes };
@@ -35,7 +35,7 @@
   while (await Effect.runPromise(stream.next) !== undefined);
 }
 
-test("what crosses the regions is counted in bytes, both ways", async () => {
+test("cross-region payload is counted in bytes in both directions", async () => {
   const { observed, bytes } = createFixture();
   const common = { stream: "s", body: "xyz", remainingMs: 1 };
   const call = {
@@ -45,7 +45,7 @@
     body: "12345",
     timeoutMs: 1,
   };
-  for (const address of [NEAR, FAR]) {
+  for (const address of [SAME_REGION_ADDRESS, OTHER_REGION_ADDRESS]) {
     const generated = observed.generate({ ...common, address });
     await readAll(await Effect.runPromise(generated));
     const resumed = observed.resume({ address, stream: "s" }, 1);
--- a/src/router/operator_handlers.ts
+++ b/src/router/operator_handlers.ts
@@ -1,6 +1,6 @@
 /**
- * The operators' endpoints: one command (apply a configuration) and the queries
- * behind the operators' programs.
+ * Endpoints for operators: one command, which applies a configuration, and the
+ * queries of the operators' programs.
  *
  * @module
  */
@@ -45,7 +45,7 @@
 } from "./operator_types.ts";
 import type { OperatorHandler } from "./public_server.ts";
 
-/** What the endpoints read and act on. */
+/** Dependencies of the endpoints, supplied by the process. */
 export interface OperatorHost {
   readonly clock: Clock;
   readonly hybridClock: HybridClock;
@@ -55,21 +55,23 @@
   readonly recorder: RingRecorder;
   readonly operators: RouterSettings["operators"];
   getCurrent(): ConfigVersion | undefined;
-  /** Puts a version that was accepted here in force without delay. */
+  /** Puts a version that this host accepted in force without delay. */
   onAccepted(copy: ConfigCopy): void;
   isDraining(): boolean;
   isUpstreamLeaving(upstream: string): boolean;
-  tryGetNotReady(): string | undefined;
-  /** Service that this host's requests have had since its start. */
+  tryGetNotReadyReason(): string | undefined;
+  /**
+   * Cost and number of requests by service and team since this host started.
+   */
   getServed(): readonly ServedTeam[];
 }
 
-type Answer = Awaited<ReturnType<OperatorHandler>>;
+type OperatorResponse = Awaited<ReturnType<OperatorHandler>>;
 
 const DEFAULT_HISTORY_LIMIT = 100;
-const ATTEMPT = /^[0-9a-f-]{36}$/;
+const ATTEMPT_ID = /^[0-9a-f-]{36}$/;
 
-/** Makes the handlers by method and path. */
+/** Creates the handlers, keyed by method and path. */
 export function createOperatorHandlers(
   host: OperatorHost,
 ): Readonly<Record<string, OperatorHandler>> {
@@ -78,12 +80,12 @@
     "GET /ops/timeline": ({ url }) =>
       Promise.resolve(ok(getTimeline(host, url))),
     "GET /ops/history": ({ url }) =>
-      run(
+      runPlatformCall(
         host.configStore.getHistory(getLimit(url)).pipe(
           Effect.map((versions) => ok({ versions } satisfies HistoryAnswer)),
         ),
       ),
-    "GET /ops/config": ({ url }) => run(getConfig(host, url)),
+    "GET /ops/config": ({ url }) => runPlatformCall(getConfig(host, url)),
     "POST /ops/config": ({ operator, body }) => apply(host, operator, body),
   };
 }
@@ -96,7 +98,7 @@
     host: self.host,
     dataCentre: self.dataCentre,
     draining: host.isDraining(),
-    notReady: host.tryGetNotReady(),
+    notReady: host.tryGetNotReadyReason(),
     configVersion: current?.version ?? 0,
     configDigest: current?.digest ?? "",
     members: host.membership.getMembers(),
@@ -130,11 +132,11 @@
   return Number(url.searchParams.get("limit") ?? DEFAULT_HISTORY_LIMIT);
 }
 
-/** The version asked for, or the newest that was accepted. */
+/** Returns the requested version, or the newest accepted one by default. */
 function getConfig(
   host: OperatorHost,
   url: URL,
-): Effect.Effect<Answer, PlatformError> {
+): Effect.Effect<OperatorResponse, PlatformError> {
   const { configStore } = host;
   const asked = url.searchParams.get("version");
   return Effect.gen(function* () {
@@ -160,10 +162,10 @@
   host: OperatorHost,
   operator: string,
   body: string,
-): Promise<Answer> {
+): Promise<OperatorResponse> {
   const parsed = tryParseApplyBody(body);
   if (parsed === undefined) {
-    return fail(400, "badOperatorBody", ["files and base version are needed"]);
+    return fail(400, "badOperatorBody", ["files and baseVersion are required"]);
   }
   const { files, baseVersion, attempt } = parsed;
   try {
@@ -180,8 +182,8 @@
     attempt: attempt ?? randomUUID(),
     nowMs: host.clock.wallMs(),
   });
-  return await run(
-    accepted.pipe(Effect.map((result) => toAnswer(host, files, result))),
+  return await runPlatformCall(
+    accepted.pipe(Effect.map((result) => toResponse(host, files, result))),
   );
 }
 
@@ -195,18 +197,18 @@
   const { files, baseVersion, attempt } = parsed ?? {};
   if (typeof files !== "object" || files === null) return undefined;
   if (!Number.isSafeInteger(baseVersion)) return undefined;
-  if (attempt !== undefined && !ATTEMPT.test(attempt)) return undefined;
+  if (attempt !== undefined && !ATTEMPT_ID.test(attempt)) return undefined;
   if (Object.values(files).some((text) => typeof text !== "string")) {
     return undefined;
   }
   return { files, baseVersion: baseVersion!, attempt };
 }
 
-function toAnswer(
+function toResponse(
   host: OperatorHost,
   files: FileSet,
   result: AcceptResult,
-): Answer {
+): OperatorResponse {
   switch (result.kind) {
     case "accepted":
       host.onAccepted({ row: result.row, files });
@@ -224,8 +226,10 @@
   }
 }
 
-function run(answer: Effect.Effect<Answer, PlatformError>): Promise<Answer> {
-  return Effect.runPromise(answer.pipe(
+function runPlatformCall(
+  response: Effect.Effect<OperatorResponse, PlatformError>,
+): Promise<OperatorResponse> {
+  return Effect.runPromise(response.pipe(
     Effect.catchTag(
       "PlatformError",
       (err) => Effect.succeed(fail(503, "platformUnavailable", [err.reason])),
@@ -233,7 +237,7 @@
   ));
 }
 
-function ok(value: unknown): Answer {
+function ok(value: unknown): OperatorResponse {
   return { status: 200, value };
 }
 
--- a/src/router/serving.ts
+++ b/src/router/serving.ts
@@ -1,5 +1,5 @@
 /**
- * The parts that the life of a request needs, joined for one router.
+ * Creates and connects the modules that serve requests at one router.
  *
  * @module
  */
@@ -27,34 +27,34 @@
 } from "../upstreams/mod.ts";
 import { createCrashFact } from "./crash_facts.ts";
 import type { Drain } from "./drain.ts";
-import type { Journal } from "./journal.ts";
+import type { EventReporter } from "./event_reporter.ts";
 import type { RouterMetrics } from "./metrics.ts";
 import { createObservedUpstreams } from "./observed_upstreams.ts";
 import type { Regions } from "./regions.ts";
 
-/** By then a host that has just started knows all others. */
-const MEMBERS_KNOWN_MS = 30_000;
+/** Time after which a host that has just started knows all other hosts. */
+const MEMBERSHIP_SETTLE_MS = 30_000;
 
-/** What serving is joined from. */
-export interface ServingParts {
+/** Modules and settings from which serving is created. */
+export interface ServingDependencies {
   readonly settings: RouterSettings;
   readonly incarnation: number;
   readonly clock: Clock;
   readonly platform: Platform;
   readonly recorder: Recorder;
-  readonly journal: Journal;
+  readonly reporter: EventReporter;
   readonly metrics: RouterMetrics;
   readonly regions: Regions;
   readonly membership: Membership;
   readonly fleet: Fleet;
   readonly drain: Drain;
-  /** The fleet's slots, flushed after each act. */
+  /** The fleet's slots, wrapped to schedule flushes. */
   readonly slots: SlotClient;
   getDeployment(): Deployment | undefined;
-  isSomeHostOutOfSight(): boolean;
+  isAnyHostUnreachable(): boolean;
 }
 
-/** What serving is made of. */
+/** Modules that serve requests. */
 export interface Serving {
   readonly host: ServeHost;
   readonly backlog: Backlog;
@@ -62,10 +62,10 @@
   readonly claims: Claims;
 }
 
-/** Joins the parts. */
-export function createServing(parts: ServingParts): Serving {
+/** Creates the modules that serve requests. */
+export function createServing(parts: ServingDependencies): Serving {
   const { settings, incarnation, clock, platform, membership, drain } = parts;
-  const { fleet, regions, metrics, journal, getDeployment } = parts;
+  const { fleet, regions, metrics, reporter, getDeployment } = parts;
   const { host: id, dataCentre, fleetSecret } = settings;
 
   const quarantine = createQuarantine({
@@ -75,9 +75,9 @@
     commit: createGroupCommit(platform.tables),
     gossip: (record) => membership.spreadFact(createCrashFact(record, clock)),
     broadcast: (record) => membership.pushFact(createCrashFact(record, clock)),
-    onQuarantined: journal.contentQuarantined,
+    onQuarantined: reporter.contentQuarantined,
     countHosts: () => membership.getMembers().length,
-    isAnyHostUnreachable: parts.isSomeHostOutOfSight,
+    isAnyHostUnreachable: parts.isAnyHostUnreachable,
   });
   const claims = createClaims({
     id,
@@ -88,11 +88,11 @@
   });
   const backlog = createBacklog({ clock, random: Math.random });
 
-  function isProcessGone(other: string, start: number): boolean {
-    const member = membership.getMembers().find((each) => each.host === other);
-    const isSettled = clock.wallMs() - incarnation > MEMBERS_KNOWN_MS;
+  function isProcessDead(hostId: string, startedMs: number): boolean {
+    const member = membership.getMembers().find((each) => each.host === hostId);
+    const isSettled = clock.wallMs() - incarnation > MEMBERSHIP_SETTLE_MS;
     if (member === undefined) return isSettled;
-    return member.state === "dead" || member.incarnation > start;
+    return member.state === "dead" || member.incarnation > startedMs;
   }
 
   function charge(service: string, team: string, cost: number): void {
@@ -110,7 +110,7 @@
     slots: parts.slots,
     claims,
     upstreams: createObservedUpstreams(createHttpUpstreams(), {
-      crossesRegion: regions.isUpstreamFar,
+      crossesRegion: regions.isUpstreamInOtherRegion,
       onRegionalBytes: metrics.addRegionalPayload,
     }),
     health: createUpstreamHealth(clock),
@@ -121,11 +121,11 @@
     retryBudget: createRetryBudget(clock),
     getDeployment,
     isDraining: drain.isRefusing,
-    waitUntilGivingUp: drain.waitUntilGivingUp,
-    isProcessDead: isProcessGone,
+    waitUntilDrainTimeout: drain.waitUntilDrainTimeout,
+    isProcessDead,
     charge,
     runDetached: drain.runDetached,
-    onEnded: journal.requestEnded,
+    onEnded: reporter.requestEnded,
   };
   return { host, backlog, quarantine, claims };
 }
--- a/src/streams/follow_stream_test.ts
+++ b/src/streams/follow_stream_test.ts
@@ -1,6 +1,6 @@
 /**
- * Tests that a followed stream has no gap, no repeat and nothing of another,
- * whatever its connections do; and of tokens and abandoned streams.
+ * Tests that a followed stream has no gaps and no repeats under any faults of
+ * its connections, and tests of resume tokens.
  *
  * @module
  */
@@ -17,10 +17,10 @@
   UpstreamError,
 } from "../upstreams/mod.ts";
 import { followStream, type StreamProgress } from "./follow_stream.ts";
-import { createResumeToken, tryReadResumeToken } from "./token.ts";
+import { createResumeToken, tryVerifyResumeToken } from "./token.ts";
 
-/** What a connection does to one event before it goes on to the next. */
-type Mangle =
+/** Fault that a connection applies to one event; "pass" for none. */
+type StreamFault =
   | "pass"
   | "drop"
   | "repeat"
@@ -29,7 +29,7 @@
   | "silent"
   | "close";
 
-const mangle = fc.constantFrom<Mangle>(
+const streamFault = fc.constantFrom<StreamFault>(
   "pass",
   "pass",
   "pass",
@@ -41,21 +41,21 @@
   "close",
 );
 
-/** The mangles of each connection in turn; later events and ones pass. */
-const connections = fc.array(fc.array(mangle, { maxLength: 12 }), {
+/** Faults of each connection; events and connections without one pass. */
+const connections = fc.array(fc.array(streamFault, { maxLength: 12 }), {
   maxLength: 6,
 });
 
 interface EngineOptions {
   readonly length: number;
-  readonly connections: readonly (readonly Mangle[])[];
-  /** Resumptions from this one on find the stream gone; 0 for never. */
+  readonly connections: readonly (readonly StreamFault[])[];
+  /** Number of the first resumption that finds the stream gone; 0 for none. */
   readonly forgetsAt: number;
 }
 
 function createEngine(options: EngineOptions) {
   const { length, forgetsAt } = options;
-  const plans = [...options.connections];
+  const faultPlans = [...options.connections];
   let resumes = 0;
 
   function getEvents(offset: number): StreamEvent[] {
@@ -69,21 +69,21 @@
   }
 
   function open(offset: number): EventStream {
-    const plan = [...plans.shift() ?? []];
-    const left = getEvents(offset);
+    const faults = [...faultPlans.shift() ?? []];
+    const remaining = getEvents(offset);
     const next = (): StreamEvent | undefined => {
-      const event = left.shift();
+      const event = remaining.shift();
       if (event === undefined) return undefined;
-      switch (plan.shift() ?? "pass") {
+      switch (faults.shift() ?? "pass") {
         case "pass":
           return event;
         case "drop":
           return next();
         case "repeat":
-          left.unshift(event);
+          remaining.unshift(event);
           return event;
         case "late":
-          left.splice(2, 0, event);
+          remaining.splice(2, 0, event);
           return next();
         case "break":
           throw createError("broken");
@@ -126,11 +126,11 @@
     onResumed() {},
   });
   const result = await Effect.runPromise(Effect.result(followed));
-  return { delivered, progress, isWhole: Result.isSuccess(result) };
+  return { delivered, progress, isComplete: Result.isSuccess(result) };
 }
 
-/** Passes on what comes, as if connections could be trusted. */
-async function followBlindly(options: EngineOptions) {
+/** Delivers every event without checking its offset. */
+async function followWithoutOffsets(options: EngineOptions) {
   const engine = createEngine(options);
   const delivered: string[] = [];
   let stream = engine.open(0);
@@ -139,28 +139,31 @@
     if (Result.isFailure(event) || event.success === undefined) {
       stream = engine.open(delivered.length);
     } else if (event.success.name === "end") {
-      return { delivered, isWhole: true };
+      return { delivered, isComplete: true };
     } else {
       opened--;
       delivered.push(event.success.data);
     }
   }
-  return { delivered, isWhole: false };
+  return { delivered, isComplete: false };
 }
 
-/** Violations of a history in which one caller got the parts. */
-function check(
+/** Checks the history of one caller that received the given parts. */
+function findViolations(
   length: number,
-  got: { readonly delivered: readonly string[]; readonly isWhole: boolean },
+  got: {
+    readonly delivered: readonly string[];
+    readonly isComplete: boolean;
+  },
 ) {
-  const { delivered, isWhole } = got;
+  const { delivered, isComplete } = got;
   const expected = Array.from({ length }, (_, index) => `part ${index}`);
-  const wanted = isWhole ? expected : expected.slice(0, delivered.length);
+  const wanted = isComplete ? expected : expected.slice(0, delivered.length);
   const fault = wanted.join() === delivered.join() ? "" : `Got ${delivered}`;
   return checkHistory([{
     kind: "request-ended",
     sending: "1",
-    // An incomplete answer is held to the same: no gap, no repeat.
+    // An incomplete response must have no gaps and no repeats either.
     outcome: "answered",
     request: "1",
     fault,
@@ -176,53 +179,53 @@
 });
 
 test("a followed stream has no gap and no repeat", async () => {
-  // A glue advice lost its clamping time: the connection to the engine lost an
-  // event and went on, and another time the engine sent old events again after
-  // a resumption, and the text had a sentence twice.
+  // Guards against missing text after a connection lost an event and continued,
+  // and against repeated text after an engine resent old events on resumption.
   await fc.assert(
     fc.asyncProperty(engineOptions, async (options) => {
       const got = await follow(options);
-      assert.deepEqual(check(options.length, got), []);
-      if (got.isWhole) assert.equal(got.progress.cost, options.length);
+      assert.deepEqual(findViolations(options.length, got), []);
+      if (got.isComplete) assert.equal(got.progress.cost, options.length);
     }),
     { numRuns: 2_000, seed: 1 },
   );
 });
 
-test("without offsets the checker reports a broken answer", async () => {
+test("without offset checks the checker reports a corrupt response", async () => {
   const found = await fc.check(
     fc.asyncProperty(engineOptions, async (options) => {
-      const got = await followBlindly(options);
-      assert.deepEqual(check(options.length, got), []);
+      const got = await followWithoutOffsets(options);
+      assert.deepEqual(findViolations(options.length, got), []);
     }),
     { numRuns: 500, seed: 1 },
   );
   assert.ok(found.failed);
 });
 
-test("a stream ends whole when every connection brings something", async () => {
-  // Each connection goes silent after three parts, as when something between
-  // loses track of it. The answer still arrives, by ten resumptions.
-  const silences = Array.from(
+test("a stream completes if every connection delivers some tokens", async () => {
+  // Each connection goes silent after three tokens, as when a device on the
+  // path drops its state. The response still arrives, through ten resumptions.
+  const silentConnections = Array.from(
     { length: 10 },
-    (): Mangle[] => ["pass", "pass", "pass", "silent"],
+    (): StreamFault[] => ["pass", "pass", "pass", "silent"],
   );
-  const options = { length: 30, connections: silences, forgetsAt: 0 };
+  const options = { length: 30, connections: silentConnections, forgetsAt: 0 };
   const got = await follow(options);
-  assert.ok(got.isWhole);
+  assert.ok(got.isComplete);
   assert.equal(got.delivered.length, 30);
 });
 
-test("a stream whose connections bring nothing is given up", async () => {
-  const silences = Array.from({ length: 10 }, (): Mangle[] => ["silent"]);
+test("a stream fails if its connections deliver nothing", async () => {
+  const silences = Array.from({ length: 10 }, (): StreamFault[] => ["silent"]);
   const options = { length: 5, connections: silences, forgetsAt: 0 };
   const got = await follow(options);
-  assert.ok(!got.isWhole);
+  assert.ok(!got.isComplete);
   assert.deepEqual(got.delivered, []);
 });
 
-test("a resume token names its stream and can't be changed", () => {
-  // One firm reads its rival's survey: it changes the team in its own token.
+test("a resume token identifies its stream and can't be altered", () => {
+  // Guards against a caller that reads another team's stream by altering the
+  // team in its own token.
   fc.assert(
     fc.property(
       fc.array(fc.string(), { minLength: 5, maxLength: 5 }),
@@ -233,12 +236,12 @@
         const [stream = "", host = ""] = parts.slice(3);
         const name = { team, service, upstream, stream, host, incarnation };
         const token = createResumeToken(name, "secret-1");
-        assert.deepEqual(tryReadResumeToken(token, "secret-1"), name);
-        assert.equal(tryReadResumeToken(token, "secret-2"), undefined);
+        assert.deepEqual(tryVerifyResumeToken(token, "secret-1"), name);
+        assert.equal(tryVerifyResumeToken(token, "secret-2"), undefined);
         const at = position % token.length;
         const other = token[at] === "A" ? "B" : "A";
         const changed = token.slice(0, at) + other + token.slice(at + 1);
-        assert.equal(tryReadResumeToken(changed, "secret-1"), undefined);
+        assert.equal(tryVerifyResumeToken(changed, "secret-1"), undefined);
       },
     ),
     { numRuns: 200, seed: 1 },
