--- a/src/commands/program_test.ts
+++ b/src/commands/program_test.ts
@@ -15,7 +15,7 @@
 import type { FleetClient, HostAnswer } from "./fleet_client.ts";
 import { historyProgram } from "./history.ts";
 import { OperatorCallError } from "./operator_client.ts";
-import { type Program, type ProgramHost, runProgramIn } from "./program.ts";
+import { type Program, type ProgramHost, runProgramWith } from "./program.ts";
 import { routerProgram } from "./router.ts";
 import { statusProgram } from "./status.ts";
 import { timelineProgram } from "./timeline.ts";
@@ -36,15 +36,17 @@
 ] as unknown as readonly Program<Record<never, never>>[];
 
 interface FakeFleet {
-  /** Posts that fail with these before one is taken. */
+  /** Errors of the first posts; later posts succeed. */
   readonly failures?: OperatorCallError[];
-  /** Versions in force by host, at each poll in turn; the last one stays. */
+  /**
+   * Versions in force by host, one entry for each poll; the last one repeats.
+   */
   readonly polls?: Record<string, number>[];
   readonly silent?: string;
 }
 
-/** A world in which the fleet is a few functions and time is moved by sleep. */
-function createWorld(fleet: FakeFleet = {}) {
+/** A program's dependencies with a fake fleet and a clock moved by `sleep`. */
+function createFixture(fleet: FakeFleet = {}) {
   const files = readFileSet(EXAMPLE);
   const output: string[] = [];
   const posts: ApplyBody[] = [];
@@ -76,7 +78,7 @@
   const client: FleetClient = {
     getRouter: () => Promise.resolve(router),
     getMembers: () => Promise.resolve([] as Member[]),
-    askAll<T>() {
+    queryAllHosts<T>() {
       const versions = polls.length > 1 ? polls.shift()! : polls[0]!;
       const answers = Object.entries(versions).map(([host, configVersion]) =>
         host === fleet.silent
@@ -104,7 +106,7 @@
       );
       return Promise.resolve(answers as unknown as HostAnswer<T>[]);
     },
-    askHost: () => Promise.reject(new Error("Not used")),
+    queryHost: () => Promise.reject(new Error("Not used")),
   };
   const host = (rawArgs: readonly string[]): ProgramHost => ({
     rawArgs,
@@ -121,7 +123,7 @@
   return { host, output, posts };
 }
 
-/** A folder with the example's files, one team's weight changed. */
+/** Makes a folder with the example's files and a changed weight of one team. */
 function createChangedFolder() {
   const folder = mkdtempSync(join(tmpdir(), "azurestile-test-"));
   const files = readFileSet(EXAMPLE);
@@ -134,13 +136,13 @@
   };
 }
 
-test("every program tells its options, its exit codes and its version", async () => {
+test("every program prints its options, its exit codes and its version", async () => {
   for (const program of programs) {
-    const { host, output } = createWorld();
-    deepStrictEqual(await runProgramIn(program, host(["--help"])), "ok");
+    const { host, output } = createFixture();
+    deepStrictEqual(await runProgramWith(program, host(["--help"])), "ok");
     match(output[0]!, new RegExp(`^.*${program.name}.*v\\d`));
     match(output[0]!, /EXIT CODES\n\n {2}0 {2}Done/);
-    deepStrictEqual(await runProgramIn(program, host(["--version"])), "ok");
+    deepStrictEqual(await runProgramWith(program, host(["--version"])), "ok");
     match(output[1]!, /^\d+\.\d+\.\d+$/);
   }
 });
@@ -156,7 +158,7 @@
   deepStrictEqual(new Set<number>(codes).size, codes.length);
 });
 
-test("the page has every exit code", () => {
+test("docs/CONFIGURATION.md has every exit code", () => {
   const file = new URL("../../docs/CONFIGURATION.md", import.meta.url);
   const page = readFileSync(file, "utf8").replaceAll(/ +/g, " ");
   for (const { code, text } of Object.values(exitCodes)) {
@@ -164,7 +166,7 @@
   }
 });
 
-test("wrong usage ends with its code and names what is allowed", async () => {
+test("wrong usage has its own exit and a message that says what is allowed", async () => {
   const cases = [
     [statusProgram, ["--jsn"], /"--jsn" does not exist.*"--json"/],
     [statusProgram, ["--router"], /"--router" needs a value/],
@@ -177,28 +179,31 @@
     [routerProgram, ["--settings", "/none.toml"], /none.toml: The file can't/],
   ] as const;
   for (const [program, rawArgs, expected] of cases) {
-    const { host, output } = createWorld();
+    const { host, output } = createFixture();
     const any = program as unknown as Program<Record<never, never>>;
-    deepStrictEqual(await runProgramIn(any, host(rawArgs)), "usage");
+    deepStrictEqual(await runProgramWith(any, host(rawArgs)), "usage");
     match(output.join("\n"), expected);
   }
 });
 
-test("a program without a key says where it may come from", async () => {
-  const { host, output } = createWorld();
-  const world = { ...host([]), env: { AZURESTILE_ROUTER: "127.0.0.1:1" } };
-  deepStrictEqual(await runProgramIn(statusProgram, world), "usage");
+test("a program without a key says how to provide one", async () => {
+  const { host, output } = createFixture();
+  const hostWithoutKey = {
+    ...host([]),
+    env: { AZURESTILE_ROUTER: "127.0.0.1:1" },
+  };
+  deepStrictEqual(await runProgramWith(statusProgram, hostWithoutKey), "usage");
   match(output[0]!, /"--key-file" or in AZURESTILE_OPERATOR_KEY/);
 });
 
-test("apply shows the difference and waits until it is in force", async () => {
+test("apply prints the difference and waits until it is in force", async () => {
   using changed = createChangedFolder();
   const polls = [{ "entry-1": 4, "entry-2": 5 }, {
     "entry-1": 5,
     "entry-2": 5,
   }];
-  const { host, output, posts } = createWorld({ polls });
-  const exit = await runProgramIn(applyProgram, host([changed.folder]));
+  const { host, output, posts } = createFixture({ polls });
+  const exit = await runProgramWith(applyProgram, host([changed.folder]));
   deepStrictEqual(exit, "ok");
   deepStrictEqual(posts.map((each) => each.baseVersion), [4]);
   const text = output.join("\n");
@@ -207,25 +212,25 @@
 });
 
 /**
- * The answer to an apply is lost after the version was accepted. A resend as a
- * new attempt would be told of a conflict with the operator's own version.
+ * The response is lost after the version was accepted. If the files were sent
+ * again as a new attempt, they would conflict with the operator's own version.
  */
-test("apply sends the same attempt again when the answer is lost", async () => {
+test("apply sends the same attempt again if the response is lost", async () => {
   using changed = createChangedFolder();
   const lost = new OperatorCallError({
     status: 0,
     reason: "Reset",
     answer: {},
   });
-  const { host, posts } = createWorld({ failures: [lost] });
-  const exit = await runProgramIn(applyProgram, host([changed.folder]));
+  const { host, posts } = createFixture({ failures: [lost] });
+  const exit = await runProgramWith(applyProgram, host([changed.folder]));
   deepStrictEqual(exit, "ok");
   deepStrictEqual(posts.length, 2);
   deepStrictEqual(posts[0]!.attempt, posts[1]!.attempt);
   ok(posts[0]!.attempt);
 });
 
-test("apply tells a conflict, and a host that is late", async () => {
+test("apply reports a conflict, and a host with an older version", async () => {
   using changed = createChangedFolder();
   const conflict = new OperatorCallError({
     status: 409,
@@ -240,23 +245,23 @@
       }],
     },
   });
-  const first = createWorld({ failures: [conflict] });
+  const first = createFixture({ failures: [conflict] });
   const args = [changed.folder, "--base", "3"];
   deepStrictEqual(
-    await runProgramIn(applyProgram, first.host(args)),
+    await runProgramWith(applyProgram, first.host(args)),
     "conflict",
   );
   deepStrictEqual(first.posts[0]!.baseVersion, 3);
-  const told = first.output.join("\n");
-  match(told, /Version 4 by ada at .* came first/);
-  match(told, /You both changed team "vake-joinery"/);
+  const messages = first.output.join("\n");
+  match(messages, /Version 4 by ada at .* came first/);
+  match(messages, /You both changed team "vake-joinery"/);
 
-  const second = createWorld({
+  const second = createFixture({
     polls: [{ "entry-1": 5, "entry-2": 4 }],
     silent: "",
   });
   deepStrictEqual(
-    await runProgramIn(applyProgram, second.host([changed.folder])),
+    await runProgramWith(applyProgram, second.host([changed.folder])),
     "notInForce",
   );
   match(second.output.join("\n"), /entry-2: version 4 is in force/);
@@ -264,25 +269,25 @@
 
 test("a dry run changes nothing", async () => {
   using changed = createChangedFolder();
-  const { host, posts } = createWorld();
+  const { host, posts } = createFixture();
   const rawArgs = [changed.folder, "--dry-run"];
-  deepStrictEqual(await runProgramIn(applyProgram, host(rawArgs)), "ok");
+  deepStrictEqual(await runProgramWith(applyProgram, host(rawArgs)), "ok");
   deepStrictEqual(posts, []);
 });
 
-test("a status without a host's answer says so", async () => {
-  const { host, output } = createWorld({
+test("a status shows that a host did not answer", async () => {
+  const { host, output } = createFixture({
     polls: [{ "entry-1": 5, "entry-2": 5 }],
     silent: "entry-2",
   });
-  deepStrictEqual(await runProgramIn(statusProgram, host([])), "partial");
+  deepStrictEqual(await runProgramWith(statusProgram, host([])), "partial");
   match(output[0]!, /entry-2 +no answer/);
 });
 
 test("a request that no host knows is not found", async () => {
-  const { host, output } = createWorld();
+  const { host, output } = createFixture();
   deepStrictEqual(
-    await runProgramIn(explainProgram, host(["r-1"])),
+    await runProgramWith(explainProgram, host(["r-1"])),
     "notFound",
   );
   match(output[0]!, /No host that answered has events of the request "r-1"/);
--- a/src/commands/timeline_test.ts
+++ b/src/commands/timeline_test.ts
@@ -4,7 +4,7 @@
 import type { TimelineAnswer } from "../router/operator_types.ts";
 import type { TimelineEvent } from "../timeline/mod.ts";
 import type { FleetClient, HostAnswer } from "./fleet_client.ts";
-import { type ProgramHost, runProgramIn } from "./program.ts";
+import { type ProgramHost, runProgramWith } from "./program.ts";
 import { timelineProgram } from "./timeline.ts";
 
 type Round = Readonly<Record<string, TimelineAnswer | undefined>>;
@@ -20,8 +20,8 @@
   return { events, until, lost: 0 };
 }
 
-/** A fleet whose hosts answer in rounds; a host without an answer is silent. */
-function createWorld(rounds: readonly Round[]) {
+/** A fake fleet with one answer a host and round; absent if unreachable. */
+function createFixture(rounds: readonly Round[]) {
   const output: string[] = [];
   const paths: string[] = [];
   let round = 0;
@@ -29,8 +29,8 @@
   const client: FleetClient = {
     getRouter: () => Promise.reject(new Error("Not used")),
     getMembers: () => Promise.resolve(members),
-    askAll: () => Promise.reject(new Error("Not used")),
-    askHost<T>(member: Member, path: string) {
+    queryAllHosts: () => Promise.reject(new Error("Not used")),
+    queryHost<T>(member: Member, path: string) {
       paths.push(path);
       const { host } = member;
       const value = rounds[round]![host];
@@ -61,12 +61,12 @@
 }
 
 /**
- * A reader follows the time line. A host's grant is told one poll later than the
- * dispatch that it allowed, since the host was busy when it was asked. Printed
- * as they come, the dispatch would stand before its grant for good.
+ * A busy host reports a grant one poll later than another host reports the
+ * dispatch that the grant allowed. Events printed in the order of arrival would
+ * show the dispatch before its grant.
  */
-test("an event waits until no host can tell an earlier one", async () => {
-  const { host, output, paths } = createWorld([
+test("an event is held back until no host can report an earlier one", async () => {
+  const { host, output, paths } = createFixture([
     {
       "entry-1": createAnswer(20, [createEvent("entry-1", 15, "effect")]),
       "entry-2": createAnswer(5, []),
@@ -76,19 +76,19 @@
       "entry-2": createAnswer(30, [createEvent("entry-2", 10, "cause")]),
     },
   ]);
-  await runProgramIn(timelineProgram, host);
+  await runProgramWith(timelineProgram, host);
   deepStrictEqual(output.slice(0, 2), ["cause", "effect"]);
   match(paths[2]!, /after=20/);
   match(paths[3]!, /after=5/);
 });
 
-test("a silent host holds nothing back", async () => {
-  const { host, output } = createWorld([
+test("events are not held back for an unreachable host", async () => {
+  const { host, output } = createFixture([
     {
       "entry-1": createAnswer(20, [createEvent("entry-1", 15, "told")]),
       "entry-2": undefined,
     },
   ]);
-  await runProgramIn(timelineProgram, host);
+  await runProgramWith(timelineProgram, host);
   deepStrictEqual(output[0], "told");
 });
--- a/src/config/cross_checks.ts
+++ b/src/config/cross_checks.ts
@@ -1,6 +1,6 @@
 /**
- * What one field alone can't show: duplicate ids, unknown references, addresses
- * and keys that are used twice.
+ * Checks that involve more than one field: duplicate ids, addresses and keys,
+ * and references to entries that are not declared.
  *
  * @module
  */
@@ -9,25 +9,29 @@
 import type { ConfigProblem } from "./errors.ts";
 import type { RouterSettings } from "./schema.ts";
 
-interface Named {
+/** A value that may occur only once, and its key path. */
+interface UniqueValue {
   readonly path: string;
   readonly value: string;
-  /** Shown in place of a value that is secret. */
-  readonly shown?: string;
+  /** Text to print in place of a secret value. */
+  readonly displayText?: string;
 }
 
-/** Problems of a deployment whose fields are all allowed. */
+/** Cross-checks a deployment whose fields are each valid. */
 export function getDeploymentProblems(
   deployment: Deployment,
 ): readonly ConfigProblem[] {
   const { dataCentres, services, teams, upstreams } = deployment;
   return [
-    ...getDuplicates("deployment.toml", getIds("data_centres", dataCentres)),
-    ...getDuplicates("teams.toml", getIds("teams", teams)),
-    ...getDuplicates("teams.toml", getKeys("teams", teams)),
-    ...getDuplicates("services.toml", getIds("services", services)),
+    ...getDuplicateProblems(
+      "deployment.toml",
+      getIds("data_centres", dataCentres),
+    ),
+    ...getDuplicateProblems("teams.toml", getIds("teams", teams)),
+    ...getDuplicateProblems("teams.toml", getKeyDigests("teams", teams)),
+    ...getDuplicateProblems("services.toml", getIds("services", services)),
     ...services.flatMap((service, index) =>
-      getDuplicates(
+      getDuplicateProblems(
         "services.toml",
         service.operations.map((operation, position) => ({
           path: `services[${index}].operations[${position}].name`,
@@ -35,8 +39,8 @@
         })),
       )
     ),
-    ...getDuplicates("upstreams.toml", getIds("upstreams", upstreams)),
-    ...getDuplicates(
+    ...getDuplicateProblems("upstreams.toml", getIds("upstreams", upstreams)),
+    ...getDuplicateProblems(
       "upstreams.toml",
       upstreams.map(({ address }, index) => ({
         path: `upstreams[${index}].address`,
@@ -47,30 +51,36 @@
   ];
 }
 
-/** Problems of a process's settings whose fields are all allowed. */
+/** Cross-checks the settings of a process whose fields are each valid. */
 export function getSettingsProblems(
   file: string,
   settings: RouterSettings,
 ): readonly ConfigProblem[] {
   return [
-    ...getDuplicates(file, [
+    ...getDuplicateProblems(file, [
       { path: "public_address", value: settings.publicAddress },
       { path: "peer_address", value: settings.peerAddress },
       { path: "platform_address", value: settings.platformAddress },
     ]),
-    ...getDuplicates(file, getKeys("operators", settings.operators)),
-    ...getDuplicates(
+    ...getDuplicateProblems(
+      file,
+      getKeyDigests("operators", settings.operators),
+    ),
+    ...getDuplicateProblems(
       file,
       settings.operators.map(({ name }, index) => ({
         path: `operators[${index}].name`,
         value: name,
       })),
     ),
-    ...getDuplicates(file, getIds("seeds", settings.seeds)),
+    ...getDuplicateProblems(file, getIds("seeds", settings.seeds)),
   ];
 }
 
-/** A team that holds an operator's key could apply configurations. */
+/**
+ * Finds keys that a team shares with an operator: such a team could apply
+ * configurations.
+ */
 export function getSharedKeyProblems(
   deployment: Deployment,
   operators: RouterSettings["operators"],
@@ -79,9 +89,9 @@
     path: `operator "${each.name}"`,
     value: each.keyDigest,
   }));
-  return getDuplicates("teams.toml", [
+  return getDuplicateProblems("teams.toml", [
     ...known,
-    ...getKeys("teams", deployment.teams),
+    ...getKeyDigests("teams", deployment.teams),
   ]);
 }
 
@@ -92,27 +102,30 @@
   }));
 }
 
-function getKeys(table: string, entries: readonly { keyDigest: string }[]) {
+function getKeyDigests(
+  table: string,
+  entries: readonly { keyDigest: string }[],
+) {
   return entries.map((entry, index) => ({
     path: `${table}[${index}].key_digest`,
     value: entry.keyDigest,
-    shown: "(not shown)",
+    displayText: "(not shown)",
   }));
 }
 
-function getDuplicates(
+function getDuplicateProblems(
   file: string,
-  entries: readonly Named[],
+  entries: readonly UniqueValue[],
 ): readonly ConfigProblem[] {
-  const first = new Map<string, string>();
+  const firstPaths = new Map<string, string>();
   const problems: ConfigProblem[] = [];
-  for (const { path, value, shown } of entries) {
-    const taken = first.get(value);
-    if (taken === undefined) {
-      first.set(value, path);
+  for (const { path, value, displayText } of entries) {
+    const firstPath = firstPaths.get(value);
+    if (firstPath === undefined) {
+      firstPaths.set(value, path);
       continue;
     }
-    const args = [path, shown ?? JSON.stringify(value), taken];
+    const args = [path, displayText ?? JSON.stringify(value), firstPath];
     problems.push({ file, message: "configDuplicate", args });
   }
   return problems;
@@ -126,13 +139,21 @@
   return deployment.upstreams.flatMap((upstream, index) => {
     const path = `upstreams[${index}]`;
     return [
-      ...getUnknown(`${path}.service`, upstream.service, services),
-      ...getUnknown(`${path}.data_centre`, upstream.dataCentre, dataCentres),
+      ...getUnknownReferenceProblems(
+        `${path}.service`,
+        upstream.service,
+        services,
+      ),
+      ...getUnknownReferenceProblems(
+        `${path}.data_centre`,
+        upstream.dataCentre,
+        dataCentres,
+      ),
     ];
   });
 }
 
-function getUnknown(
+function getUnknownReferenceProblems(
   path: string,
   value: string,
   known: readonly string[],
--- a/src/config/fields.ts
+++ b/src/config/fields.ts
@@ -1,7 +1,7 @@
 /**
- * Fields of the declarative files: the schema that checks a value together with
- * what people are told of it. Errors and docs/CONFIGURATION.md both come from
- * here, so that neither can differ from what is checked.
+ * Fields of the declarative files: each has a schema that checks its value and
+ * a description. Error texts and docs/CONFIGURATION.md are generated from these
+ * descriptions, so that both agree with the checks.
  *
  * @module
  */
@@ -10,16 +10,16 @@
 import * as Effect from "effect/Effect";
 import * as Schema from "effect/Schema";
 
-/** What people are told of a field. */
+/** Description of a field in error texts and in docs/CONFIGURATION.md. */
 export interface FieldDoc {
-  readonly about: string;
-  /** The values that are allowed, in words. */
+  readonly description: string;
+  /** The allowed values, in words. */
   readonly allowed: string;
-  /** Unit of the value; empty for none. */
+  /** Unit of the value; empty if it has none. */
   readonly unit: string;
-  /** The value taken when the key is absent; `undefined`: the key is needed. */
+  /** Used if the key is absent; `undefined` if the key is required. */
   readonly defaultValue?: string | number | undefined;
-  /** Its value is never shown: it is a key or says something of one. */
+  /** Never print the value: it is a secret or is derived from one. */
   readonly isSecret?: boolean;
 }
 
@@ -29,7 +29,7 @@
   readonly doc: FieldDoc;
 }
 
-/** The fields of one table, by their name in code. */
+/** The fields of one table, by their names in the code. */
 export type Fields = Readonly<Record<string, Field>>;
 
 type Schemas<F extends Fields> = { [K in keyof F]: F[K]["schema"] };
@@ -38,7 +38,7 @@
 const DIGEST = /^[0-9a-f]{64}$/;
 const LAST_PORT = 65_535;
 
-/** The struct schema of a table's fields. */
+/** Makes the schema of a table from its fields. */
 export function toStruct<F extends Fields>(
   fields: F,
 ): Schema.Struct<Schemas<F>> {
@@ -50,38 +50,41 @@
 }
 
 /** A short name: lower case letters, digits and hyphens. */
-export function identifier(about: string) {
+export function identifier(description: string) {
   const schema = Schema.String.check(Schema.isPattern(IDENTIFIER));
   const allowed =
     "1 to 63 lower case letters, digits and hyphens, no hyphen first";
-  return { schema, doc: { about, allowed, unit: "" } };
+  return { schema, doc: { description, allowed, unit: "" } };
 }
 
 /** An IPv4 address and a port. */
-export function address(about: string) {
+export function address(description: string) {
   const schema = Schema.String.check(Schema.makeFilter(isAddress));
   const allowed = `an IPv4 address and a port from 1 to ${LAST_PORT}, ` +
     'as "10.0.0.1:8080"';
-  return { schema, doc: { about, allowed, unit: "" } };
+  return { schema, doc: { description, allowed, unit: "" } };
 }
 
-/** SHA-256 of a key. Never shown: a key may stand there by mistake. */
-export function keyDigest(about: string) {
+/**
+ * SHA-256 of a key. The value is never printed, since an operator may have put
+ * the key itself there by mistake.
+ */
+export function keyDigest(description: string) {
   const schema = Schema.String.check(Schema.isPattern(DIGEST));
   const allowed = "the SHA-256 of the key as 64 lower case hexadecimal digits";
-  return { schema, doc: { about, allowed, unit: "", isSecret: true } };
+  return { schema, doc: { description, allowed, unit: "", isSecret: true } };
 }
 
-/** A text that is never shown. */
-export function secret(about: string, minLength: number) {
+/** A text that is never printed. */
+export function secret(description: string, minLength: number) {
   const schema = Schema.String.check(Schema.isMinLength(minLength));
   const allowed = `a text of at least ${minLength} characters`;
-  return { schema, doc: { about, allowed, unit: "", isSecret: true } };
+  return { schema, doc: { description, allowed, unit: "", isSecret: true } };
 }
 
-/** A whole number within the range, ends included. */
+/** An integer within the inclusive range. */
 export function integer(
-  about: string,
+  description: string,
   range: { min: number; max: number; unit: string },
 ) {
   const { min, max, unit } = range;
@@ -90,49 +93,48 @@
     Schema.isBetween({ minimum: min, maximum: max }),
   );
   const allowed = `a whole number from ${min} to ${max}`;
-  return { schema, doc: { about, allowed, unit } };
+  return { schema, doc: { description, allowed, unit } };
 }
 
-/** A number within the range, ends included. */
+/** A number within the inclusive range. */
 export function number(
-  about: string,
+  description: string,
   range: { min: number; max: number; unit: string },
 ) {
   const { min, max, unit } = range;
   const schema = Schema.Number.check(
     Schema.isBetween({ minimum: min, maximum: max }),
   );
-  return { schema, doc: { about, allowed: `${min} to ${max}`, unit } };
+  return { schema, doc: { description, allowed: `${min} to ${max}`, unit } };
 }
 
-/** True or false. */
-export function flag(about: string) {
+export function flag(description: string) {
   const allowed = "true or false";
-  return { schema: Schema.Boolean, doc: { about, allowed, unit: "" } };
+  return { schema: Schema.Boolean, doc: { description, allowed, unit: "" } };
 }
 
-/** One of the words given. */
+/** One of the given words. */
 export function oneOf<const W extends readonly string[]>(
-  about: string,
+  description: string,
   words: W,
 ) {
   const allowed = words.map((word) => `"${word}"`).join(" or ");
   const schema = Schema.Literals(words);
-  return { schema, doc: { about, allowed, unit: "" } };
+  return { schema, doc: { description, allowed, unit: "" } };
 }
 
-/** A list of tables; `table` is their name in the file. */
+/** An array of tables; `table` is their name in the file. */
 export function tablesOf<F extends Fields>(
-  about: string,
+  description: string,
   fields: F,
   table: string,
 ) {
   const schema = Schema.Array(toStruct(fields));
   const allowed = `one [[${table}]] table for each`;
-  return { schema, doc: { about, allowed, unit: "" } };
+  return { schema, doc: { description, allowed, unit: "" } };
 }
 
-/** Makes a field optional, with the value taken when its key is absent. */
+/** Makes a field optional; `value` is used if its key is absent. */
 export function withDefault<S extends Schema.Top>(
   field: Field<S>,
   value: S["Encoded"] & (string | number),
@@ -143,7 +145,9 @@
   return { schema, doc: { ...field.doc, defaultValue: value } };
 }
 
-/** Makes a field optional; `fallback` says in words what is taken then. */
+/**
+ * Makes a field optional; `fallback` describes what is used if it is absent.
+ */
 export function optional<S extends Schema.Top>(
   field: Field<S>,
   fallback: string,
@@ -152,8 +156,8 @@
   return { schema, doc: { ...field.doc, defaultValue: fallback } };
 }
 
-/** Makes a list of tables optional; none are taken when there are none. */
-export function withNoneByDefault<S extends Schema.Top>(field: Field<S>) {
+/** Makes an array of tables optional; it is empty if absent. */
+export function withEmptyDefault<S extends Schema.Top>(field: Field<S>) {
   const schema = field.schema.pipe(
     Schema.withDecodingDefaultKey(Effect.succeed([] as S["Encoded"])),
   );
--- a/src/config/watcher_test.ts
+++ b/src/config/watcher_test.ts
@@ -1,6 +1,6 @@
 /**
- * Tests of which version is in force, over many hosts that restart empty, are
- * cut off, and lose the store.
+ * Tests of the version in force at several hosts that restart without state,
+ * are partitioned from each other, or can't reach the store.
  *
  * @module
  */
@@ -26,40 +26,40 @@
 interface TestHost {
   readonly id: string;
   watcher: ConfigWatcher;
-  /** Highest version that callers saw here, over restarts. */
-  seen: number;
-  isCut: boolean;
+  /** Highest version that callers saw at this host, across restarts. */
+  highestSeen: number;
+  isPartitioned: boolean;
 }
 
 type CreateWatcher = (host: ConfigWatcherHost) => ConfigWatcher;
 
-interface World {
+interface TestFleet {
   readonly platform: FakePlatform;
   readonly store: ConfigStore;
   readonly hosts: readonly TestHost[];
   readonly refused: number[];
   /** Highest version that a majority had in force at one time. */
-  settled: number;
+  majorityVersion: number;
   start(host: TestHost): void;
   gossip(from: TestHost, to: TestHost): Promise<void>;
   poll(host: TestHost): Promise<void>;
   accept(host: TestHost): Promise<void>;
 }
 
-function createWorld(
+function createFleet(
   size: number,
   createWatcher: CreateWatcher = createConfigWatcher,
-): World {
+): TestFleet {
   const platform = createFakePlatform();
   const store = createConfigStore(platform);
   const hosts: TestHost[] = [];
   const refused: number[] = [];
-  const world: World = {
+  const fleet: TestFleet = {
     platform,
     store,
     hosts,
     refused,
-    settled: 0,
+    majorityVersion: 0,
     start(host) {
       host.watcher = createWatcher({
         getHead: store.getHead,
@@ -69,20 +69,22 @@
           Effect.sync(() => {
             const from = hosts.find((each) => each.id === peer)!;
             const copy = from.watcher.tryGetCopy(asked.digest);
-            if (copy === undefined || from.isCut || host.isCut) return;
+            if (
+              copy === undefined || from.isPartitioned || host.isPartitioned
+            ) return;
             const decoded = tryDecodeCopy(encodeCopy(copy), asked);
             return decoded && { copy: decoded, knownHosts: size };
           }),
         sortPeers: (peers) => peers,
         countKnownPeers: () => 1,
-        onInForce: (config) => see(host, config.version),
+        onInForce: (config) => recordInForce(host, config.version),
         onRefused: (version) => refused.push(version),
       });
     },
     async gossip(from, to) {
-      if (from.isCut || to.isCut) return;
+      if (from.isPartitioned || to.isPartitioned) return;
       const { version = 0, digest = "" } = from.watcher.getCurrent() ?? {};
-      to.watcher.learn({ version, digest }, from.id);
+      to.watcher.recordPeerVersion({ version, digest }, from.id);
       await Effect.runPromise(to.watcher.catchUp());
     },
     async poll(host) {
@@ -100,108 +102,110 @@
       })));
       if (result._tag === "Failure") return;
       if (result.success.kind !== "accepted") return;
-      host.watcher.offer({ row: result.success.row, files });
+      host.watcher.putAcceptedInForce({ row: result.success.row, files });
     },
   };
 
-  function see(host: TestHost, version: number): void {
-    // Only what a majority never had may be unknown to an empty host.
-    const known = Math.min(host.seen, world.settled);
+  function recordInForce(host: TestHost, version: number): void {
+    // A host that lost its state may go back below a version only if no
+    // majority ever had it in force.
+    const known = Math.min(host.highestSeen, fleet.majorityVersion);
     if (version < known) {
       throw new Error(`"${host.id}" went from ${known} to ${version}`);
     }
-    host.seen = Math.max(host.seen, version);
-    const having = hosts.filter((each) =>
+    host.highestSeen = Math.max(host.highestSeen, version);
+    const holders = hosts.filter((each) =>
       each === host ||
       (each.watcher.getCurrent()?.version ?? 0) >= version
     );
-    if (having.length > size / 2) {
-      world.settled = Math.max(world.settled, version);
+    if (holders.length > size / 2) {
+      fleet.majorityVersion = Math.max(fleet.majorityVersion, version);
     }
   }
 
   for (let index = 0; index < size; index++) {
     const host = {
       id: `entry-${index}`,
-      seen: 0,
-      isCut: false,
+      highestSeen: 0,
+      isPartitioned: false,
     } as unknown as TestHost;
     hosts.push(host);
-    world.start(host);
+    fleet.start(host);
   }
-  return world;
+  return fleet;
 }
 
-/** Hosts that have read the empty record at their start. */
-async function createRunningWorld(
+/** Makes hosts that have read the empty record at their start. */
+async function createRunningFleet(
   size: number,
   createWatcher?: CreateWatcher,
-): Promise<World> {
-  const world = createWorld(size, createWatcher);
-  for (const host of world.hosts) await world.poll(host);
-  return world;
+): Promise<TestFleet> {
+  const fleet = createFleet(size, createWatcher);
+  for (const host of fleet.hosts) await fleet.poll(host);
+  return fleet;
 }
 
-async function spread(world: World): Promise<void> {
+async function gossipAmongAll(fleet: TestFleet): Promise<void> {
   for (let round = 0; round < 2; round++) {
-    for (const from of world.hosts) {
-      for (const to of world.hosts) await world.gossip(from, to);
+    for (const from of fleet.hosts) {
+      for (const to of fleet.hosts) await fleet.gossip(from, to);
     }
   }
 }
 
-function getVersions(world: World): readonly number[] {
-  return world.hosts.map((host) => host.watcher.getCurrent()?.version ?? 0);
+function getVersions(fleet: TestFleet): readonly number[] {
+  return fleet.hosts.map((host) => host.watcher.getCurrent()?.version ?? 0);
 }
 
 test("a version reaches all hosts when the store goes down at once", async () => {
-  // An operator applies files; the store takes them and goes down. Without the
-  // acceptor's own copy no host could read them before the store is back.
-  const world = await createRunningWorld(5);
-  world.platform.control.downAfterWrite = true;
-  await world.accept(world.hosts[0]!);
-  assert.equal(world.platform.control.down, true);
-  await spread(world);
-  assert.deepEqual(getVersions(world), [1, 1, 1, 1, 1]);
+  // The store accepts an operator's files and goes down. Without the copy of
+  // the host that sent them, no host could read them until the store is back.
+  const fleet = await createRunningFleet(5);
+  fleet.platform.control.downAfterWrite = true;
+  await fleet.accept(fleet.hosts[0]!);
+  assert.equal(fleet.platform.control.down, true);
+  await gossipAmongAll(fleet);
+  assert.deepEqual(getVersions(fleet), [1, 1, 1, 1, 1]);
 });
 
-test("an empty host with neither store nor peers has nothing in force", async () => {
-  // A host is replaced while the store is down and the network is cut. Callers
-  // must be told to go elsewhere, not be served by what nobody vouches for.
-  const world = await createRunningWorld(5);
-  await world.accept(world.hosts[0]!);
-  await spread(world);
-  world.platform.control.down = true;
-  world.start(world.hosts[1]!);
-  world.hosts[1]!.isCut = true;
-  await world.poll(world.hosts[1]!);
-  await spread(world);
-  assert.equal(world.hosts[1]!.watcher.getCurrent(), undefined);
+test("a new host with neither store nor peers has nothing in force", async () => {
+  // A host is replaced while the store is down and the host is partitioned. It
+  // must not serve callers with a configuration that nothing confirms.
+  const fleet = await createRunningFleet(5);
+  await fleet.accept(fleet.hosts[0]!);
+  await gossipAmongAll(fleet);
+  fleet.platform.control.down = true;
+  fleet.start(fleet.hosts[1]!);
+  fleet.hosts[1]!.isPartitioned = true;
+  await fleet.poll(fleet.hosts[1]!);
+  await gossipAmongAll(fleet);
+  assert.equal(fleet.hosts[1]!.watcher.getCurrent(), undefined);
 });
 
-test("an empty host does not believe one stale peer", async () => {
-  // Host 4 was cut off at version 1, the others have version 2. The store goes
-  // down, host 1 restarts empty and hears host 4 alone: callers who saw version
-  // 2 there must not get version 1. With a majority it serves version 2.
-  const world = await createRunningWorld(5);
-  await world.accept(world.hosts[0]!);
-  await spread(world);
-  world.hosts[4]!.isCut = true;
-  await world.accept(world.hosts[0]!);
-  await spread(world);
-  world.platform.control.down = true;
-  world.hosts[4]!.isCut = false;
-  world.start(world.hosts[1]!);
-  await world.gossip(world.hosts[4]!, world.hosts[1]!);
-  assert.equal(world.hosts[1]!.watcher.getCurrent(), undefined);
-  await world.gossip(world.hosts[0]!, world.hosts[1]!);
-  await world.gossip(world.hosts[2]!, world.hosts[1]!);
-  assert.equal(world.hosts[1]!.watcher.getCurrent()?.version, 2);
+test("a restarted host does not trust a single stale peer", async () => {
+  // Host 4 was partitioned at version 1; the others have version 2. The store
+  // goes down, and host 1 restarts without state and hears from host 4 only.
+  // Its callers saw version 2 and must not get version 1. Once a majority
+  // announced their versions, host 1 has version 2 in force.
+  const fleet = await createRunningFleet(5);
+  await fleet.accept(fleet.hosts[0]!);
+  await gossipAmongAll(fleet);
+  fleet.hosts[4]!.isPartitioned = true;
+  await fleet.accept(fleet.hosts[0]!);
+  await gossipAmongAll(fleet);
+  fleet.platform.control.down = true;
+  fleet.hosts[4]!.isPartitioned = false;
+  fleet.start(fleet.hosts[1]!);
+  await fleet.gossip(fleet.hosts[4]!, fleet.hosts[1]!);
+  assert.equal(fleet.hosts[1]!.watcher.getCurrent(), undefined);
+  await fleet.gossip(fleet.hosts[0]!, fleet.hosts[1]!);
+  await fleet.gossip(fleet.hosts[2]!, fleet.hosts[1]!);
+  assert.equal(fleet.hosts[1]!.watcher.getCurrent()?.version, 2);
 });
 
-test("a peer's files with another digest are not taken", () => {
-  // A peer's memory is damaged, or its program wrong: it sends a weight that no
-  // operator declared. The digest of the files tells.
+test("a peer's files with another digest are rejected", () => {
+  // A peer with damaged memory or a faulty program sends a weight that no
+  // operator declared. The digest of the files does not match.
   const files = createFileSet();
   const row = {
     version: 1,
@@ -219,15 +223,15 @@
   assert.equal(tryDecodeCopy(later, row), undefined);
 });
 
-test("a version that can't be read does not stop the next one", async () => {
+test("a version that can't be decoded does not block the next one", async () => {
   // During an update a newer program accepts a key that this one does not know.
-  // This host keeps what it has, says so, and takes the version after it.
-  const world = createWorld(4);
-  const [first] = world.hosts;
-  await world.accept(first!);
+  // This host keeps its version, reports the refusal and accepts the next one.
+  const fleet = createFleet(4);
+  const [first] = fleet.hosts;
+  await fleet.accept(first!);
   const files = createFileSet();
   const broken = { ...files, "teams.toml": "unheard_of = 1\n" };
-  first!.watcher.offer({
+  first!.watcher.putAcceptedInForce({
     row: {
       version: 2,
       digest: getFileSetDigest(broken),
@@ -238,9 +242,9 @@
     },
     files: broken,
   });
-  assert.deepEqual(world.refused, [2]);
+  assert.deepEqual(fleet.refused, [2]);
   assert.equal(first!.watcher.getCurrent()?.version, 1);
-  first!.watcher.offer({
+  first!.watcher.putAcceptedInForce({
     row: {
       version: 3,
       digest: getFileSetDigest(files),
@@ -254,19 +258,22 @@
   assert.equal(first!.watcher.getCurrent()?.version, 3);
 });
 
-test("a version that nobody can give does not hide the real one", async () => {
-  // A damaged datagram names version 4000000000. The host asks for it in vain,
-  // and still has to take version 1.
-  const world = createWorld(4);
-  await world.accept(world.hosts[0]!);
-  const target = world.hosts[1]!;
-  await world.poll(target);
-  target.watcher.learn({ version: 4e9, digest: "f".repeat(64) }, "entry-2");
-  await world.gossip(world.hosts[0]!, target);
+test("a version that does not exist does not hide the real one", async () => {
+  // A damaged datagram announces version 4000000000. The host can't fetch it,
+  // and must still put version 1 in force.
+  const fleet = createFleet(4);
+  await fleet.accept(fleet.hosts[0]!);
+  const target = fleet.hosts[1]!;
+  await fleet.poll(target);
+  target.watcher.recordPeerVersion(
+    { version: 4e9, digest: "f".repeat(64) },
+    "entry-2",
+  );
+  await fleet.gossip(fleet.hosts[0]!, target);
   assert.equal(target.watcher.getCurrent()?.version, 1);
 });
 
-/** One step of a random run, by its numbers. */
+/** A step of a random run: its kind and the indexes of two hosts. */
 type Step = readonly [
   "accept" | "gossip" | "poll" | "restart" | "cut" | "store",
   number,
@@ -292,82 +299,88 @@
   { minLength: 20, maxLength: 150 },
 );
 
-async function runSteps(world: World, taken: readonly Step[]): Promise<void> {
-  for (const [name, first, second] of taken) {
-    const host = world.hosts[first]!;
+async function runSteps(
+  fleet: TestFleet,
+  stepsToRun: readonly Step[],
+): Promise<void> {
+  for (const [name, first, second] of stepsToRun) {
+    const host = fleet.hosts[first]!;
     switch (name) {
       case "accept":
-        await world.accept(host);
+        await fleet.accept(host);
         break;
       case "gossip":
-        await world.gossip(host, world.hosts[second]!);
+        await fleet.gossip(host, fleet.hosts[second]!);
         break;
       case "poll":
-        await world.poll(host);
+        await fleet.poll(host);
         break;
       case "restart":
-        world.start(host);
-        await world.poll(host);
+        fleet.start(host);
+        await fleet.poll(host);
         break;
       case "cut":
-        host.isCut = !host.isCut;
+        host.isPartitioned = !host.isPartitioned;
         break;
       case "store":
-        world.platform.control.down = !world.platform.control.down;
+        fleet.platform.control.down = !fleet.platform.control.down;
     }
   }
 }
 
-/** All are reachable again: the newest version must come to all. */
-async function heal(world: World): Promise<void> {
-  world.platform.control.down = false;
-  for (const host of world.hosts) host.isCut = false;
-  for (const host of world.hosts) await world.poll(host);
-  const head = await Effect.runPromise(world.store.getHead());
-  for (const version of getVersions(world)) {
+/** Makes all hosts and the store reachable; all must get the newest version. */
+async function recoverAll(fleet: TestFleet): Promise<void> {
+  fleet.platform.control.down = false;
+  for (const host of fleet.hosts) host.isPartitioned = false;
+  for (const host of fleet.hosts) await fleet.poll(host);
+  const head = await Effect.runPromise(fleet.store.getHead());
+  for (const version of getVersions(fleet)) {
     assert.equal(version, head?.version ?? 0);
   }
 }
 
-test("no host goes back, whatever restarts, cuts and outages come", async () => {
-  // Random runs of five hosts: versions accepted anywhere, datagrams, polls,
-  // restarts that forget all, cuts, and a store that comes and goes.
+test("no host goes back to an older version in random runs with failures", async () => {
+  // Five hosts accept versions, gossip, poll, restart without state and are
+  // partitioned, while the store goes down and comes back.
   await fc.assert(
     fc.asyncProperty(steps, async (taken) => {
-      const world = await createRunningWorld(5);
-      await runSteps(world, taken);
-      await heal(world);
+      const fleet = await createRunningFleet(5);
+      await runSteps(fleet, taken);
+      await recoverAll(fleet);
     }),
     { seed: 7, numRuns: 1_000 },
   );
 });
 
-test("without the majority rule hosts are seen to go back", async () => {
-  // The mechanism switched off: an empty host believes the first peer.
-  const trusting: CreateWatcher = (host) => {
+test("without the majority rule hosts go back to older versions", async () => {
+  // With the rule disabled, a host without state trusts the first peer.
+  const createWatcherWithoutMajority: CreateWatcher = (host) => {
     const watcher = createConfigWatcher(host);
     return {
       ...watcher,
-      learn(claim, peer) {
+      recordPeerVersion(claim, peer) {
         if (claim.version > 0) {
-          watcher.learn(claim, `${peer}/second`);
-          watcher.learn(claim, `${peer}/third`);
+          watcher.recordPeerVersion(claim, `${peer}/second`);
+          watcher.recordPeerVersion(claim, `${peer}/third`);
         }
-        watcher.learn(claim, peer);
+        watcher.recordPeerVersion(claim, peer);
       },
     };
   };
   const checked = await fc.check(
     fc.asyncProperty(steps, async (taken) => {
-      const world = await createRunningWorld(5, (host) =>
-        trusting({
-          ...host,
-          tryFetch: (peer, asked) =>
-            host.tryFetch(peer.split("/")[0]!, asked).pipe(
-              Effect.map((found) => found && { ...found, knownHosts: 1 }),
-            ),
-        }));
-      await runSteps(world, taken);
+      const fleet = await createRunningFleet(
+        5,
+        (host) =>
+          createWatcherWithoutMajority({
+            ...host,
+            tryFetch: (peer, asked) =>
+              host.tryFetch(peer.split("/")[0]!, asked).pipe(
+                Effect.map((found) => found && { ...found, knownHosts: 1 }),
+              ),
+          }),
+      );
+      await runSteps(fleet, taken);
     }),
     { seed: 7, numRuns: 1_000 },
   );
--- a/src/core/mod.ts
+++ b/src/core/mod.ts
@@ -1,5 +1,6 @@
 /**
- * Helpers without knowledge of the domain: assertions, clocks, digests.
+ * Helpers that are independent of the domain: assertions, clocks, timers and
+ * digests.
  *
  * @module
  */
@@ -7,4 +8,4 @@
 export * from "./clock.ts";
 export * from "./core.ts";
 export * from "./hlc.ts";
-export * from "./read_first.ts";
+export * from "./timers.ts";
--- a/src/diagnostics/messages.ts
+++ b/src/diagnostics/messages.ts
@@ -1,19 +1,19 @@
 /**
- * The one catalogue of what the program says to people: errors to callers and
- * operators, and log lines. Code refers to an entry by its name; the code in an
- * entry never changes its meaning.
+ * The catalogue of all messages: errors for callers and operators, and log
+ * lines. Modules refer to an entry by its name. The numeric code of an entry
+ * never changes its meaning.
  *
  * @module
  */
 
-/** Who a message is for and how serious it is. */
+/** The audience of a message. */
 export type MessageCategory = "caller-error" | "operator-error" | "log";
 
 /** An entry of the catalogue. */
 export interface Message {
   readonly code: number;
   readonly category: MessageCategory;
-  /** Text with {0}, {1} … for the arguments. */
+  /** Text with the placeholders {0}, {1} … for arguments. */
   readonly text: string;
 }
 
@@ -25,7 +25,7 @@
   return { code, category, text };
 }
 
-/** Every message, by name. 1xxx: callers; 2xxx: operators; 3xxx: logs. */
+/** All messages by name. Codes: 1xxx callers, 2xxx operators, 3xxx logs. */
 export const messages = {
   missingKey: define(
     1001,
@@ -82,17 +82,17 @@
   hostFull: define(
     1040,
     "caller-error",
-    "This host holds {0} waiting requests and has no room for more of the team",
+    "This host has {0} queued requests and accepts no more of the team",
   ),
   deadlineLost: define(
     1041,
     "caller-error",
-    "The request waited and its deadline can't be met any more",
+    "The deadline of the queued request can't be met any more",
   ),
   draining: define(
     1013,
     "caller-error",
-    'This host is leaving; ask "/where" for another',
+    'This host is draining; ask "/where" for another host',
   ),
   notReady: define(1014, "caller-error", "This host is not ready: {0}"),
   upstreamFailed: define(
@@ -103,7 +103,7 @@
   claimedElsewhere: define(
     1017,
     "caller-error",
-    "A request with this idempotency key is under way or its end is unknown",
+    "A request with this idempotency key is running or its outcome is unknown",
   ),
   claimsUnavailable: define(
     1018,
@@ -136,9 +136,9 @@
   claimEndUnknown: define(
     1031,
     "caller-error",
-    "A request with this idempotency key went to its upstream and its end is " +
-      "not known; look the result up at the service, or send again with a " +
-      "new key if a second run does no harm",
+    "A request with this idempotency key was sent to its upstream and its " +
+      "outcome is not known; look the result up at the service, or send " +
+      "again with a new key if a second run does no harm",
   ),
   idempotencyKeyReused: define(
     1032,
@@ -158,7 +158,7 @@
   answerIncomplete: define(
     1035,
     "caller-error",
-    'The answer is incomplete after offset {0}: the upstream "{1}" failed: {2}',
+    'The response is incomplete after offset {0}: the upstream "{1}" failed: {2}',
   ),
   suspectNotAlone: define(
     1036,
@@ -169,12 +169,12 @@
   badOffset: define(
     1037,
     "caller-error",
-    'The offset "{0}" is no whole number from 0 up',
+    'The offset "{0}" is not a whole number of at least 0',
   ),
   drainLimitPassed: define(
     1038,
     "caller-error",
-    "The host had to stop before the answer was whole",
+    "The host had to stop before the response was complete",
   ),
   operatorKeyNeeded: define(
     2001,
@@ -184,7 +184,7 @@
   configConflict: define(
     2002,
     "operator-error",
-    "The configuration in force is version {0} by {1}, not the one that you saw",
+    "The configuration in force is version {0} by {1}, not your base version",
   ),
   configInvalid: define(2003, "operator-error", "{0}"),
   platformUnavailable: define(
@@ -195,7 +195,7 @@
   configUnknown: define(
     2030,
     "operator-error",
-    "The platform failed and may have accepted the configuration; apply it again to know: {0}",
+    "The platform failed and may have accepted the configuration; apply it again to find out: {0}",
   ),
   configValueNotAllowed: define(
     2010,
@@ -281,7 +281,7 @@
   requestNotInLines: define(
     2091,
     "operator-error",
-    'None of {1} lines names the request "{0}"; give the lines of all hosts, for callers try more than one',
+    'None of {1} lines names the request "{0}"; pass the lines of all hosts, since a caller may try several',
   ),
   requestNotFound: define(
     2057,
@@ -316,7 +316,7 @@
   badOperatorBody: define(
     2062,
     "operator-error",
-    "The body is not as expected: {0}",
+    "The body is not valid: {0}",
   ),
   listenFailed: define(
     2063,
@@ -338,18 +338,18 @@
   memberChanged: define(3005, "log", 'Host "{0}" is now {1}'),
   peerLost: define(3006, "log", 'The link to host "{0}" is lost: {1}'),
   requestEnded: define(3007, "log", "Request ended as {0}"),
-  taskFailed: define(3009, "log", 'A turn of the task "{0}" failed: {1}'),
+  taskFailed: define(3009, "log", 'A run of the task "{0}" failed: {1}'),
   platformFailed: define(3008, "log", "A call to the platform failed: {0}"),
-  drainPhase: define(3030, "log", "The host's drain is now {0}"),
+  drainPhase: define(3030, "log", "The host's drain phase is now {0}"),
   drainCut: define(
     3031,
     "log",
-    "{0} answers were not whole at the drain limit",
+    "{0} responses were not complete at the drain limit",
   ),
   stoppedAtOnce: define(
     3032,
     "log",
-    "A second signal ends the host at once, with {0} answers in flight",
+    "A second signal stops the host immediately, with {0} requests in flight",
   ),
   upstreamLeaving: define(3033, "log", 'Upstream "{0}" is leaving: {1}'),
   orderGiven: define(3034, "log", 'Order to upstream "{0}": {1}: {2}'),
@@ -358,7 +358,7 @@
 /** The name of an entry of the catalogue. */
 export type MessageName = keyof typeof messages;
 
-/** The text of a message with its arguments put in. */
+/** Formats the text of a message with its arguments. */
 export function formatMessage(
   name: MessageName,
   args: readonly (string | number)[] = [],
--- a/src/forwarding/read_body.ts
+++ b/src/forwarding/read_body.ts
@@ -9,7 +9,7 @@
 import { Buffer } from "node:buffer";
 import type { IncomingMessage, ServerResponse } from "node:http";
 import * as Effect from "effect/Effect";
-import { startTimeLimit } from "../core/mod.ts";
+import { startTimeout } from "../core/mod.ts";
 import {
   type CallerLost,
   createDisconnected,
@@ -61,7 +61,7 @@
       caller[Symbol.dispose]();
     }
 
-    const timeout = startTimeLimit(
+    const timeout = startTimeout(
       BODY_TIMEOUT_MS,
       () =>
         reject(
--- a/src/forwarding/serve.ts
+++ b/src/forwarding/serve.ts
@@ -8,7 +8,7 @@
 
 import type { IncomingMessage, ServerResponse } from "node:http";
 import * as Effect from "effect/Effect";
-import { getDigest, startTimeLimit } from "../core/mod.ts";
+import { getDigest, startTimeout } from "../core/mod.ts";
 import {
   type CallerLost,
   createDisconnected,
@@ -294,7 +294,7 @@
       res,
       () => resume(Effect.fail(createDisconnected())),
     );
-    const timeout = startTimeLimit(
+    const timeout = startTimeout(
       Math.max(0, getRemainingMs(host, call)),
       () => resume(Effect.fail(createTimeoutRejection(call))),
     );
--- a/src/load/load_test.ts
+++ b/src/load/load_test.ts
@@ -4,7 +4,7 @@
 import {
   type Clock,
   createManualClock,
-  createWorkingClock,
+  createStallTolerantClock,
 } from "../core/mod.ts";
 import { getNameDigest } from "../peers/mod.ts";
 import { createLoadView } from "./load_view.ts";
@@ -156,7 +156,7 @@
   // Guards against a host that, after a long event-loop iteration, takes full
   // upstreams for free because the reports of other hosts seem to be too old.
   const a = createView("a");
-  const working = createWorkingClock(a.clock);
+  const working = createStallTolerantClock(a.clock);
   const b = createView("b", a.clock, working);
   a.view.beginPrefill("engine-1", 9_000);
   b.view.receive(a.createReport());
--- a/src/proof/check_control.ts
+++ b/src/proof/check_control.ts
@@ -1,73 +1,75 @@
 /**
- * Checks of configuration, leaving upstreams and orders.
+ * Checks of the promises about configuration, leaving upstreams and orders.
  *
  * @module
  */
 
 import { getOrCreate } from "../core/mod.ts";
-import { getOfKind } from "./check_requests.ts";
+import { getByKind } from "./check_requests.ts";
 import type { Observation, PromiseLimits, Violation } from "./types.ts";
 
-/** The version seen at a host never falls, over restarts too. */
+/** The version that a host shows never decreases, not even across restarts. */
 export function checkConfigNeverReverts(
   history: readonly Observation[],
 ): readonly Violation[] {
   const highest = new Map<string, number>();
-  return getOfKind(history, "config-seen").flatMap((seen) => {
-    // A host that says it is not ready serves nothing, so it reverts nothing.
+  return getByKind(history, "config-seen").flatMap((seen) => {
+    // Version 0 means not ready: the host serves no requests, so that callers
+    // do not see an older version.
     if (seen.version === 0) return [];
-    const before = highest.get(seen.host) ?? 0;
-    highest.set(seen.host, Math.max(before, seen.version));
-    if (seen.version >= before) return [];
+    const highestBefore = highest.get(seen.host) ?? 0;
+    highest.set(seen.host, Math.max(highestBefore, seen.version));
+    if (seen.version >= highestBefore) return [];
     return [{
       promise: "config-never-reverts" as const,
       atMs: seen.atMs,
-      what: `"${seen.host}" went from version ${before} to ${seen.version}`,
+      what:
+        `"${seen.host}" went from version ${highestBefore} to ${seen.version}`,
     }];
   });
 }
 
-/** Every reachable host has an accepted version in time. */
+/** Every reachable host has an accepted version in force in time. */
 export function checkConfigInTime(
   history: readonly Observation[],
   limits: PromiseLimits,
 ): readonly Violation[] {
-  return getOfKind(history, "config-accepted").flatMap((accepted) => {
-    const late = getOfKind(history, "config-seen").find((seen) => {
+  return getByKind(history, "config-accepted").flatMap((accepted) => {
+    const violating = getByKind(history, "config-seen").find((seen) => {
       if (seen.version >= accepted.version || seen.version === 0) return false;
       const sinceMs = tryGetReachableSince(history, seen.host, seen.atMs);
       if (sinceMs === undefined) return false;
       const startMs = Math.max(accepted.atMs, sinceMs);
       return seen.atMs > startMs + limits.configMs;
     });
-    if (late === undefined) return [];
+    if (violating === undefined) return [];
     return [{
       promise: "config-in-force-in-time" as const,
-      atMs: late.atMs,
-      what: `"${late.host}" had version ${late.version} ${
-        late.atMs - accepted.atMs
+      atMs: violating.atMs,
+      what: `"${violating.host}" had version ${violating.version} ${
+        violating.atMs - accepted.atMs
       } ms after version ${accepted.version} was accepted`,
     }];
   });
 }
 
-/** No two operators are told that they made the same version. */
+/** A version number is never accepted with two different contents. */
 export function checkOneOperatorWins(
   history: readonly Observation[],
 ): readonly Violation[] {
   const digests = new Map<number, string>();
-  return getOfKind(history, "config-accepted").flatMap((accepted) => {
+  return getByKind(history, "config-accepted").flatMap((accepted) => {
     const { version, digest } = accepted;
     if (getOrCreate(digests, version, () => digest) === digest) return [];
     return [{
       promise: "one-operator-wins" as const,
       atMs: accepted.atMs,
-      what: `Version ${version} was accepted with two contents`,
+      what: `Version ${version} was accepted with two different contents`,
     }];
   });
 }
 
-/** A leaving upstream gets nothing new after the stated time. */
+/** A leaving upstream gets no new work after the documented time. */
 export function checkLeavingUpstreams(
   history: readonly Observation[],
   limits: PromiseLimits,
@@ -93,12 +95,12 @@
   });
 }
 
-/** Orders at an upstream never carry a lower token than one before. */
+/** An upstream never accepts an order with a lower token than before. */
 export function checkOrders(
   history: readonly Observation[],
 ): readonly Violation[] {
   const highest = new Map<string, number>();
-  return getOfKind(history, "order-taken").flatMap((order) => {
+  return getByKind(history, "order-taken").flatMap((order) => {
     const before = highest.get(order.upstream) ?? 0;
     highest.set(order.upstream, Math.max(before, order.token));
     if (order.token >= before) return [];
@@ -110,7 +112,9 @@
   });
 }
 
-/** Since when the host is reachable at the time given, in milliseconds. */
+/**
+ * The time since which a host that is reachable at `atMs` has been reachable.
+ */
 function tryGetReachableSince(
   history: readonly Observation[],
   host: string,
--- a/src/router/configuration.ts
+++ b/src/router/configuration.ts
@@ -8,13 +8,13 @@
 
 import * as Effect from "effect/Effect";
 import {
+  type AnnouncedVersion,
   type ConfigStore,
   type ConfigWatcher,
   createConfigWatcher,
   encodeCopy,
   getPollMs,
   tryDecodeCopy,
-  type VersionClaim,
 } from "../config/mod.ts";
 import type { Clock } from "../core/mod.ts";
 import { type Membership, tryGetOwner } from "../membership/mod.ts";
@@ -34,7 +34,7 @@
 /** Configuration watcher of one router, with its peers and its poll period. */
 export interface Configuration extends ConfigWatcher {
   /** Handles a version that a peer announced in a datagram. */
-  receiveAnnouncement(announced: VersionClaim, peer: string): void;
+  receiveAnnouncement(announced: AnnouncedVersion, peer: string): void;
   /** Returns the encoded copy for a peer that requests the digest. */
   tryEncode(digest: string): Uint8Array | undefined;
   /** Milliseconds until this host polls the platform again. */
@@ -57,7 +57,7 @@
     onRefused: host.onRefused,
   });
 
-  function tryFetch(peer: string, announced: VersionClaim) {
+  function tryFetch(peer: string, announced: AnnouncedVersion) {
     const member = host.getMembership().getMembers().find((each) =>
       each.host === peer
     );
@@ -111,8 +111,8 @@
     ...watcher,
     receiveAnnouncement(announced, peer) {
       lastAnnouncementMs = host.clock.monotonicMs();
-      watcher.learn(announced, peer);
-      if (watcher.isBehind()) Effect.runFork(watcher.catchUp());
+      watcher.recordPeerVersion(announced, peer);
+      if (watcher.isOutdated()) Effect.runFork(watcher.catchUp());
     },
     tryEncode(digest) {
       const copy = watcher.tryGetCopy(digest);
@@ -125,8 +125,8 @@
     getPollMs: () =>
       getPollMs({
         hasVersion: watcher.getCurrent() !== undefined,
-        isPicked: isDesignatedPoller(),
-        sinceHeardMs: host.clock.monotonicMs() - lastAnnouncementMs,
+        isDesignatedPoller: isDesignatedPoller(),
+        sinceLastPeerMs: host.clock.monotonicMs() - lastAnnouncementMs,
         random: Math.random(),
       }),
   };
--- a/src/router/leaving_upstreams_test.ts
+++ b/src/router/leaving_upstreams_test.ts
@@ -10,7 +10,11 @@
 import { createManualClock } from "../core/mod.ts";
 import type { Fact } from "../membership/mod.ts";
 import type { ListedMachine } from "../platform/mod.ts";
-import { checkHistory, type Observation, statedLimits } from "../proof/mod.ts";
+import {
+  checkHistory,
+  documentedLimits,
+  type Observation,
+} from "../proof/mod.ts";
 import { createOwnerFixture } from "../testing/slot_owner_fixture.ts";
 import type { Upstream } from "../types.ts";
 import { pollUpstreamStates, type UpstreamState } from "../upstreams/mod.ts";
@@ -167,11 +171,11 @@
 test("an owner grants no slots of a leaving upstream", () => {
   const history = simulateLeaving(true);
   assert.ok(history.some((each) => each.kind === "upstream-ran"));
-  assert.deepEqual(checkHistory(history, statedLimits), []);
+  assert.deepEqual(checkHistory(history, documentedLimits), []);
 });
 
 test("without the upstream's report the checker finds requests sent to it", () => {
-  const violations = checkHistory(simulateLeaving(false), statedLimits);
+  const violations = checkHistory(simulateLeaving(false), documentedLimits);
   const promises = new Set(violations.map((each) => each.promise));
   assert.deepEqual([...promises], ["leaving-upstream-gets-nothing"]);
 });
--- a/src/router/router.ts
+++ b/src/router/router.ts
@@ -273,7 +273,7 @@
       recorder,
       operators: settings.operators,
       getCurrent: configuration.getCurrent,
-      onAccepted: configuration.offer,
+      onAccepted: configuration.putAcceptedInForce,
       isDraining: () => drain.getPhase() !== "serving",
       isUpstreamLeaving: leavingUpstreams.isLeaving,
       tryGetNotReadyReason,
--- a/src/timeline/story.ts
+++ b/src/timeline/story.ts
@@ -1,25 +1,26 @@
 /**
- * All events that bear on one request: its own, the grants that gave it slots,
- * and what happened meanwhile to the upstreams and hosts that it met.
+ * Collects the events that concern one request: its own, the grants of the
+ * slots that it used, and the changes of its upstreams and hosts in the
+ * meantime.
  *
  * @module
  */
 
 import { getWallMs } from "../core/mod.ts";
-import { describeEvent, formatMs, formatTime } from "./describe.ts";
+import { describeEvent, formatDuration, formatTime } from "./describe.ts";
 import type { EventKind, TimelineEvent } from "./types.ts";
 
-/** The events of one request in causal order. */
+/** The events that concern one request, in causal order. */
 export interface RequestStory {
   readonly request: string;
-  readonly own: readonly TimelineEvent[];
-  /** Own events together with those that bear on them. */
-  readonly all: readonly TimelineEvent[];
-  /** Dispatches on a slot that the host had kept from before the request. */
-  readonly onKeptSlot: ReadonlySet<TimelineEvent>;
+  readonly ownEvents: readonly TimelineEvent[];
+  /** The request's own events and the related ones. */
+  readonly allEvents: readonly TimelineEvent[];
+  /** Dispatches that used a slot which the host had kept from earlier use. */
+  readonly dispatchesOnKeptSlots: ReadonlySet<TimelineEvent>;
 }
 
-/** Kinds that bear on a request without naming it, beside its grants. */
+/** Kinds of related events that do not contain the request's id. */
 export const contextKinds: readonly EventKind[] = [
   "limit-changed",
   "owner-changed",
@@ -31,55 +32,55 @@
 
 type Dispatch = Extract<TimelineEvent, { kind: "request-dispatched" }>;
 
-/** Ids of the requests that start with the text, in order of appearance. */
+/** The request ids that start with the prefix, in order of appearance. */
 export function findRequests(
   events: readonly TimelineEvent[],
-  start: string,
+  idPrefix: string,
 ): readonly string[] {
   const found = new Set<string>();
   for (const event of events) {
-    if ("request" in event && event.request.startsWith(start)) {
+    if ("request" in event && event.request.startsWith(idPrefix)) {
       found.add(event.request);
     }
   }
   return [...found];
 }
 
-/** Collects the story; the events given are merged already. */
+/** Collects the story of a request from events that are already merged. */
 export function getRequestStory(
   events: readonly TimelineEvent[],
   request: string,
 ): RequestStory {
-  const own = events.filter((event) =>
+  const ownEvents = events.filter((event) =>
     "request" in event && event.request === request
   );
-  const onKeptSlot = new Set<TimelineEvent>();
-  const grants = own.filter(isDispatch).flatMap((dispatch) => {
-    const grant = tryGetGrant(events, dispatch, own[0]!);
-    if (grant === undefined) onKeptSlot.add(dispatch);
+  const dispatchesOnKeptSlots = new Set<TimelineEvent>();
+  const grants = ownEvents.filter(isDispatch).flatMap((dispatch) => {
+    const grant = tryGetGrant(events, dispatch, ownEvents[0]!);
+    if (grant === undefined) dispatchesOnKeptSlots.add(dispatch);
     return grant ?? [];
   });
-  const context = getContext(events, own);
-  const all = new Set([...own, ...grants, ...context]);
+  const context = getContext(events, ownEvents);
+  const all = new Set([...ownEvents, ...grants, ...context]);
   return {
     request,
-    own,
-    all: events.filter((event) => all.has(event)),
-    onKeptSlot,
+    ownEvents: ownEvents,
+    allEvents: events.filter((event) => all.has(event)),
+    dispatchesOnKeptSlots: dispatchesOnKeptSlots,
   };
 }
 
-/** The story as sentences, one a line, with a summary at the end. */
+/** Describes a story in sentences, one a line, with a summary at the end. */
 export function explainStory(story: RequestStory): readonly string[] {
-  const [first] = story.own;
+  const [first] = story.ownEvents;
   if (first === undefined) return [];
-  const lines = story.all.map((event) => {
+  const lines = story.allEvents.map((event) => {
     const afterMs = getWallMs(event.at) - getWallMs(first.at);
     const sign = afterMs < 0 ? "-" : "+";
-    const offset = `${sign}${formatMs(Math.abs(afterMs))}`.padStart(9);
+    const offset = `${sign}${formatDuration(Math.abs(afterMs))}`.padStart(9);
     const time = formatTime(event.at);
-    const kept = story.onKeptSlot.has(event)
-      ? ", which the host had kept while nobody else wanted it"
+    const kept = story.dispatchesOnKeptSlots.has(event)
+      ? ", which the host had kept while no other host wanted it"
       : "";
     return `${time} ${offset}  ${event.host}: ${describeEvent(event)}${kept}`;
   });
@@ -87,27 +88,32 @@
 }
 
 function summarize(story: RequestStory): string {
-  const first = story.own[0]!;
-  const last = story.own.findLast((event) => event.kind === "request-ended");
+  const first = story.ownEvents[0]!;
+  const last = story.ownEvents.findLast((event) =>
+    event.kind === "request-ended"
+  );
   if (last?.kind === "request-ended") {
     const tookMs = getWallMs(last.at) - getWallMs(first.at);
-    const sends = story.own.filter(isDispatch).length;
-    return `It ended as ${last.outcome} after ${formatMs(tookMs)}, ` +
-      `sent to upstreams ${formatTimes(sends)}.`;
+    const sends = story.ownEvents.filter(isDispatch).length;
+    return `It ended as ${last.outcome} after ${formatDuration(tookMs)}, ` +
+      `sent to upstreams ${formatRepetitions(sends)}.`;
   }
-  const refused = story.own.find((event) => event.kind === "request-refused");
+  const refused = story.ownEvents.find((event) =>
+    event.kind === "request-refused"
+  );
   if (refused !== undefined) return "It was refused and did not run.";
-  return `No host knows its end: it is under way, or ${first.host} is gone.`;
+  return `Its end is not known: it is still running, or ${first.host} is gone.`;
 }
 
-function formatTimes(count: number): string {
+function formatRepetitions(count: number): string {
   if (count === 0) return "never";
   return count === 1 ? "once" : `${count} times`;
 }
 
 /**
- * The grant that the dispatch used: the last one between the first event of the
- * request and the dispatch that fits. None: an earlier one, of a kept slot.
+ * Finds the grant that the dispatch used: the last matching one between the
+ * first event of the request and the dispatch. Without one, the host used a
+ * kept slot, which was granted before the request.
  */
 function tryGetGrant(
   events: readonly TimelineEvent[],
@@ -122,16 +128,16 @@
   );
 }
 
-/** Changes of its hosts and upstreams between its first and last event. */
+/** Changes of the request's hosts and upstreams between its events. */
 function getContext(
   events: readonly TimelineEvent[],
-  own: readonly TimelineEvent[],
+  ownEvents: readonly TimelineEvent[],
 ): readonly TimelineEvent[] {
-  const from = own[0]?.at ?? 0;
-  const to = own.at(-1)?.at ?? 0;
-  const hosts = new Set(own.map((event) => event.host));
+  const from = ownEvents[0]?.at ?? 0;
+  const to = ownEvents.at(-1)?.at ?? 0;
+  const hosts = new Set(ownEvents.map((event) => event.host));
   const upstreams = new Set(
-    own.map((event) => "upstream" in event ? event.upstream : ""),
+    ownEvents.map((event) => "upstream" in event ? event.upstream : ""),
   );
   return events.filter((event) => {
     if (event.at < from || event.at > to) return false;
