--- a/src/commands/replay.ts
+++ b/src/commands/replay.ts
@@ -1,6 +1,6 @@
 /**
- * `azurestile-replay FILE`: checks a recorded history anew against the outcome
- * that its trace states.
+ * `azurestile-replay FILE`: checks a recorded history again and compares the
+ * result with the outcome that is stated in its trace.
  *
  * @module
  */
@@ -9,8 +9,8 @@
 import {
   checkHistory,
   compareWithStatement,
+  documentedLimits,
   parseTrace,
-  statedLimits,
   type Trace,
 } from "../proof/mod.ts";
 import { createUsageError } from "./errors.ts";
@@ -20,7 +20,7 @@
   file: {
     type: "positional",
     required: true,
-    description: "Trace, as JSON lines",
+    description: "Trace in JSON lines",
   },
 } as const;
 
@@ -35,7 +35,10 @@
     print(`About: ${trace.stated.about}`);
     print(`Observations: ${trace.history.length}`);
     for (
-      const { promise, atMs, what } of checkHistory(trace.history, statedLimits)
+      const { promise, atMs, what } of checkHistory(
+        trace.history,
+        documentedLimits,
+      )
     ) {
       print(`Broken at ${atMs} ms: ${promise}: ${what}`);
     }
--- a/src/entry/ticker.ts
+++ b/src/entry/ticker.ts
@@ -8,13 +8,13 @@
  * event-loop iterations and twice the processor time, which is wasted on idle
  * hosts and which busy hosts need for their callers. After a long iteration or
  * a pause of the process, an immediate decision would be based on outdated
- * input; see `afterReading`.
+ * input; see `runAfterPendingReads`.
  *
  * @module
  */
 
 import { performance } from "node:perf_hooks";
-import { afterReading } from "../core/mod.ts";
+import { runAfterPendingReads } from "../core/mod.ts";
 
 /** The functions that a ticker runs. */
 export interface TickerJobs {
@@ -47,7 +47,7 @@
     jobs.measure?.();
     if (pendingRead !== undefined) return;
     const lateMs = performance.now() - lastMs - periodMs;
-    if (lateMs > LATE_TICK_MS) pendingRead = afterReading(runDecide);
+    if (lateMs > LATE_TICK_MS) pendingRead = runAfterPendingReads(runDecide);
     else runDecide();
   }
 
--- a/src/forwarding/relay_stream.ts
+++ b/src/forwarding/relay_stream.ts
@@ -10,7 +10,7 @@
 import type { Buffer } from "node:buffer";
 import type { ServerResponse } from "node:http";
 import * as Effect from "effect/Effect";
-import { startTimeLimit } from "../core/mod.ts";
+import { startTimeout } from "../core/mod.ts";
 import {
   type CallerLost,
   createDisconnected,
@@ -48,7 +48,7 @@
     const canFailOver = route.isResumable &&
       progress.possibleRuns < route.maxAttempts;
     const idleTimeout = canFailOver
-      ? startTimeLimit(STREAM_IDLE_TIMEOUT_MS, onIdle)
+      ? startTimeout(STREAM_IDLE_TIMEOUT_MS, onIdle)
       : undefined;
 
     function onIdle(): void {
--- a/src/forwarding/upstream_call.ts
+++ b/src/forwarding/upstream_call.ts
@@ -13,7 +13,7 @@
   request as sendRequest,
 } from "node:http";
 import * as Effect from "effect/Effect";
-import { startTimeLimit } from "../core/mod.ts";
+import { startTimeout } from "../core/mod.ts";
 import { AttemptFailed } from "./types.ts";
 
 /** A request to an upstream. */
@@ -79,7 +79,7 @@
       if (!hasHead) resume(Effect.fail(new AttemptFailed({ kind, reason })));
     }
 
-    let timeout = startTimeLimit(
+    let timeout = startTimeout(
       CONNECT_TIMEOUT_MS,
       () => fail("not-sent", `No connection within ${CONNECT_TIMEOUT_MS} ms`),
     );
@@ -90,7 +90,7 @@
       isSent = true;
       call.onSent();
       timeout[Symbol.dispose]();
-      timeout = startTimeLimit(
+      timeout = startTimeout(
         call.headTimeoutMs,
         () => fail("silent", `No response within ${call.headTimeoutMs} ms`),
       );
@@ -133,7 +133,7 @@
       abort();
       resume(Effect.fail(new AttemptFailed({ kind, reason })));
     };
-    const timeout = startTimeLimit(
+    const timeout = startTimeout(
       limits.timeoutMs,
       () =>
         fail(
--- a/src/timeline/timeline_test.ts
+++ b/src/timeline/timeline_test.ts
@@ -4,7 +4,7 @@
 import fc from "fast-check";
 import { createHybridClock, createManualClock } from "../core/mod.ts";
 import { fromQuery, matchesFilter, toQuery } from "./filter.ts";
-import { createLanesSvg, MAX_EVENTS_SHOWN } from "./lanes_svg.ts";
+import { createLanesSvg, MAX_DRAWN_EVENTS } from "./lanes_svg.ts";
 import { mergeEvents } from "./merge.ts";
 import { createRecorder } from "./recorder.ts";
 import { explainStory, findRequests, getRequestStory } from "./story.ts";
@@ -13,7 +13,7 @@
 const REQUEST = "5f0c3a52-0000-4000-8000-000000000001";
 const OTHER = "5f0c3a52-0000-4000-8000-000000000002";
 
-/** Hosts with clocks of their own that send each other messages. */
+/** Makes hosts whose wall clocks differ by the given offsets. */
 function createHosts(offsetsMs: readonly number[]) {
   return offsetsMs.map((offsetMs, index) => {
     const clock = createManualClock(1_767_225_600_000 + offsetMs);
@@ -24,12 +24,12 @@
   });
 }
 
-function createDraining(reason: string): EventBody {
+function createDrainingEvent(reason: string): EventBody {
   return { kind: "host-draining", reason };
 }
 
-/** A request that waits, is shifted, fails once and ends on its second run. */
-function createRun(): readonly TimelineEvent[] {
+/** Records a request that waits, is shifted, fails once and then succeeds. */
+function createRetriedRequest(): readonly TimelineEvent[] {
   const [entry, owner] = createHosts([0, 0]);
   const { recorder } = entry!;
   const team = "yaba-care-home";
@@ -105,11 +105,11 @@
 }
 
 /**
- * Two hosts' wall clocks differ by seconds. Sorted by wall time, a grant would
- * stand after the dispatch that it allowed, and the reader would draw the wrong
- * conclusion. Stamps that travel with messages keep the order.
+ * The wall clocks of two hosts differ by seconds. In the order of wall time, a
+ * grant would follow the dispatch that it allowed. Timestamps that are sent
+ * with messages keep the causal order.
  */
-test("an effect never stands before its cause, whatever the clocks say", () => {
+test("an effect never precedes its cause, however the wall clocks differ", () => {
   const offsets = fc.array(fc.integer({ min: -60_000, max: 60_000 }), {
     minLength: 2,
     maxLength: 5,
@@ -122,9 +122,9 @@
     messages.forEach(([from, to, ms], index) => {
       const sender = hosts[from % hosts.length]!;
       const receiver = hosts[to % hosts.length]!;
-      sender.recorder.record(createDraining(`sent ${index}`));
+      sender.recorder.record(createDrainingEvent(`sent ${index}`));
       receiver.hybridClock.receive(sender.hybridClock.tick());
-      receiver.recorder.record(createDraining(`received ${index}`));
+      receiver.recorder.record(createDrainingEvent(`received ${index}`));
       sender.clock.advance(ms);
     });
     const lists = hosts.map((host) => host.recorder.getSince(0));
@@ -142,33 +142,36 @@
   }));
 });
 
-test("a message's receipt stands after its sending", () => {
-  const [early, late] = createHosts([0, 5_000]);
-  late!.recorder.record(createDraining("cause"));
-  early!.hybridClock.receive(late!.hybridClock.tick());
-  early!.recorder.record(createDraining("effect"));
+test("the receipt of a message follows its sending", () => {
+  const [slow, fast] = createHosts([0, 5_000]);
+  fast!.recorder.record(createDrainingEvent("cause"));
+  slow!.hybridClock.receive(fast!.hybridClock.tick());
+  slow!.recorder.record(createDrainingEvent("effect"));
   const merged = mergeEvents([
-    early!.recorder.getSince(0),
-    late!.recorder.getSince(0),
+    slow!.recorder.getSince(0),
+    fast!.recorder.getSince(0),
   ]);
   deepStrictEqual(merged.map((event) => event.host), ["entry-2", "entry-1"]);
 });
 
-test("a full ring loses its oldest events and says so", () => {
+test("a full recorder overwrites its oldest events and reports the loss", () => {
   const clock = createManualClock(1);
   const hybridClock = createHybridClock(clock);
   const recorder = createRecorder({ id: "entry-1", hybridClock }, 2);
-  recorder.record(createDraining("one"));
-  recorder.record(createDraining("two"));
-  deepStrictEqual(recorder.getLost(), 0);
-  recorder.record(createDraining("three"));
+  recorder.record(createDrainingEvent("one"));
+  recorder.record(createDrainingEvent("two"));
+  deepStrictEqual(recorder.getNewestLostStamp(), 0);
+  recorder.record(createDrainingEvent("three"));
   const kept = recorder.getSince(0);
   deepStrictEqual(kept.length, 2);
-  ok(recorder.getLost() > 0 && recorder.getLost() < kept[0]!.at);
+  ok(
+    recorder.getNewestLostStamp() > 0 &&
+      recorder.getNewestLostStamp() < kept[0]!.at,
+  );
 });
 
-test("a filter means the same on both sides of the wire", () => {
-  const events = createRun();
+test("a filter selects the same events after it is sent as a query", () => {
+  const events = createRetriedRequest();
   const filters = [
     {},
     { request: REQUEST.slice(0, 8) },
@@ -180,17 +183,17 @@
     { untilMs: 1_767_225_601_000, after: events[0]!.at },
   ];
   const counts = filters.map((filter) => {
-    const read = fromQuery(new URLSearchParams(toQuery(filter)));
-    const here = events.filter((event) => matchesFilter(event, filter));
-    const there = events.filter((event) => matchesFilter(event, read));
-    deepStrictEqual(there, here);
-    return here.length;
+    const parsed = fromQuery(new URLSearchParams(toQuery(filter)));
+    const local = events.filter((event) => matchesFilter(event, filter));
+    const remote = events.filter((event) => matchesFilter(event, parsed));
+    deepStrictEqual(remote, local);
+    return local.length;
   });
   deepStrictEqual(counts, [10, 7, 1, 4, 2, 2, 8, 1]);
 });
 
-test("the story of a request reads as accepted", () => {
-  const events = createRun();
+test("the explanation of a request matches the baseline", () => {
+  const events = createRetriedRequest();
   deepStrictEqual(findRequests(events, "5f0c"), [REQUEST, OTHER]);
   const file = "../../src/testing/baselines/explain_retried_request.txt";
   const accepted = readFileSync(new URL(file, import.meta.url), "utf8");
@@ -201,8 +204,8 @@
   deepStrictEqual(lines.join("\n"), accepted);
 });
 
-test("a dispatch without a grant of its time ran on a kept slot", () => {
-  const events = createRun().filter((event) =>
+test("a dispatch without a grant during the request used a kept slot", () => {
+  const events = createRetriedRequest().filter((event) =>
     event.kind !== "slot-granted" || event.upstream !== "drafting-model-3"
   );
   const text = explainStory(getRequestStory(events, REQUEST)).join("\n");
@@ -211,13 +214,13 @@
 });
 
 test("a picture has a lane for each process and a line for each event", () => {
-  const events = createRun();
+  const events = createRetriedRequest();
   const svg = createLanesSvg(events, "a <b> & c");
   for (const lane of ["entry-1", "entry-2", "drafting-model-3"]) {
     deepStrictEqual(svg.split(`>${lane}</text>`).length, 2, lane);
   }
   deepStrictEqual(svg.split("<circle").length - 1, events.length);
   ok(svg.includes("a &lt;b&gt; &amp; c"));
-  const many = Array.from({ length: MAX_EVENTS_SHOWN + 5 }, () => events[0]!);
+  const many = Array.from({ length: MAX_DRAWN_EVENTS + 5 }, () => events[0]!);
   ok(createLanesSvg(many, "").includes("5 later events are left out"));
 });
