--- a/src/router/metrics.ts
+++ b/src/router/metrics.ts
@@ -137,8 +137,7 @@
     }),
     cost: new Counter({
       name: "azurestile_service_cost_units_total",
-      help:
-        "Cost of ended requests, in the service's cost unit, by service and team",
+      help: "Service given, in the service's cost unit, by service and team",
       labelNames: ["service", "team"],
       registers,
     }),
@@ -151,13 +150,13 @@
     }),
     waits: new Histogram({
       name: "azurestile_slot_wait_seconds",
-      help: "Time that requests waited for a slot, in seconds",
+      help: "Time that a request waited for a slot, in seconds",
       buckets: SECONDS_BUCKETS,
       registers,
     }),
     events: new Counter({
       name: "azurestile_events_total",
-      help: "Events of the timeline, by kind",
+      help: "Events of the time line, by kind",
       labelNames: ["kind"],
       registers,
     }),
@@ -175,7 +174,7 @@
     }),
     orders: new Counter({
       name: "azurestile_orders_total",
-      help: "Orders that this host tried to send to upstreams, by result",
+      help: "Orders to upstreams under a lease of this host, by result",
       labelNames: ["result"],
       registers,
     }),
@@ -187,13 +186,13 @@
     }),
     regional: new Counter({
       name: "azurestile_regional_control_bytes_total",
-      help: "Bytes of control messages sent across regions, by kind",
+      help: "Bytes of control messages sent across the regional link, by kind",
       labelNames: ["kind"],
       registers,
     }),
     payload: new Counter({
       name: "azurestile_regional_payload_bytes_total",
-      help: "Bytes of requests and responses across regions, by direction",
+      help: "Bytes of requests and answers across the regional link, by way",
       labelNames: ["direction"],
       registers,
     }),
@@ -204,7 +203,7 @@
     }),
     peersLost: new Counter({
       name: "azurestile_peer_links_lost_total",
-      help: "Links to other hosts that were lost and are reconnected",
+      help: "Links to other hosts that were lost and dialed again",
       registers,
     }),
   };
@@ -221,7 +220,7 @@
   });
   new Gauge({
     name: "azurestile_ready",
-    help: "1 while the host is ready for requests, else 0",
+    help: "1 while the host takes requests, else 0",
     registers,
     collect() {
       this.set(host.isReady() ? 1 : 0);
@@ -229,7 +228,7 @@
   });
   new Gauge({
     name: "azurestile_members",
-    help: "Members of the fleet that this host knows, by state",
+    help: "Hosts that this host knows by heartbeats, by state",
     labelNames: ["state"],
     registers,
     collect() {
@@ -246,7 +245,7 @@
   const labelNames = ["upstream"];
   const gauges = [
     ["limit", "Adaptive limit of an owned upstream, in requests in flight"],
-    ["inUse", "Slots of an owned upstream that are in use"],
+    ["inUse", "Slots in use of an owned upstream"],
     ["waiting", "Requests that wait for a slot of an owned upstream"],
   ] as const;
   for (const [key, help] of gauges) {
@@ -269,7 +268,7 @@
   const getServices = () => host.getDeployment()?.services ?? [];
   new Gauge({
     name: "azurestile_queued_requests",
-    help: "Requests waiting at this host, by service and team",
+    help: "Requests that wait at this host, by service and team",
     labelNames: ["service", "team"],
     registers,
     collect() {
@@ -283,8 +282,7 @@
   });
   new Gauge({
     name: "azurestile_oldest_wait_seconds",
-    help:
-      "Wait of the oldest waiting request in seconds, by service; 0 for none",
+    help: "Wait of the oldest waiting request, by service; 0 for none",
     labelNames: ["service"],
     registers,
     collect() {
@@ -297,8 +295,8 @@
   });
   new Gauge({
     name: "azurestile_fairness_gap_cost_units",
-    help: "Largest difference of cost divided by weight between teams " +
-      "with requests waiting at this host, by service",
+    help: "Largest difference of service divided by weight between teams " +
+      "that wait at this host, by service",
     labelNames: ["service"],
     registers,
     collect() {
