--- a/src/membership/broadcasts.ts
+++ b/src/membership/gossip_queue.ts
@@ -10,9 +10,9 @@
  */
 
 /** Items to be told, by key. */
-export interface Broadcasts {
+export interface GossipQueue {
   /** Tells the item from now on, instead of an older one of the key. */
-  put(key: string): void;
+  enqueue(key: string): void;
   remove(key: string): void;
   /**
    * Keys to send now: as many as fit in the bytes, by the size that `getBytes`
@@ -23,39 +23,39 @@
 }
 
 /** Makes an empty set; an item is told as often as `getSendLimit` says. */
-export function createBroadcasts(getSendLimit: () => number): Broadcasts {
-  const sends = new Map<string, number>();
+export function createGossipQueue(getSendLimit: () => number): GossipQueue {
+  const sendCounts = new Map<string, number>();
 
-  function getLeastSentFirst(): readonly [string, number][] {
-    return [...sends].sort((a, b) => a[1] - b[1]);
+  function sortBySendCount(): readonly [string, number][] {
+    return [...sendCounts].sort((a, b) => a[1] - b[1]);
   }
 
-  function countSend(key: string, sent: number): void {
-    if (sent + 1 >= getSendLimit()) sends.delete(key);
-    else sends.set(key, sent + 1);
+  function recordSend(key: string, sent: number): void {
+    if (sent + 1 >= getSendLimit()) sendCounts.delete(key);
+    else sendCounts.set(key, sent + 1);
   }
 
   return {
-    put(key) {
+    enqueue(key) {
       // Set anew, so that it goes behind others that were told as often.
-      sends.delete(key);
-      sends.set(key, 0);
+      sendCounts.delete(key);
+      sendCounts.set(key, 0);
     },
-    remove: (key) => void sends.delete(key),
+    remove: (key) => void sendCounts.delete(key),
     take(maxBytes, getBytes) {
-      if (sends.size === 0) return [];
+      if (sendCounts.size === 0) return [];
       const taken: string[] = [];
       let leftBytes = maxBytes;
-      for (const [key, sent] of getLeastSentFirst()) {
+      for (const [key, sent] of sortBySendCount()) {
         const bytes = getBytes(key);
-        if (bytes === 0) sends.delete(key);
+        if (bytes === 0) sendCounts.delete(key);
         if (bytes === 0 || bytes > leftBytes) continue;
         leftBytes -= bytes;
         taken.push(key);
-        countSend(key, sent);
+        recordSend(key, sent);
       }
       return taken;
     },
-    getCount: () => sends.size,
+    getCount: () => sendCounts.size,
   };
 }
--- a/src/membership/membership.ts
+++ b/src/membership/membership.ts
@@ -12,7 +12,7 @@
  */
 
 import type { Clock } from "../core/mod.ts";
-import { createBroadcasts } from "./broadcasts.ts";
+import { createGossipQueue } from "./gossip_queue.ts";
 import { createFactStore } from "./facts.ts";
 import { createMemberTable, isUsableMember } from "./member_table.ts";
 import { createProbing } from "./probing.ts";
@@ -114,8 +114,8 @@
   const { clock } = host;
   const table = createMemberTable(self, clock);
   const facts = createFactStore(clock);
-  const updates = createBroadcasts(getSendLimit);
-  const factNews = createBroadcasts(getSendLimit);
+  const memberQueue = createGossipQueue(getSendLimit);
+  const factQueue = createGossipQueue(getSendLimit);
   const suspicion = createSuspicion(options, clock);
   const sync = createSync();
   const probing = createProbing(options, {
@@ -128,7 +128,7 @@
   });
   let lastTickMs = clock.monotonicMs();
   let ticks = 0;
-  updates.put(self.host);
+  memberQueue.enqueue(self.host);
 
   /**
    * Each change is sent a number of times that grows with the logarithm of the
@@ -160,13 +160,13 @@
   }
 
   /** Adds the news that fits beside the entries that the message has. */
-  function addNews(message: MembershipMessage): MembershipMessage {
+  function addQueuedUpdates(message: MembershipMessage): MembershipMessage {
     let leftBytes = options.maxPayloadBytes;
     for (const entry of message.updates) leftBytes -= getEntryBytes(entry);
-    const newFacts = factNews.take(leftBytes, getFactBytes)
+    const newFacts = factQueue.take(leftBytes, getFactBytes)
       .map((key) => facts.tryGet(key)!);
     for (const fact of newFacts) leftBytes -= getFactBytes(fact.key);
-    const newEntries = updates.take(leftBytes, getMemberBytes)
+    const newEntries = memberQueue.take(leftBytes, getMemberBytes)
       .map((each) => table.tryGet(each)!);
     return {
       ...message,
@@ -211,11 +211,11 @@
       probeTarget: target ?? "",
       wantsSync: sync.isWanted(),
     };
-    host.send(to.peerAddress, addNews(createMessage(parts, about)));
+    host.send(to.peerAddress, addQueuedUpdates(createMessage(parts, about)));
   }
 
   function store(member: Member, known: Member | undefined): void {
-    updates.put(member.host);
+    memberQueue.enqueue(member.host);
     note(member, known);
   }
 
@@ -254,7 +254,7 @@
     if (claim.incarnation < own.incarnation || claim.revision < own.revision) {
       // Answered long ago, but the sender has missed that. It must hear again:
       // the next datagram, the reply to this one, carries the own entry.
-      updates.put(self.host);
+      memberQueue.enqueue(self.host);
       return;
     }
     // A leaving host that others took for alive again must not stay so.
@@ -337,7 +337,7 @@
     for (const update of message.updates) learn(update, isNews);
     for (const fact of message.facts) {
       if (!facts.add(fact)) continue;
-      factNews.put(fact.key);
+      factQueue.enqueue(fact.key);
       host.onFact(fact);
     }
     const { configVersion, configDigest, from, sequence } = message;
@@ -350,7 +350,7 @@
     else if (!tryRelay(message, replyAddress)) {
       const about = getAbout(from, message.incarnation);
       const ack = createMessage({ isAck: true, sequence }, about);
-      host.send(replyAddress, addNews(ack));
+      host.send(replyAddress, addQueuedUpdates(ack));
     }
   }
 
@@ -368,7 +368,7 @@
       const about = table.tryGet(message.from);
       const parts = { isAck: true, sequence: relay.sequence };
       const entries = about === undefined ? [] : [about];
-      host.send(relay.address, addNews(createMessage(parts, entries)));
+      host.send(relay.address, addQueuedUpdates(createMessage(parts, entries)));
     }
     if (probed === undefined) return;
     sync.countContact(message.from);
@@ -381,7 +381,7 @@
     if (getSize(fact) > MAX_FACT_BYTES) {
       throw new RangeError(`The fact "${fact.key}" is too large`);
     }
-    if (facts.add(fact)) factNews.put(fact.key);
+    if (facts.add(fact)) factQueue.enqueue(fact.key);
   }
 
   return {
