--- a/src/membership/facts.ts
+++ b/src/membership/facts.ts
@@ -19,7 +19,7 @@
 }
 
 /** A fact is forgotten after so long; what must last longer lies in the store. */
-export const FACT_KEEP_MS = 3_600_000;
+export const FACT_RETENTION_MS = 3_600_000;
 
 /** Most facts kept; the oldest goes first. */
 export const MAX_FACTS = 1_000;
@@ -45,7 +45,7 @@
     expire() {
       const nowMs = clock.monotonicMs();
       for (const [key, { sinceMs }] of facts) {
-        if (nowMs - sinceMs < FACT_KEEP_MS) return;
+        if (nowMs - sinceMs < FACT_RETENTION_MS) return;
         facts.delete(key);
       }
     },
--- a/src/membership/member_table.ts
+++ b/src/membership/member_table.ts
@@ -15,21 +15,21 @@
   /** Number of members, dead ones too. */
   getCount(): number;
   /** A member other than this host that is not dead. */
-  tryGetOther(host: string): Member | undefined;
+  tryGetPeer(host: string): Member | undefined;
   /** All members, dead ones too, this host included. */
   getAll(): readonly Member[];
   /** Members other than this host that are not dead. */
-  getOthers(): readonly Member[];
+  getPeers(): readonly Member[];
   /** Hosts that can't be reached now but may come back. */
-  getLost(): readonly Seed[];
+  getUnreachable(): readonly Seed[];
   /** Takes a claim in; false when it is not newer than what is known. */
-  add(claim: Member): boolean;
+  merge(update: Member): boolean;
   /** Sets what this host has found out by itself. */
   set(member: Member): void;
   /** Replaces what the platform lists. */
   setSeeds(seeds: readonly Seed[]): void;
   /** Forgets members that are long dead and no longer listed. */
-  forgetDead(): void;
+  removeExpiredDead(): void;
 }
 
 /**
@@ -37,9 +37,9 @@
  * then no datagram with its old entry is on its way, so nothing can bring it
  * back; and 88 hosts replaced a day leave one entry or two and not thousands.
  */
-export const DEAD_KEEP_MS = 600_000;
+export const DEAD_RETENTION_MS = 600_000;
 
-const STATE_RANK: Readonly<Record<MemberState, number>> = {
+const STATE_PRECEDENCE: Readonly<Record<MemberState, number>> = {
   alive: 0,
   suspect: 1,
   leaving: 2,
@@ -60,7 +60,7 @@
     }
   }
 
-  function isLost(host: string): boolean {
+  function isUnreachable(host: string): boolean {
     const member = members.get(host);
     return member === undefined || member.state === "dead";
   }
@@ -69,29 +69,29 @@
     getSelf: () => members.get(self.host)!,
     tryGet: (host) => members.get(host),
     getCount: () => members.size,
-    tryGetOther(host) {
+    tryGetPeer(host) {
       const member = members.get(host);
       const isOther = host !== self.host && member?.state !== "dead";
       return isOther ? member : undefined;
     },
     getAll: () => [...members.values()],
-    getOthers: () =>
+    getPeers: () =>
       [...members.values()].filter((member) =>
         member.host !== self.host && member.state !== "dead"
       ),
-    getLost() {
+    getUnreachable() {
       const dead = [...deadSinceMs.keys()].map((host) => members.get(host)!);
-      const unmet = [...seeds.values()].filter((seed) =>
+      const neverSeen = [...seeds.values()].filter((seed) =>
         !members.has(seed.host)
       );
-      return [...dead, ...unmet];
+      return [...dead, ...neverSeen];
     },
-    add(claim) {
-      const known = members.get(claim.host);
+    merge(update) {
+      const known = members.get(update.host);
       // News of the death of a host that is not known, or no more.
-      if (known === undefined && claim.state === "dead") return false;
-      if (known !== undefined && !isNewer(claim, known)) return false;
-      set(claim);
+      if (known === undefined && update.state === "dead") return false;
+      if (known !== undefined && !isNewer(update, known)) return false;
+      set(update);
       return true;
     },
     set,
@@ -99,11 +99,11 @@
       const others = listed.filter((seed) => seed.host !== self.host);
       seeds = new Map(others.map((seed) => [seed.host, seed]));
     },
-    forgetDead() {
+    removeExpiredDead() {
       const nowMs = clock.monotonicMs();
       for (const [host, sinceMs] of deadSinceMs) {
-        if (seeds.has(host) || nowMs - sinceMs < DEAD_KEEP_MS) continue;
-        if (!isLost(host)) continue;
+        if (seeds.has(host) || nowMs - sinceMs < DEAD_RETENTION_MS) continue;
+        if (!isUnreachable(host)) continue;
         deadSinceMs.delete(host);
         members.delete(host);
       }
@@ -112,12 +112,14 @@
 }
 
 /** Whether a claim about a member overrides what is known of it. */
-export function isNewer(claim: Member, known: Member): boolean {
-  if (claim.incarnation !== known.incarnation) {
-    return claim.incarnation > known.incarnation;
+export function isNewer(update: Member, known: Member): boolean {
+  if (update.incarnation !== known.incarnation) {
+    return update.incarnation > known.incarnation;
   }
-  if (claim.revision !== known.revision) return claim.revision > known.revision;
-  return STATE_RANK[claim.state] > STATE_RANK[known.state];
+  if (update.revision !== known.revision) {
+    return update.revision > known.revision;
+  }
+  return STATE_PRECEDENCE[update.state] > STATE_PRECEDENCE[known.state];
 }
 
 /** Whether a member may get new work. */
--- a/src/membership/membership.ts
+++ b/src/membership/membership.ts
@@ -121,8 +121,8 @@
   const probing = createProbing(options, {
     clock,
     random: host.random,
-    getOthers: table.getOthers,
-    tryGetOther: table.tryGetOther,
+    getOthers: table.getPeers,
+    tryGetOther: table.tryGetPeer,
     send: sendProbe,
     onSilent: suspect,
   });
@@ -234,7 +234,7 @@
       return;
     }
     const known = table.tryGet(claim.host);
-    if (!table.add(claim)) return;
+    if (!table.merge(claim)) return;
     if (isNews) store(claim, known);
     else note(claim, known);
   }
@@ -293,9 +293,9 @@
    * that were never met. Nobody else would ask them again.
    */
   function probeLost(): void {
-    const isAlone = table.getOthers().length === 0;
+    const isAlone = table.getPeers().length === 0;
     if (!isAlone && ticks % LOST_PERIODS !== 0) return;
-    const lost = table.getLost();
+    const lost = table.getUnreachable();
     const count = isAlone ? JOINING_PROBES : 1;
     const first = Math.floor(host.random() * lost.length);
     for (let each = 0; each < Math.min(count, lost.length); each++) {
@@ -406,7 +406,7 @@
       probeSuspects();
       probeLost();
       sendSync();
-      table.forgetDead();
+      table.removeExpiredDead();
       facts.expire();
     },
     spreadFact: addFact,
@@ -414,7 +414,7 @@
       addFact(fact);
       // As an acknowledgement of no probe, which asks for no reply.
       const message = createMessage({ isAck: true, facts: [fact] });
-      for (const member of table.getOthers()) {
+      for (const member of table.getPeers()) {
         host.send(member.peerAddress, message);
       }
     },
--- a/src/membership/membership_test.ts
+++ b/src/membership/membership_test.ts
@@ -11,8 +11,8 @@
   type MembershipFixture,
 } from "../measure/membership_fixture.ts";
 import { createManualClock } from "../core/mod.ts";
-import { createFactStore, FACT_KEEP_MS, MAX_FACTS } from "./facts.ts";
-import { DEAD_KEEP_MS } from "./member_table.ts";
+import { createFactStore, FACT_RETENTION_MS, MAX_FACTS } from "./facts.ts";
+import { DEAD_RETENTION_MS } from "./member_table.ts";
 import { createMembership } from "./membership.ts";
 import type { Member, MembershipMessage } from "./types.ts";
 
@@ -258,7 +258,7 @@
   run(fixture, 15_000);
   fixture.changes.length = 0;
   fixture.setListed(fixture.names);
-  run(fixture, DEAD_KEEP_MS + 60_000);
+  run(fixture, DEAD_RETENTION_MS + 60_000);
   assert.deepEqual(fixture.changes, []);
   assert.equal(fixture.countViews("entry-4", ["dead"]), 11);
 });
@@ -272,7 +272,7 @@
       !["entry-2", "entry-5", "entry-9"].includes(name)
     ),
   );
-  run(fixture, DEAD_KEEP_MS + 30_000);
+  run(fixture, DEAD_RETENTION_MS + 30_000);
   assert.equal(fixture.get("entry-1").getMembers().length, 9);
 });
 
@@ -349,7 +349,7 @@
   }
   assert.equal(facts.getKeys().length, MAX_FACTS);
   assert.equal(facts.add({ key: "f500", version: 1, value: "" }), false);
-  clock.advance(FACT_KEEP_MS);
+  clock.advance(FACT_RETENTION_MS);
   facts.expire();
   assert.equal(facts.getKeys().length, 0);
 });
