--- a/src/membership/membership.ts
+++ b/src/membership/membership.ts
@@ -15,7 +15,7 @@
 import { createGossipQueue } from "./gossip_queue.ts";
 import { createFactStore } from "./facts.ts";
 import { createMemberTable, isUsableMember } from "./member_table.ts";
-import { createProbing } from "./probing.ts";
+import { createProber } from "./prober.ts";
 import { createSuspicion } from "./suspicion.ts";
 import { createSync } from "./sync.ts";
 import type { Fact, Member, MembershipMessage, Seed } from "./types.ts";
@@ -118,13 +118,13 @@
   const factQueue = createGossipQueue(getSendLimit);
   const suspicion = createSuspicion(options, clock);
   const sync = createSync();
-  const probing = createProbing(options, {
+  const prober = createProber(options, {
     clock,
     random: host.random,
-    getOthers: table.getPeers,
-    tryGetOther: table.tryGetPeer,
+    getPeers: table.getPeers,
+    tryGetPeer: table.tryGetPeer,
     send: sendProbe,
-    onSilent: suspect,
+    onProbeFailed: suspect,
   });
   let lastTickMs = clock.monotonicMs();
   let ticks = 0;
@@ -284,7 +284,7 @@
   function probeSuspects(): void {
     for (const target of suspicion.getDueForProbe()) {
       const member = table.tryGet(target);
-      if (member !== undefined) probing.check(member);
+      if (member !== undefined) prober.probeOnce(member);
     }
   }
 
@@ -299,7 +299,7 @@
     const count = isAlone ? JOINING_PROBES : 1;
     const first = Math.floor(host.random() * lost.length);
     for (let each = 0; each < Math.min(count, lost.length); each++) {
-      probing.check(lost[(first + each) % lost.length]!);
+      prober.probeOnce(lost[(first + each) % lost.length]!);
     }
   }
 
@@ -310,7 +310,7 @@
   function forgivePause(nowMs: number): void {
     const pausedMs = nowMs - lastTickMs - options.periodMs;
     if (pausedMs < PAUSE_PERIODS * options.periodMs) return;
-    probing.forgetAll();
+    prober.cancelAll();
     suspicion.postpone(pausedMs);
     sync.want();
   }
@@ -357,12 +357,12 @@
   function tryRelay(message: MembershipMessage, replyAddress: string): boolean {
     const target = table.tryGet(message.probeTarget);
     if (target === undefined || target.host === self.host) return false;
-    probing.relay(target, { address: replyAddress, ...message });
+    prober.probeOnBehalf(target, { address: replyAddress, ...message });
     return true;
   }
 
   function receiveAck(message: MembershipMessage): void {
-    const { relay, probed } = probing.takeAck(message.sequence);
+    const { requester: relay, probed } = prober.completeProbe(message.sequence);
     if (relay !== undefined) {
       // With the target's entry, so that a suspect's word gets through.
       const about = table.tryGet(message.from);
@@ -400,9 +400,9 @@
       forgivePause(nowMs);
       lastTickMs = nowMs;
       ticks++;
-      probing.checkSilent();
+      prober.checkTimeouts();
       expireSuspects();
-      probing.probeNext();
+      prober.probeNext();
       probeSuspects();
       probeLost();
       sendSync();
--- a/src/membership/probing.ts
+++ b/src/membership/prober.ts
@@ -9,76 +9,80 @@
 import type { Member, Seed } from "./types.ts";
 
 /** What probing needs of the protocol. */
-export interface ProbingHost {
+export interface ProberHost {
   readonly clock: Clock;
   random(): number;
-  getOthers(): readonly Member[];
-  tryGetOther(host: string): Member | undefined;
+  getPeers(): readonly Member[];
+  tryGetPeer(host: string): Member | undefined;
   /** Sends a probe; with a target, asks the receiver to probe that. */
   send(to: Seed, sequence: number, target: string | undefined): void;
   /** Neither the host nor the helpers have replied. */
-  onSilent(host: string): void;
+  onProbeFailed(host: string): void;
 }
 
 /** Times and sizes of probing. */
-export interface ProbingOptions {
+export interface ProberOptions {
   readonly periodMs: number;
   readonly ackTimeoutMs: number;
   readonly indirectProbes: number;
 }
 
 /** A probe that another host has asked for. */
-export interface Relay {
+export interface ProbeRequester {
   readonly address: string;
   readonly sequence: number;
 }
 
 /** The probes of one host. */
-export interface Probing {
+export interface Prober {
   /** Probes the next member of the round. */
   probeNext(): void;
   /** Asks one host; silence has no consequence. */
-  check(to: Seed): void;
+  probeOnce(to: Seed): void;
   /** Probes the target for another host. */
-  relay(target: Member, relay: Relay): void;
+  probeOnBehalf(target: Member, requester: ProbeRequester): void;
   /** Asks helpers, or gives up, where no reply came. */
-  checkSilent(): void;
+  checkTimeouts(): void;
   /** Whose probe the acknowledgement ends. */
-  takeAck(
+  completeProbe(
     sequence: number,
-  ): { readonly relay?: Relay; readonly probed?: string };
+  ): { readonly requester?: ProbeRequester; readonly probed?: string };
   /** Forgets all probes under way. */
-  forgetAll(): void;
+  cancelAll(): void;
 }
 
 interface Probe {
   readonly kind: "round" | "check" | "relay";
   readonly host: string;
   readonly sentMs: number;
-  readonly relay?: Relay;
-  wasAskedOfHelpers: boolean;
+  readonly requester?: ProbeRequester;
+  hasIndirectProbes: boolean;
 }
 
 /** A probe, with its helpers' replies, takes at most so many periods. */
-const PROBE_PERIODS = 2;
+const PROBE_TIMEOUT_PERIODS = 2;
 
 /** Makes the probes of one host; none is under way. */
-export function createProbing(
-  options: ProbingOptions,
-  host: ProbingHost,
-): Probing {
+export function createProber(
+  options: ProberOptions,
+  host: ProberHost,
+): Prober {
   const probes = new Map<number, Probe>();
   let round: string[] = [];
   let sequence = 0;
 
-  function send(to: Seed, kind: Probe["kind"], relay?: Relay): void {
+  function send(
+    to: Seed,
+    kind: Probe["kind"],
+    requester?: ProbeRequester,
+  ): void {
     sequence++;
     probes.set(sequence, {
       kind,
       host: to.host,
       sentMs: host.clock.monotonicMs(),
-      relay,
-      wasAskedOfHelpers: false,
+      requester: requester,
+      hasIndirectProbes: false,
     });
     host.send(to, sequence, undefined);
   }
@@ -86,18 +90,18 @@
   /** Each member once a round, so that none is left out for long. */
   function tryTakeNext(): Member | undefined {
     if (round.length === 0) {
-      const names = host.getOthers().map((each) => each.host);
+      const names = host.getPeers().map((each) => each.host);
       round = shuffle(names, host.random);
     }
     while (round.length > 0) {
-      const next = host.tryGetOther(round.pop()!);
+      const next = host.tryGetPeer(round.pop()!);
       if (next !== undefined) return next;
     }
     return undefined;
   }
 
-  function askHelpers(probeSequence: number, target: string): void {
-    const helpers = host.getOthers().filter((member) =>
+  function requestIndirectProbes(probeSequence: number, target: string): void {
+    const helpers = host.getPeers().filter((member) =>
       member.host !== target && member.state === "alive"
     );
     const count = Math.min(options.indirectProbes, helpers.length);
@@ -113,34 +117,34 @@
       const next = tryTakeNext();
       if (next !== undefined) send(next, "round");
     },
-    check: (to) => send(to, "check"),
-    relay: (target, { address, sequence: asked }) =>
-      send(target, "relay", { address, sequence: asked }),
-    checkSilent() {
+    probeOnce: (to) => send(to, "check"),
+    probeOnBehalf: (target, { address, sequence: requesterSequence }) =>
+      send(target, "relay", { address, sequence: requesterSequence }),
+    checkTimeouts() {
       const nowMs = host.clock.monotonicMs();
       for (const [probeSequence, probe] of probes) {
         const waitedMs = nowMs - probe.sentMs;
-        if (waitedMs >= options.periodMs * PROBE_PERIODS) {
+        if (waitedMs >= options.periodMs * PROBE_TIMEOUT_PERIODS) {
           probes.delete(probeSequence);
-          if (probe.kind === "round") host.onSilent(probe.host);
+          if (probe.kind === "round") host.onProbeFailed(probe.host);
         } else if (
-          probe.kind === "round" && !probe.wasAskedOfHelpers &&
+          probe.kind === "round" && !probe.hasIndirectProbes &&
           waitedMs >= options.ackTimeoutMs
         ) {
-          probe.wasAskedOfHelpers = true;
-          askHelpers(probeSequence, probe.host);
+          probe.hasIndirectProbes = true;
+          requestIndirectProbes(probeSequence, probe.host);
         }
       }
     },
-    takeAck(ackSequence) {
+    completeProbe(ackSequence) {
       const probe = probes.get(ackSequence);
       probes.delete(ackSequence);
       if (probe === undefined) return {};
       return probe.kind === "relay"
-        ? { relay: probe.relay }
+        ? { requester: probe.requester }
         : { probed: probe.host };
     },
-    forgetAll: () => probes.clear(),
+    cancelAll: () => probes.clear(),
   };
 }
 
