--- a/src/membership/membership.ts
+++ b/src/membership/membership.ts
@@ -209,7 +209,7 @@
     const parts = {
       sequence,
       probeTarget: target ?? "",
-      wantsSync: sync.isWanted(),
+      wantsSync: sync.isNeeded(),
     };
     host.send(to.peerAddress, addQueuedUpdates(createMessage(parts, about)));
   }
@@ -311,8 +311,8 @@
     const pausedMs = nowMs - lastTickMs - options.periodMs;
     if (pausedMs < PAUSE_PERIODS * options.periodMs) return;
     prober.cancelAll();
-    suspicion.postpone(pausedMs);
-    sync.want();
+    suspicion.extendTimeouts(pausedMs);
+    sync.restart();
   }
 
   function sendSync(): void {
@@ -344,7 +344,7 @@
     host.onConfigVersion(configVersion, configDigest, from);
     if (message.wantsSync) {
       const keys = table.getAll().map((each) => each.host);
-      sync.add(replyAddress, [...keys, ...facts.getKeys()]);
+      sync.enqueue(replyAddress, [...keys, ...facts.getKeys()]);
     }
     if (message.isAck) receiveAck(message);
     else if (!tryRelay(message, replyAddress)) {
@@ -371,7 +371,7 @@
       host.send(relay.address, addQueuedUpdates(createMessage(parts, entries)));
     }
     if (probed === undefined) return;
-    sync.countContact(message.from);
+    sync.recordContact(message.from);
     // A leaving host that answers is still there; a suspect has just said so
     // itself by a higher revision, which came with this acknowledgement.
     if (table.tryGet(probed)?.state === "leaving") suspicion.stop(probed);
--- a/src/membership/suspicion.ts
+++ b/src/membership/suspicion.ts
@@ -25,19 +25,19 @@
   /** Suspects whose time is over; they are suspects no more. */
   takeExpired(): readonly string[];
   /** Gives every suspect so much more time, in ms. */
-  postpone(ms: number): void;
+  extendTimeouts(ms: number): void;
 }
 
 interface Suspect {
   sinceMs: number;
-  askFromMs: number;
+  probeFromMs: number;
 }
 
 /**
  * Most suspects asked in one period: when a region is cut off, half of all
  * members are suspects, and asking each of them would be a burst of its own.
  */
-const MAX_ASKED = 4;
+const MAX_PROBES_PER_PERIOD = 4;
 
 /** Makes a set without suspects. */
 export function createSuspicion(
@@ -51,9 +51,9 @@
       const nowMs = clock.monotonicMs();
       const known = suspects.get(host);
       if (known === undefined) {
-        suspects.set(host, { sinceMs: nowMs, askFromMs: nowMs });
+        suspects.set(host, { sinceMs: nowMs, probeFromMs: nowMs });
       } else {
-        known.askFromMs = Math.min(known.askFromMs, nowMs);
+        known.probeFromMs = Math.min(known.probeFromMs, nowMs);
       }
     },
     stop: (host) => void suspects.delete(host),
@@ -68,15 +68,15 @@
       const askFromMs = nowMs + options.suspectTimeoutMs / 2;
       const known = suspects.get(member.host);
       if (known === undefined) {
-        suspects.set(member.host, { sinceMs: nowMs, askFromMs });
+        suspects.set(member.host, { sinceMs: nowMs, probeFromMs: askFromMs });
       }
     },
     getDueForProbe() {
       const nowMs = clock.monotonicMs();
       const due: string[] = [];
-      for (const [host, { askFromMs }] of suspects) {
+      for (const [host, { probeFromMs: askFromMs }] of suspects) {
         if (askFromMs <= nowMs) due.push(host);
-        if (due.length >= MAX_ASKED) break;
+        if (due.length >= MAX_PROBES_PER_PERIOD) break;
       }
       return due;
     },
@@ -89,7 +89,7 @@
       for (const host of expired) suspects.delete(host);
       return expired;
     },
-    postpone(ms) {
+    extendTimeouts(ms) {
       for (const suspect of suspects.values()) suspect.sinceMs += ms;
     },
   };
--- a/src/membership/sync.ts
+++ b/src/membership/sync.ts
@@ -8,12 +8,12 @@
 /** Who asks for all, and who is being told. */
 export interface Sync {
   /** This host asks the next hosts that it meets. */
-  want(): void;
-  isWanted(): boolean;
+  restart(): void;
+  isNeeded(): boolean;
   /** A host has answered a probe. */
-  countContact(host: string): void;
+  recordContact(host: string): void;
   /** The host at the address gets everything under these keys. */
-  add(address: string, keys: readonly string[]): void;
+  enqueue(address: string, keys: readonly string[]): void;
   /** What to send in this period, each chunk in one datagram. */
   takeChunks(
     options: { readonly maxPayloadBytes: number },
@@ -22,7 +22,7 @@
 }
 
 /** Two hosts are asked, in case one has just started itself. */
-const ASKED_HOSTS = 2;
+const SYNC_SOURCES = 2;
 
 /**
  * Datagrams to one asking host in a period. 390 entries take about 30 of them,
@@ -31,26 +31,26 @@
 const CHUNKS_PER_PERIOD = 2;
 
 /** Hosts that are told at the same time; others ask again or ask another. */
-const MAX_TOLD = 4;
+const MAX_RECEIVERS = 4;
 
 /** Makes the state of a host that has just started: it asks. */
 export function createSync(): Sync {
-  const told = new Map<string, string[]>();
-  const asked = new Set<string>();
+  const receivers = new Map<string, string[]>();
+  const contacted = new Set<string>();
 
   return {
-    want: () => asked.clear(),
-    isWanted: () => asked.size < ASKED_HOSTS,
-    countContact: (host) => {
-      if (asked.size < ASKED_HOSTS) asked.add(host);
+    restart: () => contacted.clear(),
+    isNeeded: () => contacted.size < SYNC_SOURCES,
+    recordContact: (host) => {
+      if (contacted.size < SYNC_SOURCES) contacted.add(host);
     },
-    add(address, keys) {
-      if (told.size >= MAX_TOLD || told.has(address)) return;
-      told.set(address, [...keys]);
+    enqueue(address, keys) {
+      if (receivers.size >= MAX_RECEIVERS || receivers.has(address)) return;
+      receivers.set(address, [...keys]);
     },
     takeChunks({ maxPayloadBytes }, getBytes) {
       const chunks: { address: string; keys: string[] }[] = [];
-      for (const [address, keys] of told) {
+      for (const [address, keys] of receivers) {
         for (let each = 0; each < CHUNKS_PER_PERIOD; each++) {
           const chunk: string[] = [];
           let leftBytes = maxPayloadBytes;
@@ -60,7 +60,7 @@
           }
           if (chunk.length > 0) chunks.push({ address, keys: chunk });
         }
-        if (keys.length === 0) told.delete(address);
+        if (keys.length === 0) receivers.delete(address);
       }
       return chunks;
     },
