--- a/src/measure/config_spread.ts
+++ b/src/measure/config_spread.ts
@@ -121,7 +121,7 @@
     world.hosts.push(createHost(world, self, random));
   }
   for (const host of world.hosts) {
-    for (const self of selves) host.membership.learn(self);
+    for (const self of selves) host.membership.applyUpdate(self);
     startTasks(world, host, random);
   }
   return world;
--- a/src/measure/scale.ts
+++ b/src/measure/scale.ts
@@ -188,7 +188,7 @@
       onConfigVersion() {},
       getConfigVersion: () => ({ version: 0, digest: "" }),
     });
-    for (let at = 1; at < size; at++) membership.learn(createMember(at));
+    for (let at = 1; at < size; at++) membership.applyUpdate(createMember(at));
     membership.setSeeds(membership.getMembers());
     return membership;
   });
--- a/src/membership/membership.ts
+++ b/src/membership/membership.ts
@@ -67,7 +67,7 @@
   /** Replaces the hosts that the platform's list or the settings name. */
   setSeeds(seeds: readonly Seed[]): void;
   /** Takes in a member as another host would tell of it. */
-  learn(member: Member): void;
+  applyUpdate(member: Member): void;
   receive(message: MembershipMessage, replyAddress: string): void;
   /** Called once each period. */
   tick(): void;
@@ -86,7 +86,7 @@
 }
 
 /** Lost hosts are asked whether they are back once in so many periods. */
-const LOST_PERIODS = 4;
+const UNREACHABLE_PROBE_PERIODS = 4;
 
 /** And so many at each period while this host has met nobody. */
 const JOINING_PROBES = 3;
@@ -95,13 +95,13 @@
  * A period that took so many times too long shows that this process was stopped
  * or starved: the silence was its own.
  */
-const PAUSE_PERIODS = 4;
+const PAUSE_THRESHOLD_PERIODS = 4;
 
 /** Bytes of an entry or a fact besides its texts, as encoded. */
 const ENTRY_OVERHEAD_BYTES = 32;
 
 /** Sequence of an acknowledgement that answers no probe. */
-const NO_PROBE = 0;
+const UNSOLICITED_SEQUENCE = 0;
 
 const MAX_FACT_BYTES = 512;
 
@@ -124,7 +124,7 @@
     getPeers: table.getPeers,
     tryGetPeer: table.tryGetPeer,
     send: sendProbe,
-    onProbeFailed: suspect,
+    onProbeFailed: startSuspicion,
   });
   let lastTickMs = clock.monotonicMs();
   let ticks = 0;
@@ -140,20 +140,20 @@
 
   function createMessage(
     parts: Partial<MembershipMessage>,
-    about: readonly Member[] = [],
+    entries: readonly Member[] = [],
   ): MembershipMessage {
     const config = host.getConfigVersion();
     const { incarnation } = table.getSelf();
     const message = {
       from: self.host,
       incarnation,
-      sequence: NO_PROBE,
+      sequence: UNSOLICITED_SEQUENCE,
       isAck: false,
       wantsSync: false,
       probeTarget: "",
       configVersion: config.version,
       configDigest: config.digest,
-      updates: about,
+      updates: entries,
       facts: [],
     };
     return { ...message, ...parts };
@@ -162,7 +162,9 @@
   /** Adds the news that fits beside the entries that the message has. */
   function addQueuedUpdates(message: MembershipMessage): MembershipMessage {
     let leftBytes = options.maxPayloadBytes;
-    for (const entry of message.updates) leftBytes -= getEntryBytes(entry);
+    for (const entry of message.updates) {
+      leftBytes -= estimateMemberBytes(entry);
+    }
     const newFacts = factQueue.take(leftBytes, getFactBytes)
       .map((key) => facts.tryGet(key)!);
     for (const fact of newFacts) leftBytes -= getFactBytes(fact.key);
@@ -177,19 +179,22 @@
 
   function getMemberBytes(name: string): number {
     const member = table.tryGet(name);
-    return member === undefined ? 0 : getEntryBytes(member);
+    return member === undefined ? 0 : estimateMemberBytes(member);
   }
 
   function getFactBytes(key: string): number {
     const fact = facts.tryGet(key);
-    return fact === undefined ? 0 : getSize(fact);
+    return fact === undefined ? 0 : estimateFactBytes(fact);
   }
 
   /**
    * What a host must hear itself: that it is thought dead or suspect, so that it
    * can say otherwise; and then who says so, so that it learns the sender.
    */
-  function getAbout(target: string, incarnation?: number): readonly Member[] {
+  function getEntriesFor(
+    target: string,
+    incarnation?: number,
+  ): readonly Member[] {
     const member = table.tryGet(target);
     if (member === undefined) return [table.getSelf()];
     const isOther = incarnation !== undefined &&
@@ -203,24 +208,28 @@
     sequence: number,
     target: string | undefined,
   ): void {
-    const about = [...getAbout(to.host)];
-    const claimed = target === undefined ? undefined : table.tryGet(target);
-    if (claimed !== undefined && claimed.state !== "alive") about.push(claimed);
+    const entries = [...getEntriesFor(to.host)];
+    const targetMember = target === undefined
+      ? undefined
+      : table.tryGet(target);
+    if (targetMember !== undefined && targetMember.state !== "alive") {
+      entries.push(targetMember);
+    }
     const parts = {
       sequence,
       probeTarget: target ?? "",
       wantsSync: sync.isNeeded(),
     };
-    host.send(to.peerAddress, addQueuedUpdates(createMessage(parts, about)));
+    host.send(to.peerAddress, addQueuedUpdates(createMessage(parts, entries)));
   }
 
-  function store(member: Member, known: Member | undefined): void {
+  function setAndGossip(member: Member, known: Member | undefined): void {
     memberQueue.enqueue(member.host);
-    note(member, known);
+    setWithoutGossip(member, known);
   }
 
   /** Stores without telling others: they have heard it. */
-  function note(member: Member, known: Member | undefined): void {
+  function setWithoutGossip(member: Member, known: Member | undefined): void {
     table.set(member);
     suspicion.update(member);
     const isChange = known?.state !== member.state ||
@@ -228,15 +237,15 @@
     if (isChange) host.onChange(member);
   }
 
-  function learn(claim: Member, isNews: boolean): void {
-    if (claim.host === self.host) {
-      refute(claim);
+  function applyUpdate(update: Member, shouldGossip: boolean): void {
+    if (update.host === self.host) {
+      refute(update);
       return;
     }
-    const known = table.tryGet(claim.host);
-    if (!table.merge(claim)) return;
-    if (isNews) store(claim, known);
-    else note(claim, known);
+    const known = table.tryGet(update.host);
+    if (!table.merge(update)) return;
+    if (shouldGossip) setAndGossip(update, known);
+    else setWithoutGossip(update, known);
   }
 
   /**
@@ -244,31 +253,37 @@
    * of it with a later wall clock. Only the host itself raises its revision and
    * incarnation, so its word overrides theirs.
    */
-  function refute(claim: Member): void {
+  function refute(update: Member): void {
     const own = table.getSelf();
-    if (claim.incarnation > own.incarnation) {
-      store({ ...own, incarnation: claim.incarnation + 1, revision: 1 }, own);
+    if (update.incarnation > own.incarnation) {
+      setAndGossip(
+        { ...own, incarnation: update.incarnation + 1, revision: 1 },
+        own,
+      );
       return;
     }
-    const isWorse = claim.state === "dead" || claim.state === "suspect";
-    if (claim.incarnation < own.incarnation || claim.revision < own.revision) {
+    const isSuspectOrDead = update.state === "dead" ||
+      update.state === "suspect";
+    if (
+      update.incarnation < own.incarnation || update.revision < own.revision
+    ) {
       // Answered long ago, but the sender has missed that. It must hear again:
       // the next datagram, the reply to this one, carries the own entry.
       memberQueue.enqueue(self.host);
       return;
     }
     // A leaving host that others took for alive again must not stay so.
-    const isAhead = claim.revision > own.revision;
-    if (!isWorse && !isAhead) return;
-    store({ ...own, revision: claim.revision + 1 }, own);
+    const isAhead = update.revision > own.revision;
+    if (!isSuspectOrDead && !isAhead) return;
+    setAndGossip({ ...own, revision: update.revision + 1 }, own);
   }
 
-  function suspect(target: string): void {
+  function startSuspicion(target: string): void {
     const member = table.tryGet(target);
     if (member === undefined) return;
     suspicion.start(target);
     if (member.state === "alive") {
-      store({ ...member, state: "suspect" }, member);
+      setAndGossip({ ...member, state: "suspect" }, member);
     }
   }
 
@@ -276,7 +291,7 @@
     for (const target of suspicion.takeExpired()) {
       const member = table.tryGet(target);
       if (member === undefined || member.state === "dead") continue;
-      store({ ...member, state: "dead" }, member);
+      setAndGossip({ ...member, state: "dead" }, member);
     }
   }
 
@@ -292,14 +307,14 @@
    * After a cut each side holds the other for dead, and the list may name hosts
    * that were never met. Nobody else would ask them again.
    */
-  function probeLost(): void {
+  function probeUnreachable(): void {
     const isAlone = table.getPeers().length === 0;
-    if (!isAlone && ticks % LOST_PERIODS !== 0) return;
-    const lost = table.getUnreachable();
+    if (!isAlone && ticks % UNREACHABLE_PROBE_PERIODS !== 0) return;
+    const unreachable = table.getUnreachable();
     const count = isAlone ? JOINING_PROBES : 1;
-    const first = Math.floor(host.random() * lost.length);
-    for (let each = 0; each < Math.min(count, lost.length); each++) {
-      prober.probeOnce(lost[(first + each) % lost.length]!);
+    const first = Math.floor(host.random() * unreachable.length);
+    for (let each = 0; each < Math.min(count, unreachable.length); each++) {
+      prober.probeOnce(unreachable[(first + each) % unreachable.length]!);
     }
   }
 
@@ -307,22 +322,22 @@
    * This process was stopped: what it waited for came meanwhile and was lost. It
    * must not judge others by its own silence, nor trust what it knew before.
    */
-  function forgivePause(nowMs: number): void {
+  function recoverFromPause(nowMs: number): void {
     const pausedMs = nowMs - lastTickMs - options.periodMs;
-    if (pausedMs < PAUSE_PERIODS * options.periodMs) return;
+    if (pausedMs < PAUSE_THRESHOLD_PERIODS * options.periodMs) return;
     prober.cancelAll();
     suspicion.extendTimeouts(pausedMs);
     sync.restart();
   }
 
   function sendSync(): void {
-    const take = (keys: readonly string[]) => {
+    const createSyncMessage = (keys: readonly string[]) => {
       const entries = keys.flatMap((key) => table.tryGet(key) ?? []);
       const known = keys.flatMap((key) => facts.tryGet(key) ?? []);
       return createMessage({ isAck: true, facts: known }, entries);
     };
     for (const { address, keys } of sync.takeChunks(options, getKeyBytes)) {
-      host.send(address, take(keys));
+      host.send(address, createSyncMessage(keys));
     }
   }
 
@@ -333,8 +348,8 @@
   function receive(message: MembershipMessage, replyAddress: string): void {
     if (message.from === self.host) return;
     // All that a host knows, sent to one that asked, is old news.
-    const isNews = message.sequence !== NO_PROBE;
-    for (const update of message.updates) learn(update, isNews);
+    const shouldGossip = message.sequence !== UNSOLICITED_SEQUENCE;
+    for (const update of message.updates) applyUpdate(update, shouldGossip);
     for (const fact of message.facts) {
       if (!facts.add(fact)) continue;
       factQueue.enqueue(fact.key);
@@ -348,8 +363,8 @@
     }
     if (message.isAck) receiveAck(message);
     else if (!tryRelay(message, replyAddress)) {
-      const about = getAbout(from, message.incarnation);
-      const ack = createMessage({ isAck: true, sequence }, about);
+      const entries = getEntriesFor(from, message.incarnation);
+      const ack = createMessage({ isAck: true, sequence }, entries);
       host.send(replyAddress, addQueuedUpdates(ack));
     }
   }
@@ -365,9 +380,9 @@
     const { requester: relay, probed } = prober.completeProbe(message.sequence);
     if (relay !== undefined) {
       // With the target's entry, so that a suspect's word gets through.
-      const about = table.tryGet(message.from);
+      const sender = table.tryGet(message.from);
       const parts = { isAck: true, sequence: relay.sequence };
-      const entries = about === undefined ? [] : [about];
+      const entries = sender === undefined ? [] : [sender];
       host.send(relay.address, addQueuedUpdates(createMessage(parts, entries)));
     }
     if (probed === undefined) return;
@@ -378,7 +393,7 @@
   }
 
   function addFact(fact: Fact): void {
-    if (getSize(fact) > MAX_FACT_BYTES) {
+    if (estimateFactBytes(fact) > MAX_FACT_BYTES) {
       throw new RangeError(`The fact "${fact.key}" is too large`);
     }
     if (facts.add(fact)) factQueue.enqueue(fact.key);
@@ -393,18 +408,18 @@
       return member !== undefined && isUsableMember(member);
     },
     setSeeds: table.setSeeds,
-    learn: (member) => learn(member, true),
+    applyUpdate: (member) => applyUpdate(member, true),
     receive,
     tick() {
       const nowMs = clock.monotonicMs();
-      forgivePause(nowMs);
+      recoverFromPause(nowMs);
       lastTickMs = nowMs;
       ticks++;
       prober.checkTimeouts();
       expireSuspects();
       prober.probeNext();
       probeSuspects();
-      probeLost();
+      probeUnreachable();
       sendSync();
       table.removeExpiredDead();
       facts.expire();
@@ -421,17 +436,17 @@
     leave() {
       const own = table.getSelf();
       const revision = own.revision + 1;
-      store({ ...own, state: "leaving", revision }, own);
+      setAndGossip({ ...own, state: "leaving", revision }, own);
     },
   };
 }
 
-function getEntryBytes(member: Member): number {
+function estimateMemberBytes(member: Member): number {
   const { host, dataCentre, peerAddress, publicAddress } = member;
   return ENTRY_OVERHEAD_BYTES + host.length + dataCentre.length +
     peerAddress.length + publicAddress.length;
 }
 
-function getSize(fact: Fact): number {
+function estimateFactBytes(fact: Fact): number {
   return ENTRY_OVERHEAD_BYTES + fact.key.length + fact.value.length;
 }
--- a/src/membership/membership_test.ts
+++ b/src/membership/membership_test.ts
@@ -240,13 +240,13 @@
     onConfigVersion() {},
     getConfigVersion: () => ({ version: 1, digest: "" }),
   });
-  const ask = (updates: readonly Member[]) =>
+  const probeWith = (updates: readonly Member[]) =>
     membership.receive({ ...probe, updates }, entry2.peerAddress);
-  ask([entry2, { ...entry5, state: "suspect" }]);
+  probeWith([entry2, { ...entry5, state: "suspect" }]);
   assert.equal(membership.getSelf().revision, 2);
-  for (let each = 0; each < 30; each++) ask([]);
+  for (let each = 0; each < 30; each++) probeWith([]);
   assert.deepEqual(sent.at(-1)!.updates, []);
-  ask([{ ...entry5, state: "dead" }]);
+  probeWith([{ ...entry5, state: "dead" }]);
   assert.deepEqual(sent.at(-1)!.updates, [{ ...entry5, revision: 2 }]);
 });
 
--- a/src/membership/rejoin_test.ts
+++ b/src/membership/rejoin_test.ts
@@ -49,7 +49,7 @@
     );
   }
   for (const each of hosts.values()) {
-    for (const name of names) each.learn(createSelf(name));
+    for (const name of names) each.applyUpdate(createSelf(name));
   }
 
   function run(ms: number): void {
@@ -101,7 +101,7 @@
   const { hosts, run, getState } = createFixture();
   hosts.get("c")!.leave();
   run(2_000);
-  hosts.get("a")!.learn({ ...createSelf("c"), revision: 9 });
+  hosts.get("a")!.applyUpdate({ ...createSelf("c"), revision: 9 });
   run(5_000);
   assert.equal(getState("a", "c"), "leaving");
   assert.equal(getState("b", "c"), "leaving");
