--- a/src/membership/facts.ts
+++ b/src/membership/facts.ts
@@ -1,6 +1,6 @@
 /**
- * Facts that every host should know soon. Kept for a while and up to a number,
- * so that neither time nor a flood of them makes the state grow.
+ * Store of gossiped facts. A time limit and a limit on the number of facts
+ * bound its memory, also when a host floods the fleet with facts.
  *
  * @module
  */
@@ -8,25 +8,31 @@
 import type { Clock } from "../core/mod.ts";
 import type { Fact } from "./types.ts";
 
-/** The facts of one host. */
+/** The facts that one host knows. */
 export interface FactStore {
-  /** Takes the fact in; false when it is not newer than what is known. */
+  /**
+   * Stores the fact; returns false when the stored fact has the same or a
+   * higher version.
+   */
   add(fact: Fact): boolean;
   tryGet(key: string): Fact | undefined;
   getKeys(): readonly string[];
-  /** Forgets what is too old. */
+  /** Removes the facts that are older than `FACT_RETENTION_MS`. */
   expire(): void;
 }
 
-/** A fact is forgotten after so long; what must last longer lies in the store. */
+/**
+ * Time after which a fact is removed, in ms. What must be kept longer belongs
+ * in the platform's table service.
+ */
 export const FACT_RETENTION_MS = 3_600_000;
 
-/** Most facts kept; the oldest goes first. */
+/** Maximum number of facts; when it is exceeded, the oldest is removed. */
 export const MAX_FACTS = 1_000;
 
-/** Makes an empty store. */
+/** Creates an empty store. */
 export function createFactStore(clock: Clock): FactStore {
-  // In the order in which they came, since each is set anew when it changes.
+  // In order of arrival: a fact that is replaced moves to the end.
   const facts = new Map<string, { fact: Fact; sinceMs: number }>();
 
   return {
--- a/src/membership/gossip_queue.ts
+++ b/src/membership/gossip_queue.ts
@@ -1,28 +1,34 @@
 /**
- * What still has to be told to others: each item rides on datagrams that are
- * sent anyway, a limited number of times, those told least often first.
+ * Queue of updates that wait to be gossiped. Updates are piggybacked on
+ * datagrams that are sent anyway. Each is sent a limited number of times, those
+ * with the fewest sends first.
  *
- * Load: a region is cut off and half of all members change at once. Harm
- * prevented: datagrams over one packet, whose fragments are lost together, and
- * news that goes round for ever.
+ * Load: a region is cut off, and half of all members change state at once.
+ *
+ * Failure prevented: a datagram larger than one packet is fragmented, and the
+ * loss of one fragment loses all of it. Without a limit on sends, old updates
+ * would circulate for ever.
  *
  * @module
  */
 
-/** Items to be told, by key. */
+/** Queue of updates, identified by their keys. */
 export interface GossipQueue {
-  /** Tells the item from now on, instead of an older one of the key. */
+  /** Queues the update; replaces an older one with the same key. */
   enqueue(key: string): void;
   remove(key: string): void;
   /**
-   * Keys to send now: as many as fit in the bytes, by the size that `getBytes`
-   * gives; 0 bytes mean that the item is gone.
+   * Takes the keys to send in the next datagram: as many as fit into
+   * `maxBytes`. `getBytes` returns the encoded size of an update; 0 means that
+   * the update no longer exists, and drops it from the queue.
    */
   take(maxBytes: number, getBytes: (key: string) => number): readonly string[];
   getCount(): number;
 }
 
-/** Makes an empty set; an item is told as often as `getSendLimit` says. */
+/**
+ * Creates an empty queue. An update is dropped after `getSendLimit()` sends.
+ */
 export function createGossipQueue(getSendLimit: () => number): GossipQueue {
   const sendCounts = new Map<string, number>();
 
@@ -37,7 +43,7 @@
 
   return {
     enqueue(key) {
-      // Set anew, so that it goes behind others that were told as often.
+      // Inserted again, so that it comes after other updates with as few sends.
       sendCounts.delete(key);
       sendCounts.set(key, 0);
     },
--- a/src/membership/member_table.ts
+++ b/src/membership/member_table.ts
@@ -1,6 +1,6 @@
 /**
- * What one host knows of the others: who is there, in which state, since when.
- * Which of two claims about a member is newer is decided here alone.
+ * Table of the fleet's members as one host knows them, with their states.
+ * Decides which of two updates about a member is newer.
  *
  * @module
  */
@@ -8,34 +8,44 @@
 import type { Clock } from "../core/mod.ts";
 import type { Member, MemberState, Seed } from "./types.ts";
 
-/** The members as one host sees them. */
+/** The members that one host knows. */
 export interface MemberTable {
   getSelf(): Member;
   tryGet(host: string): Member | undefined;
-  /** Number of members, dead ones too. */
+  /** Number of members, dead ones included. */
   getCount(): number;
-  /** A member other than this host that is not dead. */
+  /** The member, if it is another host and not dead. */
   tryGetPeer(host: string): Member | undefined;
-  /** All members, dead ones too, this host included. */
+  /** All members, including dead ones and this host. */
   getAll(): readonly Member[];
-  /** Members other than this host that are not dead. */
+  /** All members that are other hosts and not dead. */
   getPeers(): readonly Member[];
-  /** Hosts that can't be reached now but may come back. */
+  /**
+   * Hosts that may come back: dead members, and listed hosts that have never
+   * answered.
+   */
   getUnreachable(): readonly Seed[];
-  /** Takes a claim in; false when it is not newer than what is known. */
+  /**
+   * Merges an update that another host sent; returns false when it is not newer
+   * than the known entry.
+   */
   merge(update: Member): boolean;
-  /** Sets what this host has found out by itself. */
+  /** Sets an entry that this host has changed itself. */
   set(member: Member): void;
-  /** Replaces what the platform lists. */
+  /** Replaces the hosts that the platform's list or the settings name. */
   setSeeds(seeds: readonly Seed[]): void;
-  /** Forgets members that are long dead and no longer listed. */
+  /**
+   * Removes members that have been dead for `DEAD_RETENTION_MS` and are no
+   * longer listed.
+   */
   removeExpiredDead(): void;
 }
 
 /**
- * A dead member that the platform lists no more is forgotten after so long. By
- * then no datagram with its old entry is on its way, so nothing can bring it
- * back; and 88 hosts replaced a day leave one entry or two and not thousands.
+ * Time after which a dead member that the platform no longer lists is removed,
+ * in ms. By then no datagram with its old entry is in flight that could bring
+ * it back. With 88 hosts replaced a day, one or two such entries remain at a
+ * time, instead of thousands.
  */
 export const DEAD_RETENTION_MS = 600_000;
 
@@ -46,7 +56,7 @@
   dead: 3,
 };
 
-/** Makes a table that knows this host alone. */
+/** Creates a table that contains only this host. */
 export function createMemberTable(self: Member, clock: Clock): MemberTable {
   const members = new Map<string, Member>([[self.host, self]]);
   const deadSinceMs = new Map<string, number>();
@@ -88,7 +98,7 @@
     },
     merge(update) {
       const known = members.get(update.host);
-      // News of the death of a host that is not known, or no more.
+      // An unknown or already removed host is not added as dead.
       if (known === undefined && update.state === "dead") return false;
       if (known !== undefined && !isNewer(update, known)) return false;
       set(update);
@@ -111,7 +121,7 @@
   };
 }
 
-/** Whether a claim about a member overrides what is known of it. */
+/** Whether the update overrides the known entry. */
 export function isNewer(update: Member, known: Member): boolean {
   if (update.incarnation !== known.incarnation) {
     return update.incarnation > known.incarnation;
@@ -122,7 +132,10 @@
   return STATE_PRECEDENCE[update.state] > STATE_PRECEDENCE[known.state];
 }
 
-/** Whether a member may get new work. */
+/**
+ * Whether the member may get new work. A suspect may, since most suspects turn
+ * out to be alive.
+ */
 export function isUsableMember(member: Member): boolean {
   return member.state === "alive" || member.state === "suspect";
 }
--- a/src/membership/membership.ts
+++ b/src/membership/membership.ts
@@ -1,12 +1,13 @@
 /**
- * Failure detection and spread of membership changes by probes: each period a
- * host probes one other host and, when no reply comes, asks two more to probe
- * it. Changes ride on probes and their replies, each a few times, so that the
+ * Failure detection and gossip of membership changes, after the SWIM protocol.
+ * In each period a host probes one other host. When no acknowledgement comes,
+ * it asks two more hosts to probe that host indirectly. Changes are piggybacked
+ * on probes and acknowledgements, each a limited number of times, so that the
  * traffic of a host does not grow with the number of hosts.
  *
- * The platform's list is only a seed: it lags, so it may name a dead host and
- * miss a new one. A listed host becomes a member when it has answered, and a
- * dead one is asked now and then whether it is back.
+ * The platform's list is only a source of seeds, since it lags: it may name a
+ * dead host and miss a new one. A listed host becomes a member when it has
+ * answered a probe. A dead host is probed at intervals, in case it is back.
  *
  * @module
  */
@@ -20,34 +21,40 @@
 import { createSync } from "./sync.ts";
 import type { Fact, Member, MembershipMessage, Seed } from "./types.ts";
 
-/** What the protocol needs of the process. */
+/** Dependencies of the membership protocol that the process provides. */
 export interface MembershipHost {
   readonly clock: Clock;
-  /** Sends one datagram to a member's peer address; loss is expected. */
+  /** Sends one datagram to a peer address; it may be lost. */
   send(peerAddress: string, message: MembershipMessage): void;
-  /** A number from 0 up to 1, for the order of probes. */
+  /** A random number from 0 up to 1, used for the order of probes. */
   random(): number;
   onChange(member: Member): void;
-  /** A fact that is new to this host. */
+  /** Called with each fact that is new to this host. */
   onFact(fact: Fact): void;
-  /** What the host named has in force. */
+  /** Called with the configuration version that host `from` has in force. */
   onConfigVersion(version: number, digest: string, from: string): void;
   getConfigVersion(): { readonly version: number; readonly digest: string };
 }
 
-/** Times of the protocol, in milliseconds, and sizes. */
+/** Timing and sizes of the protocol; times are in ms. */
 export interface MembershipOptions {
   readonly periodMs: number;
-  /** A probe without a reply for so long goes by way of others. */
+  /** Time to wait for an acknowledgement before indirect probes are sent. */
   readonly ackTimeoutMs: number;
-  /** A suspect that is silent for so long is dead. */
+  /** Time without a sign of life after which a suspect is declared dead. */
   readonly suspectTimeoutMs: number;
   readonly indirectProbes: number;
-  /** Bytes of changes and facts in one datagram; keeps it under one packet. */
+  /**
+   * Maximum bytes of updates and facts in one datagram, so that it fits into
+   * one packet.
+   */
   readonly maxPayloadBytes: number;
 }
 
-/** A dead host is known everywhere within about 5 s, at 9 hosts and at 390. */
+/**
+ * With these values all hosts know a dead host within about 5 s, in fleets of 9
+ * and of 390 hosts.
+ */
 export const defaultMembershipOptions: MembershipOptions = {
   periodMs: 500,
   ackTimeoutMs: 200,
@@ -56,56 +63,65 @@
   maxPayloadBytes: 1_100,
 };
 
-/** One host's part in the protocol. */
+/** The membership protocol as one host runs it. */
 export interface Membership {
   getSelf(): Member;
-  /** All members known, dead ones too, this host included. */
+  /** All known members, including dead ones and this host. */
   getMembers(): readonly Member[];
-  /** Members that may get new work: alive or suspect, this host included. */
+  /**
+   * Members that may get new work: those alive or suspect, including this host.
+   */
   getUsable(): readonly Member[];
   isUsable(host: string): boolean;
-  /** Replaces the hosts that the platform's list or the settings name. */
+  /**
+   * Replaces the seeds: the hosts that the platform's list or the settings
+   * name.
+   */
   setSeeds(seeds: readonly Seed[]): void;
-  /** Takes in a member as another host would tell of it. */
+  /** Applies an update about a member as if another host had sent it. */
   applyUpdate(member: Member): void;
   receive(message: MembershipMessage, replyAddress: string): void;
-  /** Called once each period. */
+  /** Runs one protocol period; must be called every `periodMs`. */
   tick(): void;
   /**
-   * Spreads a fact to all hosts; each learns it once and keeps it for an hour.
-   * Throws `RangeError` when it is too large for a datagram.
+   * Gossips a fact to all hosts. Each host gets it once and keeps it for an
+   * hour. Throws `RangeError` when the fact is too large for a datagram.
    */
   spreadFact(fact: Fact): void;
   /**
-   * Sends a fact straight to all usable hosts, besides the gossip, for the few
-   * that must be known within one network delay. One datagram for each host.
+   * Gossips a fact and also sends it directly to every peer, one datagram each.
+   * For the few facts that all hosts must know within one network delay.
    */
   pushFact(fact: Fact): void;
-  /** Tells the others that this host takes no new work. */
+  /** Announces that this host takes no new work. */
   leave(): void;
 }
 
-/** Lost hosts are asked whether they are back once in so many periods. */
+/** An unreachable host is probed once in this many periods. */
 const UNREACHABLE_PROBE_PERIODS = 4;
 
-/** And so many at each period while this host has met nobody. */
+/**
+ * Number of unreachable hosts probed in each period while this host has no
+ * peer.
+ */
 const JOINING_PROBES = 3;
 
 /**
- * A period that took so many times too long shows that this process was stopped
- * or starved: the silence was its own.
+ * A period that is longer than planned by this many periods shows that this
+ * process was stopped or starved, so that missing acknowledgements are its own
+ * fault.
  */
 const PAUSE_THRESHOLD_PERIODS = 4;
 
-/** Bytes of an entry or a fact besides its texts, as encoded. */
+/** Encoded bytes of a member entry or a fact besides its strings. */
 const ENTRY_OVERHEAD_BYTES = 32;
 
-/** Sequence of an acknowledgement that answers no probe. */
+/** Sequence number of an acknowledgement that answers no probe. */
 const UNSOLICITED_SEQUENCE = 0;
 
 const MAX_FACT_BYTES = 512;
 
-/** Makes the protocol's state for the host given. */
+/** Creates the membership protocol of the host `self`. */
 export function createMembership(
   self: Member,
   host: MembershipHost,
@@ -131,8 +147,9 @@
   memberQueue.enqueue(self.host);
 
   /**
-   * Each change is sent a number of times that grows with the logarithm of the
-   * members: enough for it to reach all with high probability.
+   * Number of times that each update is sent. It grows with the logarithm of
+   * the number of members, which is enough to reach all of them with high
+   * probability.
    */
   function getSendLimit(): number {
     return 3 * Math.ceil(Math.log2(table.getCount() + 1));
@@ -159,7 +176,7 @@
     return { ...message, ...parts };
   }
 
-  /** Adds the news that fits beside the entries that the message has. */
+  /** Fills the rest of the message with queued facts and updates. */
   function addQueuedUpdates(message: MembershipMessage): MembershipMessage {
     let leftBytes = options.maxPayloadBytes;
     for (const entry of message.updates) {
@@ -188,8 +205,11 @@
   }
 
   /**
-   * What a host must hear itself: that it is thought dead or suspect, so that it
-   * can say otherwise; and then who says so, so that it learns the sender.
+   * Entries that the target must get in any case. If this host holds the target
+   * for suspect, leaving or dead, or knows another incarnation of it, the
+   * target gets that entry, so that it can refute it, and the sender's entry. A
+   * target that this host does not know gets the sender's entry, so that it can
+   * add the sender.
    */
   function getEntriesFor(
     target: string,
@@ -228,7 +248,7 @@
     setWithoutGossip(member, known);
   }
 
-  /** Stores without telling others: they have heard it. */
+  /** Stores an update that need not be gossiped. */
   function setWithoutGossip(member: Member, known: Member | undefined): void {
     table.set(member);
     suspicion.update(member);
@@ -249,9 +269,10 @@
   }
 
   /**
-   * Others may take this host for dead after a cut or a pause, or know a start
-   * of it with a later wall clock. Only the host itself raises its revision and
-   * incarnation, so its word overrides theirs.
+   * Refutes an update about this host. After a network partition or a pause,
+   * others may hold this host for dead, or they may know an earlier run of it
+   * whose wall clock was ahead. Only the host itself raises its revision and
+   * incarnation, so its own entry overrides theirs.
    */
   function refute(update: Member): void {
     const own = table.getSelf();
@@ -267,12 +288,14 @@
     if (
       update.incarnation < own.incarnation || update.revision < own.revision
     ) {
-      // Answered long ago, but the sender has missed that. It must hear again:
-      // the next datagram, the reply to this one, carries the own entry.
+      // This host has refuted the update before, and the sender missed that.
+      // The host's entry is queued again, so that the next datagram, which is
+      // the reply to this one, contains it.
       memberQueue.enqueue(self.host);
       return;
     }
-    // A leaving host that others took for alive again must not stay so.
+    // A revision that this host has not set itself must be overridden even if
+    // the state is better: others may hold a leaving host for alive.
     const isAhead = update.revision > own.revision;
     if (!isSuspectOrDead && !isAhead) return;
     setAndGossip({ ...own, revision: update.revision + 1 }, own);
@@ -295,7 +318,10 @@
     }
   }
 
-  /** Asks each suspect itself, so that it hears of it and can say otherwise. */
+  /**
+   * Probes suspects directly, so that each learns of the suspicion and can
+   * refute it.
+   */
   function probeSuspects(): void {
     for (const target of suspicion.getDueForProbe()) {
       const member = table.tryGet(target);
@@ -304,8 +330,9 @@
   }
 
   /**
-   * After a cut each side holds the other for dead, and the list may name hosts
-   * that were never met. Nobody else would ask them again.
+   * Probes unreachable hosts. After a network partition each side holds the
+   * other for dead, and the platform's list may name hosts that have never
+   * answered. No other part of the protocol would probe them again.
    */
   function probeUnreachable(): void {
     const isAlone = table.getPeers().length === 0;
@@ -319,8 +346,10 @@
   }
 
   /**
-   * This process was stopped: what it waited for came meanwhile and was lost. It
-   * must not judge others by its own silence, nor trust what it knew before.
+   * Detects that this process was stopped and resets its timers.
+   * Acknowledgements that came meanwhile were lost, so missing ones say nothing
+   * about other hosts. The known state may be outdated, so a full sync is
+   * requested.
    */
   function recoverFromPause(nowMs: number): void {
     const pausedMs = nowMs - lastTickMs - options.periodMs;
@@ -347,7 +376,7 @@
 
   function receive(message: MembershipMessage, replyAddress: string): void {
     if (message.from === self.host) return;
-    // All that a host knows, sent to one that asked, is old news.
+    // A full sync repeats old state, which must not be gossiped again.
     const shouldGossip = message.sequence !== UNSOLICITED_SEQUENCE;
     for (const update of message.updates) applyUpdate(update, shouldGossip);
     for (const fact of message.facts) {
@@ -377,24 +406,31 @@
   }
 
   function receiveAck(message: MembershipMessage): void {
-    const { requester: relay, probed } = prober.completeProbe(message.sequence);
-    if (relay !== undefined) {
-      // With the target's entry, so that a suspect's word gets through.
+    const { requester, probed } = prober.completeProbe(message.sequence);
+    if (requester !== undefined) {
+      // Includes the target's entry, so that its refutation reaches the
+      // requester.
       const sender = table.tryGet(message.from);
-      const parts = { isAck: true, sequence: relay.sequence };
+      const parts = { isAck: true, sequence: requester.sequence };
       const entries = sender === undefined ? [] : [sender];
-      host.send(relay.address, addQueuedUpdates(createMessage(parts, entries)));
+      host.send(
+        requester.address,
+        addQueuedUpdates(createMessage(parts, entries)),
+      );
     }
     if (probed === undefined) return;
     sync.recordContact(message.from);
-    // A leaving host that answers is still there; a suspect has just said so
-    // itself by a higher revision, which came with this acknowledgement.
+    // A leaving host that answers is still running. A suspect that answers has
+    // already refuted the suspicion by a higher revision, which this
+    // acknowledgement contained.
     if (table.tryGet(probed)?.state === "leaving") suspicion.stop(probed);
   }
 
   function addFact(fact: Fact): void {
     if (estimateFactBytes(fact) > MAX_FACT_BYTES) {
-      throw new RangeError(`The fact "${fact.key}" is too large`);
+      throw new RangeError(
+        `The fact "${fact.key}" is larger than ${MAX_FACT_BYTES} bytes`,
+      );
     }
     if (facts.add(fact)) factQueue.enqueue(fact.key);
   }
@@ -427,7 +463,7 @@
     spreadFact: addFact,
     pushFact(fact) {
       addFact(fact);
-      // As an acknowledgement of no probe, which asks for no reply.
+      // Sent as an unsolicited acknowledgement, which gets no reply.
       const message = createMessage({ isAck: true, facts: [fact] });
       for (const member of table.getPeers()) {
         host.send(member.peerAddress, message);
--- a/src/membership/membership_test.ts
+++ b/src/membership/membership_test.ts
@@ -47,14 +47,14 @@
   fixture.agenda.runUntil(fixture.agenda.clock.monotonicMs() + ms);
 }
 
-/** Changes of live hosts to a state in which they get no new work. */
+/** Number of times that a live host declared another live host dead. */
 function countFalseDeaths(fixture: MembershipFixture, dead: string[]): number {
   return fixture.changes.filter(({ member, by }) =>
     member.state === "dead" && !dead.includes(member.host) && !dead.includes(by)
   ).length;
 }
 
-/** Virtual ms until the check holds; fails after the limit. */
+/** Virtual time in ms until the check holds; fails after the limit. */
 function getTimeUntil(
   fixture: MembershipFixture,
   check: () => boolean,
@@ -64,10 +64,10 @@
     if (check()) return ms;
     run(fixture, 100);
   }
-  assert.fail(`not within ${limitMs} ms`);
+  assert.fail(`the condition was not met within ${limitMs} ms`);
 }
 
-test("hosts that know only the platform's list find each other", () => {
+test("hosts that know only the platform's list discover each other", () => {
   for (const seed of SEEDS) {
     const fixture = createMembershipFixture({
       hosts: 40,
@@ -87,7 +87,8 @@
 });
 
 test("hosts find each other while many report facts", () => {
-  // Guards against reports that fill datagrams, so that hosts never meet.
+  // Guards against facts that fill the datagrams and leave no room for updates
+  // about members, so that hosts never discover each other.
   for (const seed of SEEDS) {
     const fixture = createMembershipFixture({
       hosts: 100,
@@ -117,8 +118,9 @@
   }
 });
 
-test("a dead host is known everywhere soon, and nobody else is", () => {
-  // Requests wait for slots of a host that is gone, until the others notice.
+test("all hosts soon know a dead host, and none declares a live host dead", () => {
+  // Guards against slow detection: requests wait for slots of a dead host until
+  // the other hosts know that it is dead.
   for (const seed of SEEDS) {
     const fixture = createMembershipFixture({ hosts: 60, seed, loss: 0.05 });
     fixture.kill("entry-3");
@@ -132,21 +134,22 @@
   }
 });
 
-test("at a loss of one in twenty no live host is called dead", () => {
-  // An owner moves, with all its slots, each time a live host is called dead.
+test("with a datagram loss of 5 % no live host is declared dead", () => {
+  // Guards against false deaths: each one moves the ownership of all the host's
+  // upstreams to other hosts.
   for (const seed of SEEDS) {
     const fixture = createMembershipFixture({ hosts: 100, seed, loss: 0.05 });
     run(fixture, 60_000);
     assert.equal(countFalseDeaths(fixture, []), 0);
     const suspicions = fixture.changes
       .filter((each) => each.member.state === "suspect").length;
-    assert.ok(suspicions > 0, "the loss was felt");
+    assert.ok(suspicions > 0, "the loss caused no suspicion");
   }
 });
 
-test("a host that was stopped for 30 s blames nobody and comes back", () => {
-  // A host is stopped and goes on. It took its own silence for that of others,
-  // called them all dead and took over every upstream.
+test("a host that was stopped for 30 s declares no host dead and rejoins", () => {
+  // Guards against a resumed host that takes the acknowledgements missed during
+  // its own pause for the death of all others, and takes over every upstream.
   for (const seed of SEEDS) {
     const fixture = createMembershipFixture({ hosts: 30, seed, loss: 0.02 });
     fixture.pause("entry-5", 30_000);
@@ -167,7 +170,7 @@
   }
 });
 
-test("a host that restarts empty replaces its old self", () => {
+test("a host that restarts without state replaces its previous run", () => {
   for (const seed of SEEDS) {
     const fixture = createMembershipFixture({ hosts: 30, seed, loss: 0.05 });
     fixture.restart("entry-7", 2);
@@ -186,9 +189,10 @@
   }
 });
 
-test("a host that restarts with an earlier clock still gets in", () => {
-  // The new machine's wall clock is behind the old one's, so its incarnation is
-  // lower. All its words were older than what was known, and it stayed dead.
+test("a host that restarts with an earlier wall clock rejoins", () => {
+  // Guards against a host that stays dead for the others after a restart on a
+  // machine whose wall clock is behind: its incarnation is lower than the known
+  // one, so that all its updates count as old.
   const fixture = createMembershipFixture({ hosts: 10, seed: 1 });
   fixture.restart("entry-7", 0.5);
   run(fixture, 10_000);
@@ -200,10 +204,11 @@
   assert.deepEqual(new Set(views), new Set([2]));
 });
 
-test("regions that were apart for an hour find each other again", () => {
-  // Each region holds the other for dead. Nobody probed a dead host, so after
-  // the cut the regions stayed two fleets until every host was restarted.
-  // These seeds of 50 left one host out, for the reason of the next test.
+test("regions rejoin after a network partition of an hour", () => {
+  // Guards against regions that hold each other for dead and never probe each
+  // other again, so that they stay two fleets until every host is restarted. Of
+  // 50 seeds, with these one host stayed out, because of the fault that the
+  // next test guards against.
   for (const seed of [26, 27, 46]) {
     const fixture = createMembershipFixture({ hosts: 16, seed, loss: 0.01 });
     fixture.setCut(true);
@@ -223,11 +228,12 @@
   }
 });
 
-test("a host thought dead for an old reason says again that it lives", () => {
-  // While the regions are apart, a host is suspected in its own region and says
-  // that it lives, by a higher revision. After the cut the other region asks it
-  // about its older death. It had answered that long ago, replied without its
-  // own entry, and stayed dead in the other region for good.
+test("a host refutes its death again when an older update is repeated", () => {
+  // During a network partition a host is suspected in its own region and
+  // refutes that by a higher revision. After the partition the other region
+  // sends it the older update about its death. Guards against a reply without
+  // the host's own entry, because it has refuted that revision before: the host
+  // would stay dead in the other region for good.
   const sent: MembershipMessage[] = [];
   const entry5 = createMember("entry-5");
   const entry2 = createMember("entry-2");
@@ -250,9 +256,9 @@
   assert.deepEqual(sent.at(-1)!.updates, [{ ...entry5, revision: 2 }]);
 });
 
-test("the lagging list does not bring a dead host back", () => {
-  // The platform names a dead host for minutes. Each host took it for alive
-  // again, gave it work, and called it dead, over and over.
+test("the platform's lagging list does not revive a dead host", () => {
+  // The platform lists a dead host for minutes. Guards against hosts that each
+  // take it for alive again, give it work and declare it dead, repeatedly.
   const fixture = createMembershipFixture({ hosts: 12, seed: 3 });
   fixture.kill("entry-4");
   run(fixture, 15_000);
@@ -263,8 +269,8 @@
   assert.equal(fixture.countViews("entry-4", ["dead"]), 11);
 });
 
-test("replaced hosts are forgotten", () => {
-  // 88 hosts are replaced a day, each by one of another name.
+test("replaced hosts are removed from the member table", () => {
+  // 88 hosts are replaced a day, each by a host with another name.
   const fixture = createMembershipFixture({ hosts: 12, seed: 3 });
   for (const name of ["entry-2", "entry-5", "entry-9"]) fixture.kill(name);
   fixture.setListed(
@@ -276,9 +282,10 @@
   assert.equal(fixture.get("entry-1").getMembers().length, 9);
 });
 
-test("a leaving host gets no new work and is not revived by suspicion", () => {
-  // A host drains for a minute. A lost probe made it a suspect, which counts as
-  // usable, and so it became the owner of upstreams again while it left.
+test("a suspicion does not make a leaving host usable again", () => {
+  // A host drains for a minute. Guards against a lost probe that makes it a
+  // suspect: suspects are usable, so it would own upstreams again while it
+  // drains.
   for (const seed of SEEDS) {
     const fixture = createMembershipFixture({ hosts: 30, seed, loss: 0.1 });
     fixture.get("entry-6").leave();
@@ -311,7 +318,7 @@
   assert.ok(tookMs <= 10_000);
 });
 
-test("a host that starts later learns the facts, too", () => {
+test("a host that starts later gets the known facts", () => {
   const fixture = createMembershipFixture({ hosts: 20, seed: 1, loss: 0.02 });
   fixture.get("entry-9").spreadFact({ key: "a", version: 1, value: "x" });
   run(fixture, 60_000);
@@ -320,7 +327,7 @@
   assert.equal(fixture.countFacts("a"), 19);
 });
 
-test("no datagram is larger than a packet", () => {
+test("every datagram fits into one packet", () => {
   for (const seed of SEEDS) {
     const fixture = createMembershipFixture({
       hosts: 40,
@@ -341,7 +348,7 @@
   }
 });
 
-test("facts are bounded in number and in time", () => {
+test("facts are limited in number and in age", () => {
   const clock = createManualClock(0);
   const facts = createFactStore(clock);
   for (let each = 0; each < MAX_FACTS + 50; each++) {
--- a/src/membership/mod.ts
+++ b/src/membership/mod.ts
@@ -1,5 +1,5 @@
 /**
- * Which hosts are there, and which of them owns what.
+ * Membership of the fleet, and the choice of owners by rendezvous hashing.
  *
  * @module
  */
--- a/src/membership/prober.ts
+++ b/src/membership/prober.ts
@@ -1,6 +1,8 @@
 /**
- * Probes under way: one other host each period in a random round, by way of two
- * helpers when no reply comes, and single checks of hosts that are in doubt.
+ * Sends probes and matches acknowledgements to them. In each period the next
+ * host of a randomly ordered round is probed. When it does not answer in time,
+ * other hosts are asked to probe it indirectly. Single probes check hosts that
+ * are suspect or unreachable.
  *
  * @module
  */
@@ -8,46 +10,61 @@
 import type { Clock } from "../core/mod.ts";
 import type { Member, Seed } from "./types.ts";
 
-/** What probing needs of the protocol. */
+/** Dependencies of the prober that the membership protocol provides. */
 export interface ProberHost {
   readonly clock: Clock;
   random(): number;
   getPeers(): readonly Member[];
   tryGetPeer(host: string): Member | undefined;
-  /** Sends a probe; with a target, asks the receiver to probe that. */
+  /**
+   * Sends a probe; with a target, asks the receiver to probe the target
+   * instead.
+   */
   send(to: Seed, sequence: number, target: string | undefined): void;
-  /** Neither the host nor the helpers have replied. */
+  /**
+   * Called when neither a direct nor an indirect probe of the host was
+   * acknowledged in time.
+   */
   onProbeFailed(host: string): void;
 }
 
-/** Times and sizes of probing. */
+/** Timing of probes and number of indirect probes; times are in ms. */
 export interface ProberOptions {
   readonly periodMs: number;
   readonly ackTimeoutMs: number;
   readonly indirectProbes: number;
 }
 
-/** A probe that another host has asked for. */
+/**
+ * The host that requested an indirect probe, and the sequence number of its own
+ * probe.
+ */
 export interface ProbeRequester {
   readonly address: string;
   readonly sequence: number;
 }
 
-/** The probes of one host. */
+/** Sends the probes of one host. */
 export interface Prober {
-  /** Probes the next member of the round. */
+  /** Probes the next host of the round. */
   probeNext(): void;
-  /** Asks one host; silence has no consequence. */
+  /** Probes one host; a missing acknowledgement has no consequence. */
   probeOnce(to: Seed): void;
-  /** Probes the target for another host. */
+  /** Probes the target on behalf of another host. */
   probeOnBehalf(target: Member, requester: ProbeRequester): void;
-  /** Asks helpers, or gives up, where no reply came. */
+  /**
+   * Requests indirect probes, or reports failure, for probes without
+   * acknowledgement.
+   */
   checkTimeouts(): void;
-  /** Whose probe the acknowledgement ends. */
+  /**
+   * Ends the probe with this sequence number. Returns the host that requested
+   * it, for an indirect probe, or else the host that was probed.
+   */
   completeProbe(
     sequence: number,
   ): { readonly requester?: ProbeRequester; readonly probed?: string };
-  /** Forgets all probes under way. */
+  /** Cancels all outstanding probes. */
   cancelAll(): void;
 }
 
@@ -59,10 +76,10 @@
   hasIndirectProbes: boolean;
 }
 
-/** A probe, with its helpers' replies, takes at most so many periods. */
+/** Time-out of a probe, including its indirect probes, in periods. */
 const PROBE_TIMEOUT_PERIODS = 2;
 
-/** Makes the probes of one host; none is under way. */
+/** Creates a prober without outstanding probes. */
 export function createProber(
   options: ProberOptions,
   host: ProberHost,
@@ -81,13 +98,16 @@
       kind,
       host: to.host,
       sentMs: host.clock.monotonicMs(),
-      requester: requester,
+      requester,
       hasIndirectProbes: false,
     });
     host.send(to, sequence, undefined);
   }
 
-  /** Each member once a round, so that none is left out for long. */
+  /**
+   * Takes the next host of a round in which each peer is probed once, which
+   * bounds the time between two probes of one host.
+   */
   function tryTakeNext(): Member | undefined {
     if (round.length === 0) {
       const names = host.getPeers().map((each) => each.host);
--- a/src/membership/rejoin_test.ts
+++ b/src/membership/rejoin_test.ts
@@ -1,5 +1,6 @@
 /**
- * Tests of hosts that leave, and of sides that were cut off from each other.
+ * Tests of hosts that leave, and of hosts that rejoin after a network
+ * partition.
  *
  * @module
  */
@@ -24,7 +25,10 @@
   };
 }
 
-/** Three hosts that know one another; `isLost` drops datagrams. */
+/**
+ * Three hosts that know each other; `network.isLost` decides which datagrams
+ * are lost.
+ */
 function createFixture() {
   const clock = createManualClock();
   const hosts = new Map<string, Membership>();
@@ -65,9 +69,10 @@
   return { hosts, network, run, getState };
 }
 
-test("a host that left and exited is never used again", () => {
-  // A host drains and exits. The others' probes get no answer. Taken for a
-  // suspect, which counts as usable, it would own upstreams again for seconds.
+test("a host that left and exited never becomes usable again", () => {
+  // A host drains and exits, so that the others' probes get no answer. Guards
+  // against making it a suspect: suspects are usable, so it would own upstreams
+  // again for some seconds.
   const { hosts, network, run, getState } = createFixture();
   hosts.get("c")!.leave();
   run(2_000);
@@ -82,8 +87,8 @@
 });
 
 test("a leaving host whose datagrams were lost stays leaving", () => {
-  // Its answers get lost for a while, then come again. The others must not take
-  // it for alive: "/where" would name a host that refuses.
+  // The host's answers are lost for a while. Guards against hosts that then
+  // take it for alive: "/where" would name a host that refuses requests.
   const { hosts, network, run, getState } = createFixture();
   hosts.get("c")!.leave();
   run(2_000);
@@ -95,9 +100,9 @@
   assert.notEqual(getState("b", "c"), "alive");
 });
 
-test("a leaving host takes back what others made of it", () => {
-  // A host that did not know of the leaving took it for alive with a higher
-  // revision; the host's own word must win.
+test("a leaving host overrides an update that calls it alive", () => {
+  // A host that does not know that the host is leaving gossips it as alive with
+  // a higher revision. Guards against that update overriding the host's own.
   const { hosts, run, getState } = createFixture();
   hosts.get("c")!.leave();
   run(2_000);
@@ -107,10 +112,10 @@
   assert.equal(getState("b", "c"), "leaving");
 });
 
-test("two sides of a cut find each other again", () => {
-  // Host c is cut off for 15 s: each side takes the other for dead and probes
-  // it no more. After the cut both must be one fleet again, or the hosts grant
-  // the same upstream's slots twice for good.
+test("both sides of a network partition rejoin", () => {
+  // Host c is cut off for 15 s, and each side declares the other dead. Guards
+  // against sides that never probe each other again: they would grant the slots
+  // of the same upstream twice for good.
   const { network, run, getState } = createFixture();
   network.isLost = (from, to) => (from === "c") !== (to === "c");
   run(15_000);
--- a/src/membership/rendezvous.ts
+++ b/src/membership/rendezvous.ts
@@ -1,18 +1,23 @@
 /**
- * Rendezvous hashing: every host with the same view picks the same owner for a
- * key, and a change of one member moves only that member's keys.
+ * Rendezvous hashing: all hosts that know the same members choose the same
+ * owner for a key, and a change of one member moves only that member's keys.
  *
- * Load: 600 upstreams over 65 hosts of a data centre, at each change of a
- * member. Harm prevented: a digest for each of the 39,000 pairs stops the
- * process for as long as two tokens of a stream; so each text is digested once,
- * and a pair costs a few multiplications.
+ * Load: 600 upstreams over the 65 hosts of a data centre, ranked again at each
+ * change of a member.
+ *
+ * Failure prevented: a digest for each of the 39,000 pairs would block the
+ * event loop for as long as two tokens of a stream take. Each string is
+ * therefore digested once, and a pair costs a few multiplications.
  *
  * @module
  */
 
 import { createHash } from "node:crypto";
 
-/** The candidate with the highest score for the key; `undefined` for none. */
+/**
+ * The candidate with the highest score for the key, or `undefined` without
+ * candidates.
+ */
 export function tryGetOwner(
   key: string,
   candidates: readonly string[],
@@ -30,7 +35,10 @@
   return owner;
 }
 
-/** The candidates by their score for the key, the owner first. */
+/**
+ * The candidates in descending order of their scores for the key; the owner
+ * comes first.
+ */
 export function rankByRendezvous(
   key: string,
   candidates: readonly string[],
@@ -46,12 +54,15 @@
   return scored.map((each) => each.candidate);
 }
 
-/** Texts whose hashes are kept: hosts and upstreams, with room for old ones. */
+/**
+ * Maximum number of cached hashes: those of all hosts and upstreams, and some
+ * of replaced ones.
+ */
 const MAX_HASHES = 8_192;
 
 const hashes = new Map<string, number>();
 
-/** First 32 bits of the text's digest. */
+/** First 32 bits of the string's SHA-1 digest. */
 function getHash(text: string): number {
   const known = hashes.get(text);
   if (known !== undefined) return known;
@@ -61,7 +72,9 @@
   return hash;
 }
 
-/** Mixes two hashes so that each bit of both moves all bits of the score. */
+/**
+ * Mixes two hashes so that each bit of either affects all bits of the score.
+ */
 function mix(a: number, b: number): number {
   let mixed = a ^ Math.imul(b, 0x9e3779b1);
   mixed = Math.imul(mixed ^ (mixed >>> 16), 0x85ebca6b);
--- a/src/membership/rendezvous_test.ts
+++ b/src/membership/rendezvous_test.ts
@@ -1,5 +1,5 @@
 /**
- * Tests of the choice of owners.
+ * Tests of the choice of owners by rendezvous hashing.
  *
  * @module
  */
@@ -12,7 +12,7 @@
   return Array.from({ length: count }, (_, at) => `${prefix}-${at + 1}`);
 }
 
-test("owners are spread evenly, and a lost host moves its keys alone", () => {
+test("owners are evenly distributed, and a lost host moves only its own keys", () => {
   const hosts = getNames("entry", 65);
   const keys = getNames("slots/engine", 6_500);
   const counts = new Map<string, number>();
@@ -29,7 +29,7 @@
   }
 });
 
-test("the order of the candidates does not matter", () => {
+test("the owner does not depend on the order of the candidates", () => {
   const hosts = getNames("entry", 40);
   for (const key of getNames("slots/engine", 200)) {
     const reversed = [...hosts].reverse();
--- a/src/membership/suspicion.ts
+++ b/src/membership/suspicion.ts
@@ -1,10 +1,12 @@
 /**
- * How long each suspect still has before it is called dead, and when this host
- * asks it itself.
+ * Tracks suspects: when each is declared dead, and when this host probes it
+ * directly.
  *
- * Load: one datagram in twenty is lost, at 390 hosts. Harm prevented: a live
- * host is called dead because the news of the suspicion, or its answer, came
- * late to some; so each host asks a suspect itself before it gives it up.
+ * Load: 390 hosts, and one datagram in twenty is lost.
+ *
+ * Failure prevented: a live host is declared dead because the suspicion, or the
+ * host's refutation of it, reached some hosts too late. Each host therefore
+ * probes a suspect itself before it declares it dead.
  *
  * @module
  */
@@ -12,19 +14,24 @@
 import type { Clock } from "../core/mod.ts";
 import type { Member } from "./types.ts";
 
-/** The suspects of one host. */
+/** The suspects that one host knows. */
 export interface Suspicion {
-  /** This host has found the member silent by itself. */
+  /**
+   * Starts the suspicion of a member that did not acknowledge this host's
+   * probe.
+   */
   start(host: string): void;
-  /** The member answered. */
+  /** Ends the suspicion of a member that has answered. */
   stop(host: string): void;
-  /** Takes in the state of a member, however it came to be known. */
+  /**
+   * Applies a member's new state, whether this host or another has found it.
+   */
   update(member: Member): void;
-  /** Suspects that this host should ask now. */
+  /** Suspects that this host should probe in this period. */
   getDueForProbe(): readonly string[];
-  /** Suspects whose time is over; they are suspects no more. */
+  /** Removes and returns the suspects whose time-out has passed. */
   takeExpired(): readonly string[];
-  /** Gives every suspect so much more time, in ms. */
+  /** Extends the time-out of every suspect by this many ms. */
   extendTimeouts(ms: number): void;
 }
 
@@ -34,12 +41,13 @@
 }
 
 /**
- * Most suspects asked in one period: when a region is cut off, half of all
- * members are suspects, and asking each of them would be a burst of its own.
+ * Maximum number of suspects probed in one period. When a region is cut off,
+ * half of all members are suspects, and probing all of them at once would be a
+ * burst of traffic.
  */
 const MAX_PROBES_PER_PERIOD = 4;
 
-/** Makes a set without suspects. */
+/** Creates the tracker without suspects. */
 export function createSuspicion(
   options: { readonly suspectTimeoutMs: number },
   clock: Clock,
@@ -64,18 +72,19 @@
         return;
       }
       const nowMs = clock.monotonicMs();
-      // Heard from others: they ask now, this host in the second half.
-      const askFromMs = nowMs + options.suspectTimeoutMs / 2;
+      // Another host has reported the suspicion and probes the suspect now;
+      // this host probes it in the second half of the time-out.
+      const probeFromMs = nowMs + options.suspectTimeoutMs / 2;
       const known = suspects.get(member.host);
       if (known === undefined) {
-        suspects.set(member.host, { sinceMs: nowMs, probeFromMs: askFromMs });
+        suspects.set(member.host, { sinceMs: nowMs, probeFromMs });
       }
     },
     getDueForProbe() {
       const nowMs = clock.monotonicMs();
       const due: string[] = [];
-      for (const [host, { probeFromMs: askFromMs }] of suspects) {
-        if (askFromMs <= nowMs) due.push(host);
+      for (const [host, { probeFromMs }] of suspects) {
+        if (probeFromMs <= nowMs) due.push(host);
         if (due.length >= MAX_PROBES_PER_PERIOD) break;
       }
       return due;
--- a/src/membership/sync.ts
+++ b/src/membership/sync.ts
@@ -1,39 +1,52 @@
 /**
- * Gives a host that has just started, or was stopped for a while, all that
- * another host knows: gossip only carries changes, and those are over.
+ * Full synchronisation of a host that has just started or was stopped for a
+ * while. Gossip carries only recent changes, so such a host asks others for
+ * their complete state.
  *
  * @module
  */
 
-/** Who asks for all, and who is being told. */
+/**
+ * Tracks whether this host still needs a full sync, and which hosts it sends
+ * one to.
+ */
 export interface Sync {
-  /** This host asks the next hosts that it meets. */
+  /** Makes this host ask the next hosts that it contacts for a full sync. */
   restart(): void;
   isNeeded(): boolean;
-  /** A host has answered a probe. */
+  /**
+   * Records that a host has answered a probe, and so was asked for a full sync.
+   */
   recordContact(host: string): void;
-  /** The host at the address gets everything under these keys. */
+  /** Queues all keys for the host at this address. */
   enqueue(address: string, keys: readonly string[]): void;
-  /** What to send in this period, each chunk in one datagram. */
+  /** Takes the chunks to send in this period, one datagram each. */
   takeChunks(
     options: { readonly maxPayloadBytes: number },
     getBytes: (key: string) => number,
   ): readonly { readonly address: string; readonly keys: readonly string[] }[];
 }
 
-/** Two hosts are asked, in case one has just started itself. */
+/**
+ * Number of hosts asked for a full sync; two, in case one of them has just
+ * started itself.
+ */
 const SYNC_SOURCES = 2;
 
 /**
- * Datagrams to one asking host in a period. 390 entries take about 30 of them,
- * so a new host knows all within 8 s and no one sends it more than 5 KB/s.
+ * Datagrams sent to one receiver in a period. 390 entries take about 30
+ * datagrams, so a new host knows all within 8 s, and no host sends it more than
+ * 5 KB/s.
  */
 const CHUNKS_PER_PERIOD = 2;
 
-/** Hosts that are told at the same time; others ask again or ask another. */
+/**
+ * Maximum number of receivers at a time. Further hosts repeat their request or
+ * are answered by another host.
+ */
 const MAX_RECEIVERS = 4;
 
-/** Makes the state of a host that has just started: it asks. */
+/** Creates the state of a host that has just started and needs a full sync. */
 export function createSync(): Sync {
   const receivers = new Map<string, string[]>();
   const contacted = new Set<string>();
--- a/src/membership/types.ts
+++ b/src/membership/types.ts
@@ -1,18 +1,27 @@
 /**
- * What hosts know of one another.
+ * Types of the membership protocol.
  *
  * @module
  */
 
-/** Life of a member, in the order in which later states override earlier. */
+/**
+ * State of a member. Of two updates with the same incarnation and revision, the
+ * state that stands later in this list wins.
+ */
 export type MemberState = "alive" | "suspect" | "leaving" | "dead";
 
-/** One host as this host sees it. */
+/** A host of the fleet, as this host knows it. */
 export interface Member {
   readonly host: string;
-  /** Wall milliseconds of the host's start; a restarted host has a higher one. */
+  /**
+   * Wall-clock time of the host's start, in ms, which tells a restarted host
+   * from its previous run. A host whose clock went back between two starts
+   * raises it above the value that the others know.
+   */
   readonly incarnation: number;
-  /** Raised by the member itself at each change of its own state. */
+  /**
+   * Counts the member's own changes of state; only the member itself raises it.
+   */
   readonly revision: number;
   readonly state: MemberState;
   readonly dataCentre: string;
@@ -20,12 +29,15 @@
   readonly publicAddress: string;
 }
 
-/** A host as the platform's list names it; nothing is known of its life. */
+/**
+ * A host that the platform's list or the settings name; its state is not known.
+ */
 export type Seed = Pick<Member, "host" | "dataCentre" | "peerAddress">;
 
 /**
- * A small fact that every host should know soon, such as a quarantined content
- * fingerprint. A key's higher version replaces the lower.
+ * A small key-value record that is gossiped to all hosts, such as the
+ * fingerprint of a quarantined content. Of two facts with one key, the one with
+ * the higher version wins.
  */
 export interface Fact {
   readonly key: string;
@@ -39,9 +51,12 @@
   readonly incarnation: number;
   readonly sequence: number;
   readonly isAck: boolean;
-  /** The sender knows few others and asks for all that the receiver knows. */
+  /** The sender asks the receiver for its complete state. */
   readonly wantsSync: boolean;
-  /** Host to probe on the sender's behalf; empty for a direct probe. */
+  /**
+   * Host that the receiver should probe on the sender's behalf (an indirect
+   * probe); empty for a direct probe.
+   */
   readonly probeTarget: string;
   readonly configVersion: number;
   readonly configDigest: string;
