--- a/src/membership/member_table.ts
+++ b/src/membership/member_table.ts
@@ -121,15 +121,13 @@
   };
 }
 
-/** Whether the update overrides the known entry. */
-export function isNewer(update: Member, known: Member): boolean {
-  if (update.incarnation !== known.incarnation) {
-    return update.incarnation > known.incarnation;
+/** Whether the new entry overrides the known one. */
+export function isNewer(entry: Member, known: Member): boolean {
+  if (entry.incarnation !== known.incarnation) {
+    return entry.incarnation > known.incarnation;
   }
-  if (update.revision !== known.revision) {
-    return update.revision > known.revision;
-  }
-  return STATE_PRECEDENCE[update.state] > STATE_PRECEDENCE[known.state];
+  if (entry.revision !== known.revision) return entry.revision > known.revision;
+  return STATE_PRECEDENCE[entry.state] > STATE_PRECEDENCE[known.state];
 }
 
 /**
--- a/src/membership/membership.ts
+++ b/src/membership/membership.ts
@@ -179,9 +179,7 @@
   /** Fills the rest of the message with queued facts and updates. */
   function addQueuedUpdates(message: MembershipMessage): MembershipMessage {
     let leftBytes = options.maxPayloadBytes;
-    for (const entry of message.updates) {
-      leftBytes -= estimateMemberBytes(entry);
-    }
+    for (const entry of message.updates) leftBytes -= estimateMemberSize(entry);
     const newFacts = factQueue.take(leftBytes, getFactBytes)
       .map((key) => facts.tryGet(key)!);
     for (const fact of newFacts) leftBytes -= getFactBytes(fact.key);
@@ -196,12 +194,12 @@
 
   function getMemberBytes(name: string): number {
     const member = table.tryGet(name);
-    return member === undefined ? 0 : estimateMemberBytes(member);
+    return member === undefined ? 0 : estimateMemberSize(member);
   }
 
   function getFactBytes(key: string): number {
     const fact = facts.tryGet(key);
-    return fact === undefined ? 0 : estimateFactBytes(fact);
+    return fact === undefined ? 0 : estimateFactSize(fact);
   }
 
   /**
@@ -229,12 +227,8 @@
     target: string | undefined,
   ): void {
     const entries = [...getEntriesFor(to.host)];
-    const targetMember = target === undefined
-      ? undefined
-      : table.tryGet(target);
-    if (targetMember !== undefined && targetMember.state !== "alive") {
-      entries.push(targetMember);
-    }
+    const member = target === undefined ? undefined : table.tryGet(target);
+    if (member !== undefined && member.state !== "alive") entries.push(member);
     const parts = {
       sequence,
       probeTarget: target ?? "",
@@ -427,7 +421,7 @@
   }
 
   function addFact(fact: Fact): void {
-    if (estimateFactBytes(fact) > MAX_FACT_BYTES) {
+    if (estimateFactSize(fact) > MAX_FACT_BYTES) {
       throw new RangeError(
         `The fact "${fact.key}" is larger than ${MAX_FACT_BYTES} bytes`,
       );
@@ -477,12 +471,12 @@
   };
 }
 
-function estimateMemberBytes(member: Member): number {
+function estimateMemberSize(member: Member): number {
   const { host, dataCentre, peerAddress, publicAddress } = member;
   return ENTRY_OVERHEAD_BYTES + host.length + dataCentre.length +
     peerAddress.length + publicAddress.length;
 }
 
-function estimateFactBytes(fact: Fact): number {
+function estimateFactSize(fact: Fact): number {
   return ENTRY_OVERHEAD_BYTES + fact.key.length + fact.value.length;
 }
