--- a/src/membership/membership.ts
+++ b/src/membership/membership.ts
@@ -423,7 +423,7 @@
   function addFact(fact: Fact): void {
     if (estimateFactSize(fact) > MAX_FACT_BYTES) {
       throw new RangeError(
-        `The fact "${fact.key}" is larger than ${MAX_FACT_BYTES} bytes`,
+        `The fact "${fact.key}" is too large for a datagram`,
       );
     }
     if (facts.add(fact)) factQueue.enqueue(fact.key);
