--- a/src/fleet/counter_wire.ts
+++ b/src/fleet/counter_codec.ts
@@ -28,7 +28,7 @@
 import type { Addressed } from "./counter_exchange.ts";
 
 /** Translates counter messages for the deployment in force. */
-export interface CounterWire {
+export interface CounterCodec {
   encodeReport(report: Addressed<CounterReport>): WireReport;
   encodeView(view: Addressed<CounterView>): WireView;
   decodeReport(report: WireReport): Addressed<CounterReport>;
@@ -36,38 +36,40 @@
 }
 
 /** Makes the translation; teams are those of the deployment in force. */
-export function createCounterWire(
+export function createCounterCodec(
   getDeployment: () => Deployment | undefined,
-): CounterWire {
-  let known: Deployment | undefined;
-  const names = new Map<number, string>();
-  const hashes = new Map<string, number>();
+): CounterCodec {
+  let hashedDeployment: Deployment | undefined;
+  const teamsByHash = new Map<number, string>();
+  const hashesByTeam = new Map<string, number>();
 
   /** Two teams with one hash would share a counter; the later gets another. */
-  function refresh(): void {
+  function updateHashes(): void {
     const deployment = getDeployment();
-    if (deployment === known) return;
-    known = deployment;
-    names.clear();
-    hashes.clear();
+    if (deployment === hashedDeployment) return;
+    hashedDeployment = deployment;
+    teamsByHash.clear();
+    hashesByTeam.clear();
     const teams = deployment?.teams.map((each) => each.id) ?? [];
     for (const team of [...teams].sort()) {
       let hash = getHash(team);
-      while (names.has(hash)) hash = (hash + 1) >>> 0;
-      names.set(hash, team);
-      hashes.set(team, hash);
+      while (teamsByHash.has(hash)) hash = (hash + 1) >>> 0;
+      teamsByHash.set(hash, team);
+      hashesByTeam.set(team, hash);
     }
   }
 
-  function select(teams: readonly TeamService[]): readonly TeamService[] {
-    refresh();
-    return teams.filter((each) => hashes.has(each.team))
+  function selectKnownTeams(
+    teams: readonly TeamService[],
+  ): readonly TeamService[] {
+    updateHashes();
+    return teams.filter((each) => hashesByTeam.has(each.team))
       .sort((a, b) => Number(b.backlogged) - Number(a.backlogged));
   }
 
   function encodeTeams(teams: readonly TeamService[]) {
     return {
-      teams: teams.map((each) => hashes.get(each.team)!),
+      teams: teams.map((each) => hashesByTeam.get(each.team)!),
       backlogged: teams.filter((each) => each.backlogged).length,
     };
   }
@@ -76,9 +78,9 @@
     wire: { readonly teams: readonly number[]; readonly backlogged: number },
     getValues: (at: number) => { amount: number; floor: number },
   ): readonly TeamService[] {
-    refresh();
+    updateHashes();
     return wire.teams.flatMap((hash, at) => {
-      const team = names.get(hash);
+      const team = teamsByHash.get(hash);
       if (team === undefined) return [];
       return [{ team, backlogged: at < wire.backlogged, ...getValues(at) }];
     });
@@ -86,7 +88,7 @@
 
   return {
     encodeReport({ service, level, childLevel, message }) {
-      const teams = select(message.teams);
+      const teams = selectKnownTeams(message.teams);
       const hasFloors = teams.some((each) => each.floor > 0);
       return create(CounterReportSchema, {
         ...message,
@@ -99,7 +101,7 @@
       });
     },
     encodeView({ service, level, childLevel, message }) {
-      const teams = select(message.teams);
+      const teams = selectKnownTeams(message.teams);
       return create(CounterViewSchema, {
         ...message,
         ...encodeTeams(teams),
--- a/src/fleet/early_asks.ts
+++ b/src/fleet/early_requesters.ts
@@ -13,21 +13,21 @@
 import { getOrCreate } from "../core/mod.ts";
 
 /** Hosts that asked early, by upstream. */
-export interface EarlyAsks {
+export interface EarlyRequesters {
   add(upstream: string, entryHost: string): void;
   /** Gives the hosts that asked, and forgets them. */
   take(upstream: string): readonly string[];
 }
 
 /** Makes an empty record. */
-export function createEarlyAsks(): EarlyAsks {
-  const asked = new Map<string, Set<string>>();
+export function createEarlyRequesters(): EarlyRequesters {
+  const requesters = new Map<string, Set<string>>();
   return {
     add: (upstream, entryHost) =>
-      void getOrCreate(asked, upstream, () => new Set()).add(entryHost),
+      void getOrCreate(requesters, upstream, () => new Set()).add(entryHost),
     take(upstream) {
-      const hosts = [...asked.get(upstream) ?? []];
-      asked.delete(upstream);
+      const hosts = [...requesters.get(upstream) ?? []];
+      requesters.delete(upstream);
       return hosts;
     },
   };
--- a/src/fleet/fleet.ts
+++ b/src/fleet/fleet.ts
@@ -11,8 +11,8 @@
 import type { KeptUses, Release, SlotRequest } from "../slots/mod.ts";
 import type { Upstream } from "../types.ts";
 import { createTreeExchange } from "./counter_exchange.ts";
-import { createCounterWire } from "./counter_wire.ts";
-import { createEarlyAsks } from "./early_asks.ts";
+import { createCounterCodec } from "./counter_codec.ts";
+import { createEarlyRequesters } from "./early_requesters.ts";
 import { receiveFrame, type Receivers, toWireResult } from "./frames.ts";
 import { createLinks } from "./links.ts";
 import { createMemberWatch } from "./member_watch.ts";
@@ -32,9 +32,9 @@
 /** Makes the fleet's part; call `reconcile` after each change of view. */
 export function createFleet(host: FleetHost): Fleet {
   const ownership = createOwnership(host);
-  const early = createEarlyAsks();
+  const earlyRequesters = createEarlyRequesters();
   const placer = createPlacer(host);
-  const wire = createCounterWire(host.getDeployment);
+  const counterCodec = createCounterCodec(host.getDeployment);
   const memberWatch = createMemberWatch(host.membership);
 
   const links = createLinks(host, {
@@ -55,10 +55,10 @@
   const exchange = host.policy.createExchange(host, {
     sendReport(peer, report) {
       links.ensure(peer);
-      outbox.add(peer, "counterReports", wire.encodeReport(report));
+      outbox.add(peer, "counterReports", counterCodec.encodeReport(report));
     },
     sendView(peer, view) {
-      outbox.add(peer, "counterViews", wire.encodeView(view));
+      outbox.add(peer, "counterViews", counterCodec.encodeView(view));
     },
   });
 
@@ -117,7 +117,7 @@
   const receivers: Receivers = {
     onSlotRequest(from, req) {
       const owner = owned.tryGet(req.upstream);
-      if (owner === undefined) early.add(req.upstream, from);
+      if (owner === undefined) earlyRequesters.add(req.upstream, from);
       else owner.receiveRequest(from, req);
     },
     onRelease: (from, release) =>
@@ -132,8 +132,9 @@
     },
     onRecall: (_from, recall) => slots.receiveRecall(recall),
     onReport: (from, report) =>
-      exchange.receiveReport(from, wire.decodeReport(report)),
-    onView: (from, view) => exchange.receiveView(from, wire.decodeView(view)),
+      exchange.receiveReport(from, counterCodec.decodeReport(report)),
+    onView: (from, view) =>
+      exchange.receiveView(from, counterCodec.decodeView(view)),
   };
 
   function addRelease(owner: string, release: Release): void {
@@ -159,7 +160,7 @@
 
   function takeOver(upstream: Upstream, mayHaveOther: boolean): void {
     owned.take(upstream, mayHaveOther);
-    for (const entryHost of early.take(upstream.id)) {
+    for (const entryHost of earlyRequesters.take(upstream.id)) {
       owned.tryGet(upstream.id)?.askToRedeclare(entryHost);
     }
   }
