--- a/src/fleet/counter_exchange.ts
+++ b/src/fleet/counter_exchange.ts
@@ -34,7 +34,7 @@
 export const MAX_FLAT_REGION_HOSTS = 16;
 
 /** A node that is no longer picked goes on so long, to pass on what it has. */
-const RETIRE_MS = 10_000;
+const RETIREMENT_MS = 10_000;
 
 const SESSION_RANGE = 2 ** 32 - 1;
 
@@ -130,23 +130,23 @@
       .map((member) => member.host);
   }
 
-  function getLevelAbove(level: number): number {
+  function getParentLevel(level: number): number {
     if (level !== LEAF_LEVEL) return level + 1;
     const isFlat = getCandidates(REGION_LEVEL).length <= MAX_FLAT_REGION_HOSTS;
     return isFlat ? REGION_LEVEL : DATA_CENTRE_LEVEL;
   }
 
-  function tryGetHostOf(service: string, level: number): string | undefined {
+  function tryGetNodeHost(service: string, level: number): string | undefined {
     const candidates = getCandidates(level);
     return host.policy.tryGetOwner(`counters/${level}/${service}`, candidates);
   }
 
   function report(node: Node): void {
     const { service, counters } = node;
-    const level = getLevelAbove(node.level);
+    const level = getParentLevel(node.level);
     const parent = node.level === ROOT_LEVEL
       ? undefined
-      : tryGetHostOf(service, level);
+      : tryGetNodeHost(service, level);
     counters.setParent(parent && `${level}/${parent}`);
     const message = counters.tryGetReport();
     if (message === undefined || parent === undefined) return;
@@ -160,22 +160,22 @@
     }
   }
 
-  function retire(key: string, node: Node): void {
+  function updateRetirement(key: string, node: Node): void {
     if (node.level === LEAF_LEVEL) return;
     const nowMs = host.clock.monotonicMs();
-    if (tryGetHostOf(node.service, node.level) === host.id) {
+    if (tryGetNodeHost(node.service, node.level) === host.id) {
       node.retiredMs = undefined;
       return;
     }
     node.retiredMs ??= nowMs;
-    if (nowMs - node.retiredMs >= RETIRE_MS) nodes.delete(key);
+    if (nowMs - node.retiredMs >= RETIREMENT_MS) nodes.delete(key);
   }
 
   return {
     getLeaf,
     getLeaves: () => leaves,
     exchange() {
-      for (const [key, node] of nodes) retire(key, node);
+      for (const [key, node] of nodes) updateRetirement(key, node);
       for (let level = LEAF_LEVEL; level <= ROOT_LEVEL; level++) {
         for (const node of [...nodes.values()]) {
           if (node.level === level) report(node);
--- a/src/fleet/fleet.ts
+++ b/src/fleet/fleet.ts
@@ -13,7 +13,7 @@
 import { createTreeExchange } from "./counter_exchange.ts";
 import { createCounterCodec } from "./counter_codec.ts";
 import { createEarlyRequesters } from "./early_requesters.ts";
-import { receiveFrame, type Receivers, toWireResult } from "./frames.ts";
+import { type FrameHandlers, receiveFrame, toWireResult } from "./frames.ts";
 import { createLinks } from "./links.ts";
 import { createMemberWatch } from "./member_watch.ts";
 import { createOutbox } from "./outbox.ts";
@@ -49,7 +49,7 @@
       return links.trySend(peer, frame) || host.trySendBack(peer, frame);
     },
     onControlSent: host.onControlSent,
-    onUndelivered: takeBackGrants,
+    onUndelivered: reclaimGrants,
   });
 
   const exchange = host.policy.createExchange(host, {
@@ -92,7 +92,7 @@
       const owner = ownership.get(req.upstream);
       if (owner === undefined) return;
       if (owner === host.id) {
-        receivers.onSlotRequest(host.id, req);
+        handlers.onSlotRequest(host.id, req);
         return;
       }
       links.ensure(owner);
@@ -102,19 +102,19 @@
     },
     sendRelease(release) {
       const owner = ownership.get(release.upstream);
-      if (owner === host.id) receivers.onRelease(host.id, release);
+      if (owner === host.id) handlers.onRelease(host.id, release);
       else if (owner !== undefined) addRelease(owner, release);
     },
     sendKeptUses(uses) {
       const owner = ownership.get(uses.upstream);
-      if (owner === host.id) receivers.onKeptUses(host.id, uses);
+      if (owner === host.id) handlers.onKeptUses(host.id, uses);
       else if (owner !== undefined) {
         outbox.add(owner, "keptUses", toWireUses(uses));
       }
     },
   });
 
-  const receivers: Receivers = {
+  const handlers: FrameHandlers = {
     onSlotRequest(from, req) {
       const owner = owned.tryGet(req.upstream);
       if (owner === undefined) earlyRequesters.add(req.upstream, from);
@@ -148,24 +148,24 @@
 
   function receive(peer: string, frame: Frame): void {
     host.hybridClock.receive(frame.hlc);
-    receiveFrame(peer, frame, receivers);
+    receiveFrame(peer, frame, handlers);
   }
 
   /** The link broke between grant and flush: the slots are free at once. */
-  function takeBackGrants(peer: string, frame: Frame): void {
+  function reclaimGrants(peer: string, frame: Frame): void {
     for (const grant of frame.grants) {
       owned.tryGet(grant.upstream)?.receiveRelease(peer, toUnused(grant));
     }
   }
 
-  function takeOver(upstream: Upstream, mayHaveOther: boolean): void {
-    owned.take(upstream, mayHaveOther);
+  function takeOver(upstream: Upstream, mayHavePreviousOwner: boolean): void {
+    owned.acquire(upstream, mayHavePreviousOwner);
     for (const entryHost of earlyRequesters.take(upstream.id)) {
       owned.tryGet(upstream.id)?.askToRedeclare(entryHost);
     }
   }
 
-  function changeOwner({ upstream, owner, previous }: OwnerChange): void {
+  function applyOwnerChange({ upstream, owner, previous }: OwnerChange): void {
     host.recorder.record({
       kind: "owner-changed",
       upstream: upstream.id,
@@ -189,8 +189,8 @@
         if (change.kind === "returned") owned.askToRedeclare(change.host);
         else forgetHost(change.host);
       }
-      for (const change of ownership.update()) changeOwner(change);
-      owned.followDeclared();
+      for (const change of ownership.update()) applyOwnerChange(change);
+      owned.reconcileWithDeployment();
       links.reconcile();
     },
     flush() {
--- a/src/fleet/fleet_faults_test.ts
+++ b/src/fleet/fleet_faults_test.ts
@@ -18,9 +18,9 @@
 
 const HOSTS = 6;
 const SLOTS = 3;
-const SEEN_MS = 3_000;
+const DETECTION_MS = 3_000;
 /** After the last fault: found dead, taken over, and the longest request. */
-const QUIET_MS = 20_000;
+const RECOVERY_MS = 20_000;
 
 function createFixture(seed: number): FleetFixture {
   const deployment = createDeployment({
@@ -95,14 +95,14 @@
   if (!fixture.hosts[each.host]!.isUp()) return;
   if (each.kind === "kill-restart") {
     restarted.add(id);
-    fixture.kill(id, SEEN_MS);
+    fixture.kill(id, DETECTION_MS);
     agenda.after(5_000, () => fixture.restart(id, 500));
   } else if (each.kind === "quick-restart") {
     restarted.add(id);
-    fixture.kill(id, SEEN_MS);
+    fixture.kill(id, DETECTION_MS);
     agenda.after(100, () => fixture.restart(id, 500));
   } else if (each.kind === "pause") {
-    fixture.pause(id, { forMs: 30_000, seenMs: SEEN_MS });
+    fixture.pause(id, { forMs: 30_000, seenMs: DETECTION_MS });
   } else if (each.kind === "break-links") {
     fixture.breakLinks(id);
   }
@@ -139,7 +139,7 @@
           nowMs += pauseMs;
           agenda.runUntil(nowMs);
         }
-        nowMs += 35_000 + QUIET_MS;
+        nowMs += 35_000 + RECOVERY_MS;
         agenda.runUntil(nowMs);
         const lost = fixture.getRequests().filter((req) =>
           isOpen(req) && !restarted.has(req.host)
--- a/src/fleet/frames.ts
+++ b/src/fleet/frames.ts
@@ -20,7 +20,7 @@
 } from "../slots/mod.ts";
 
 /** Where the messages of a frame go. */
-export interface Receivers {
+export interface FrameHandlers {
   onSlotRequest(from: string, req: SlotRequest): void;
   onRelease(from: string, release: Release): void;
   onKeptUses(from: string, uses: KeptUses): void;
@@ -37,11 +37,11 @@
 export function receiveFrame(
   from: string,
   frame: Frame,
-  receivers: Receivers,
+  handlers: FrameHandlers,
 ): void {
   for (const release of frame.releases) {
     const result = fromWireResult(release.result);
-    receivers.onRelease(from, { ...release, result });
+    handlers.onRelease(from, { ...release, result });
   }
   for (const { upstream, slots, ...lists } of frame.keptUses) {
     const uses = slots.map((slot, at) => ({
@@ -49,13 +49,13 @@
       firstByteMs: lists.firstByteMs[at] ?? 0,
       tokenIntervalMs: lists.tokenIntervalMs[at] ?? 0,
     }));
-    receivers.onKeptUses(from, { upstream, uses });
+    handlers.onKeptUses(from, { upstream, uses });
   }
-  for (const req of frame.slotRequests) receivers.onSlotRequest(from, req);
-  for (const grant of frame.grants) receivers.onGrant(from, grant);
-  for (const recall of frame.recalls) receivers.onRecall(from, recall);
-  for (const report of frame.counterReports) receivers.onReport(from, report);
-  for (const view of frame.counterViews) receivers.onView(from, view);
+  for (const req of frame.slotRequests) handlers.onSlotRequest(from, req);
+  for (const grant of frame.grants) handlers.onGrant(from, grant);
+  for (const recall of frame.recalls) handlers.onRecall(from, recall);
+  for (const report of frame.counterReports) handlers.onReport(from, report);
+  for (const view of frame.counterViews) handlers.onView(from, view);
 }
 
 /** How a use ended, on the wire. */
--- a/src/fleet/links.ts
+++ b/src/fleet/links.ts
@@ -21,7 +21,7 @@
 export const LINK_IDLE_MS = 60_000;
 
 /** What was sent so lately may still be answered: counters, for one. */
-const LINK_BUSY_MS = 5_000;
+const RECENT_USE_MS = 5_000;
 
 /** What the links tell the fleet. */
 export interface LinksHost {
@@ -43,7 +43,7 @@
   getCount(): number;
 }
 
-interface Entry {
+interface LinkEntry {
   readonly link: PeerLink;
   readonly address: string;
   readonly fiber: Fiber.Fiber<never>;
@@ -52,7 +52,7 @@
 
 /** Makes the set of links, all closed. */
 export function createLinks(host: FleetHost, events: LinksHost): Links {
-  const entries = new Map<string, Entry>();
+  const entries = new Map<string, LinkEntry>();
 
   function tryGetMember(peer: string): Member | undefined {
     const member = host.membership.getMembers()
@@ -60,9 +60,9 @@
     return member?.state === "dead" ? undefined : member;
   }
 
-  function isBusy(peer: string): boolean {
+  function isRecentlyUsed(peer: string): boolean {
     const lastUsedMs = entries.get(peer)?.lastUsedMs ?? -Infinity;
-    return host.clock.monotonicMs() - lastUsedMs < LINK_BUSY_MS;
+    return host.clock.monotonicMs() - lastUsedMs < RECENT_USE_MS;
   }
 
   function open(peer: string, address: string): void {
@@ -73,7 +73,7 @@
         create(FrameSchema, {
           hello: { host: host.id, incarnation: host.incarnation },
         }),
-      isNeeded: () => events.isNeeded(peer) || isBusy(peer),
+      isNeeded: () => events.isNeeded(peer) || isRecentlyUsed(peer),
       onOpen: () => events.onOpen(peer),
       onFrame: (frame) => events.onFrame(peer, frame),
       onLost: (reason) => host.onPeerLost(peer, reason),
@@ -83,7 +83,7 @@
     entries.set(peer, { link, address, fiber, lastUsedMs });
   }
 
-  function close(peer: string, entry: Entry): void {
+  function close(peer: string, entry: LinkEntry): void {
     entries.delete(peer);
     Effect.runFork(Fiber.interrupt(entry.fiber));
   }
--- a/src/fleet/member_watch.ts
+++ b/src/fleet/member_watch.ts
@@ -22,10 +22,10 @@
 export function createMemberWatch(
   membership: Pick<Membership, "getMembers">,
 ): MemberWatch {
-  const seen = new Map<string, Member>();
+  const previous = new Map<string, Member>();
 
   function tryGetChange(member: Member): MemberChange["kind"] | undefined {
-    const before = seen.get(member.host);
+    const before = previous.get(member.host);
     if (before === undefined) return undefined;
     const isDead = member.state === "dead";
     if (isDead) return before.state === "dead" ? undefined : "died";
@@ -42,7 +42,7 @@
       for (const member of membership.getMembers()) {
         const kind = tryGetChange(member);
         if (kind !== undefined) changes.push({ kind, host: member.host });
-        seen.set(member.host, member);
+        previous.set(member.host, member);
       }
       return changes;
     },
--- a/src/fleet/owned_upstreams.ts
+++ b/src/fleet/owned_upstreams.ts
@@ -38,13 +38,13 @@
  * largest requests. Without this, every second answer under saturation would
  * cross the billed link although each region could serve its own.
  */
-export const FAR_PENALTY_REQUESTS = 2;
+export const CROSS_REGION_PENALTY_REQUESTS = 2;
 
 /** Room between the slot numbers of successive owners. */
 const FIRST_SLOT_RANGE = 2 ** 31;
 
 /** What the owned upstreams need of the rest of the fleet. */
-export interface OwnedHost {
+export interface OwnedUpstreamsHost {
   getLeaf(service: string): ServiceCounters;
   trySendGrant(entryHost: string, grant: Grant): boolean;
   sendRecall(entryHost: string, recall: Recall): void;
@@ -54,11 +54,11 @@
 export interface OwnedUpstreams {
   tryGet(upstream: string): SlotOwner | undefined;
   /** Takes ownership; at half the limit when another host may have it. */
-  take(upstream: Upstream, mayHaveOther: boolean): void;
+  acquire(upstream: Upstream, mayHavePreviousOwner: boolean): void;
   /** Gives ownership up. */
   drop(upstream: string): void;
   /** Drops what is no longer declared, and takes over changed limits. */
-  followDeclared(): void;
+  reconcileWithDeployment(): void;
   forgetHost(entryHost: string): void;
   askToRedeclare(entryHost: string): void;
   /** Grants what became free by time alone: after a take-over, or a pause. */
@@ -70,21 +70,21 @@
   readonly upstream: Upstream;
   readonly owner: SlotOwner;
   readonly limit: AdaptiveLimit;
-  isSettled: boolean;
-  readonly settledMs: number;
+  isTakeoverOver: boolean;
+  readonly takeoverEndMs: number;
 }
 
 /** Makes the set with no upstream owned. */
 export function createOwnedUpstreams(
   host: FleetHost,
-  rest: OwnedHost,
+  fleet: OwnedUpstreamsHost,
 ): OwnedUpstreams {
   const owned = new Map<string, Owned>();
   const estimates = new Map<string, CostEstimate>();
   /** Upstreams of this host for which a team waits, by service and team. */
   const waiting = new Map<string, Map<string, Set<string>>>();
 
-  function getEstimate(service: string): CostEstimate {
+  function getCostEstimate(service: string): CostEstimate {
     return getOrCreate(estimates, service, () => {
       const declared = host.getDeployment()?.services
         .find((each) => each.id === service);
@@ -107,7 +107,7 @@
     const upstreams = getOrCreate(teams, team, () => new Set<string>());
     if (isWaiting) upstreams.add(upstream.id);
     else upstreams.delete(upstream.id);
-    rest.getLeaf(upstream.service).setWaiting(team, upstreams.size > 0);
+    fleet.getLeaf(upstream.service).setWaiting(team, upstreams.size > 0);
   }
 
   /**
@@ -115,19 +115,19 @@
    * charged; a team that used an idle night would else pay for it by day.
    */
   function chargeStart(service: string, team: string): number {
-    const leaf = rest.getLeaf(service);
+    const leaf = fleet.getLeaf(service);
     if (!leaf.isContended(team)) return 0;
-    const cost = getEstimate(service).get(team);
+    const cost = getCostEstimate(service).get(team);
     leaf.charge(team, cost / getWeight(team));
     return cost;
   }
 
   function chargeEnd(service: string, release: Release, charged: number): void {
     const { team, result, cost } = release;
-    const leaf = rest.getLeaf(service);
+    const leaf = fleet.getLeaf(service);
     const weight = getWeight(team);
     if (result === "answered") {
-      getEstimate(service).observe(team, cost);
+      getCostEstimate(service).observe(team, cost);
       leaf.observeLargest(cost / weight);
     }
     if (charged === 0 && !leaf.isContended(team)) return;
@@ -143,7 +143,10 @@
       getRegion(deployment, upstream.dataCentre);
   }
 
-  function createOwned(upstream: Upstream, mayHaveOther: boolean): Owned {
+  function createOwned(
+    upstream: Upstream,
+    mayHavePreviousOwner: boolean,
+  ): Owned {
     const { id, service } = upstream;
     const createLimit = host.policy.createLimit ?? createAdaptiveLimit;
     const limit = createLimit({
@@ -157,7 +160,7 @@
         }),
     });
     const nowMs = host.clock.monotonicMs();
-    const leaf = rest.getLeaf(service);
+    const leaf = fleet.getLeaf(service);
     const owner = createSlotOwner(id, {
       nowMs: host.clock.monotonicMs,
       getCounter: leaf.get,
@@ -166,11 +169,11 @@
       chargeEnd: (release, charged) => chargeEnd(service, release, charged),
       getLimit() {
         if (host.isUpstreamLeaving(id)) return 0;
-        if (entry.isSettled) return limit.get();
+        if (entry.isTakeoverOver) return limit.get();
         return Math.max(1, Math.floor(limit.get() / 2));
       },
       tryPick: host.policy.tryPick,
-      getFarPenalty: () => FAR_PENALTY_REQUESTS * leaf.getLargest(),
+      getFarPenalty: () => CROSS_REGION_PENALTY_REQUESTS * leaf.getLargest(),
       isNear: (entryHost) => isNear(upstream, entryHost),
       trySendGrant(entryHost, grant) {
         host.recorder.record({
@@ -180,9 +183,9 @@
           to: entryHost,
           counter: leaf.get(grant.team),
         });
-        return rest.trySendGrant(entryHost, grant);
+        return fleet.trySendGrant(entryHost, grant);
       },
-      sendRecall: rest.sendRecall,
+      sendRecall: fleet.sendRecall,
       onStarted: (slot) => limit.observeStart(slot, host.clock.monotonicMs()),
       onEnded({ slot, result, firstByteMs, tokenIntervalMs }) {
         if (result === "unused") {
@@ -197,8 +200,8 @@
       upstream,
       owner,
       limit,
-      isSettled: !mayHaveOther,
-      settledMs: nowMs + TAKEOVER_MS,
+      isTakeoverOver: !mayHavePreviousOwner,
+      takeoverEndMs: nowMs + TAKEOVER_MS,
     };
     return entry;
   }
@@ -210,10 +213,10 @@
 
   return {
     tryGet: (upstream) => owned.get(upstream)?.owner,
-    take: (upstream, mayHaveOther) =>
-      void owned.set(upstream.id, createOwned(upstream, mayHaveOther)),
+    acquire: (upstream, mayHavePreviousOwner) =>
+      void owned.set(upstream.id, createOwned(upstream, mayHavePreviousOwner)),
     drop,
-    followDeclared() {
+    reconcileWithDeployment() {
       const declared = new Map(
         host.getDeployment()?.upstreams.map((each) => [each.id, each]),
       );
@@ -233,7 +236,7 @@
     tick() {
       const nowMs = host.clock.monotonicMs();
       for (const entry of owned.values()) {
-        if (nowMs >= entry.settledMs) entry.isSettled = true;
+        if (nowMs >= entry.takeoverEndMs) entry.isTakeoverOver = true;
         // A breaker that has waited lets a probe through; nothing else tells
         // the owner to grant then.
         entry.limit.tick(nowMs);
--- a/src/fleet/placer.ts
+++ b/src/fleet/placer.ts
@@ -10,7 +10,7 @@
 import type { FleetHost } from "./types.ts";
 
 /** A hint is of no use after so long, in ms: slots fill within seconds. */
-const HINT_MS = 1_000;
+const HINT_TTL_MS = 1_000;
 
 /** Placement with its memory. */
 export interface Placer {
@@ -20,7 +20,7 @@
 
 /** Makes a placer without hints. */
 export function createPlacer(host: FleetHost): Placer {
-  const hints = new Map<string, { free: number; heardMs: number }>();
+  const hints = new Map<string, { free: number; receivedMs: number }>();
   const preferences = new Map<string, number>();
 
   function getLiveRegions(): ReadonlySet<string> {
@@ -47,7 +47,9 @@
         isRegionLive: (region) => liveRegions.has(region),
         getFreeHint(upstream) {
           const hint = hints.get(upstream);
-          if (hint === undefined || nowMs - hint.heardMs > HINT_MS) return 0;
+          if (hint === undefined || nowMs - hint.receivedMs > HINT_TTL_MS) {
+            return 0;
+          }
           return hint.free;
         },
         getPreference: (upstream) =>
@@ -55,6 +57,6 @@
       });
     },
     onFreeHint: (upstream, free) =>
-      void hints.set(upstream, { free, heardMs: host.clock.monotonicMs() }),
+      void hints.set(upstream, { free, receivedMs: host.clock.monotonicMs() }),
   };
 }
--- a/src/testing/measure_fairness.ts
+++ b/src/testing/measure_fairness.ts
@@ -11,7 +11,7 @@
 import { setTimeout as sleep } from "node:timers/promises";
 import { defineCommand, runMain } from "citty";
 import { createGapMeter, getGapBound } from "../measure/gap.ts";
-import { FAR_PENALTY_REQUESTS } from "../fleet/owned_upstreams.ts";
+import { CROSS_REGION_PENALTY_REQUESTS } from "../fleet/owned_upstreams.ts";
 import type { Service, Team } from "../types.ts";
 import { type Caller, createCaller } from "./caller.ts";
 import {
@@ -158,7 +158,7 @@
     slots,
     servicePerSecond: tokens / ranSeconds,
     lagSeconds: LAG_SECONDS,
-    farPenaltyRequests: FAR_PENALTY_REQUESTS,
+    farPenaltyRequests: CROSS_REGION_PENALTY_REQUESTS,
   });
   return {
     seconds: Math.round(ranSeconds),
