--- a/src/fleet/counter_codec.ts
+++ b/src/fleet/counter_codec.ts
@@ -1,10 +1,10 @@
 /**
- * Counter messages on the wire. Teams are named by four bytes of a hash, and
- * sums in a view are floats relative to the virtual time: with the names and
- * doubles in full, counters were over half of all control bytes.
+ * Codec of counter messages. A team is encoded as four bytes of a hash, and the
+ * sums in a view as floats relative to the virtual time. With full names and
+ * doubles, counters made up more than half of all control traffic.
  *
- * A receiver that does not know a team yet, since its configuration is older,
- * leaves it out; the next report or view has it again.
+ * A receiver skips a team that is not in its configuration yet; the next report
+ * or view contains the team again.
  *
  * @module
  */
@@ -27,7 +27,7 @@
 import type { Deployment } from "../types.ts";
 import type { Addressed } from "./counter_exchange.ts";
 
-/** Translates counter messages for the deployment in force. */
+/** Encodes and decodes counter messages for the deployment in force. */
 export interface CounterCodec {
   encodeReport(report: Addressed<CounterReport>): WireReport;
   encodeView(view: Addressed<CounterView>): WireView;
@@ -35,7 +35,7 @@
   decodeView(view: WireView): Addressed<CounterView>;
 }
 
-/** Makes the translation; teams are those of the deployment in force. */
+/** Creates the codec for the teams of the deployment in force. */
 export function createCounterCodec(
   getDeployment: () => Deployment | undefined,
 ): CounterCodec {
@@ -43,7 +43,11 @@
   const teamsByHash = new Map<number, string>();
   const hashesByTeam = new Map<string, number>();
 
-  /** Two teams with one hash would share a counter; the later gets another. */
+  /**
+   * Recomputes the hashes when the deployment changes. Two teams with one hash
+   * would share a counter, so the later in name order gets the next free
+   * number.
+   */
   function updateHashes(): void {
     const deployment = getDeployment();
     if (deployment === hashedDeployment) return;
--- a/src/fleet/counter_exchange.ts
+++ b/src/fleet/counter_exchange.ts
@@ -1,11 +1,11 @@
 /**
- * Which nodes of the counters' trees this host keeps, and when they talk: slot
- * owner, data centre, region, root. Each level's node is a live host picked by
- * rendezvous hashing, so that no host is special and one exchange for each
- * region crosses the regional link.
+ * Exchange of service counters over a tree for each service, with the levels
+ * slot owner (leaf), data centre, region and root. The node of a level is a
+ * live host chosen by rendezvous hashing, so that no host has a special role,
+ * and only one exchange for each region crosses the regional link.
  *
- * A region that is cut off sees only its own hosts, so one of them becomes its
- * root, and the region goes on by itself.
+ * A region that is cut off sees only its own hosts. One of them becomes the
+ * root for it, and the region continues on its own.
  *
  * @module
  */
@@ -21,53 +21,57 @@
 import { getRegion } from "../placement/mod.ts";
 import type { FleetHost } from "./types.ts";
 
-/** Levels of the tree, from the slot owners up. */
+/** Levels of the tree, from the slot owners upwards. */
 export const LEAF_LEVEL = 0;
 const DATA_CENTRE_LEVEL = 1;
 const REGION_LEVEL = 2;
 const ROOT_LEVEL = 3;
 
 /**
- * A region of so many hosts needs no nodes for its data centres: one node can
- * answer them all within its budget, and a level costs two exchanges of lag.
+ * Up to this number of hosts a region has no nodes for its data centres: one
+ * node can answer all of its hosts within its traffic budget, and each level
+ * adds the delay of two exchanges.
  */
 export const MAX_FLAT_REGION_HOSTS = 16;
 
-/** A node that is no longer picked goes on so long, to pass on what it has. */
+/**
+ * Time that a node continues after another host is chosen for it, in ms, so
+ * that it can pass on what it has counted.
+ */
 const RETIREMENT_MS = 10_000;
 
 const SESSION_RANGE = 2 ** 32 - 1;
 
-/** A message of the exchange with the node it is for. */
+/** A message of the exchange, with the node that it is addressed to. */
 export interface Addressed<T> {
   readonly service: string;
   /** Level of the parent. */
   readonly level: number;
-  /** Level of the child; a host may be a child at two levels. */
+  /** Level of the child; one host may be a child on two levels. */
   readonly childLevel: number;
   readonly message: T;
 }
 
-/** How the exchange sends to other hosts. */
+/** Sends the exchange's messages to other hosts. */
 export interface ExchangeTransport {
   sendReport(peer: string, report: Addressed<CounterReport>): void;
   sendView(peer: string, view: Addressed<CounterView>): void;
 }
 
-/** The exchange of counters as one host takes part in it. */
+/** The counter exchange as one host takes part in it. */
 export interface CounterExchange {
-  /** The node by which this host's slot owners decide. */
+  /** Counters of the leaf node, by which this host's slot owners decide. */
   getLeaf(service: string): ServiceCounters;
   getLeaves(): ReadonlyMap<string, ServiceCounters>;
-  /** Called once each period. */
+  /** Runs one exchange; must be called once in each period. */
   exchange(): void;
   receiveReport(peer: string, report: Addressed<CounterReport>): void;
   receiveView(peer: string, view: Addressed<CounterView>): void;
-  /** A dead host has no backlog. */
+  /** Clears the backlog that the host reported, since a dead host has none. */
   forgetHost(peer: string): void;
 }
 
-/** Makes a host's part in an exchange. */
+/** Creates one host's part in an exchange. */
 export type CreateExchange = (
   host: FleetHost,
   transport: ExchangeTransport,
@@ -77,11 +81,14 @@
   readonly service: string;
   readonly level: number;
   readonly counters: ServiceCounters;
-  /** Since when another host is picked for it; undefined while picked. */
+  /**
+   * Time since which another host is chosen for the node, in ms; undefined
+   * while this host is.
+   */
   retiredMs: number | undefined;
 }
 
-/** Makes the exchange over the tree. */
+/** Creates the exchange over the tree. */
 export function createTreeExchange(
   host: FleetHost,
   transport: ExchangeTransport,
--- a/src/fleet/early_requesters.ts
+++ b/src/fleet/early_requesters.ts
@@ -1,25 +1,26 @@
 /**
- * Which hosts asked for slots of an upstream that this host does not own yet.
+ * Entry hosts that requested slots of an upstream before this host knew that it
+ * owns the upstream.
  *
- * Failure: a configuration or a change of members reaches the entry hosts
- * before the new owner. What they ask comes early and is dropped, and is never
- * sent again, since an entry host sends only what changed: a request that waits
- * alone waits until its deadline beside free slots. The new owner therefore
- * asks these hosts to declare all once more.
+ * A configuration or a change of members may reach the entry hosts before the
+ * new owner, which then drops their requests. An entry host sends only changes,
+ * so a dropped request is never repeated: a single request would wait until its
+ * deadline although slots are free. The new owner therefore asks these hosts to
+ * declare their complete state again.
  *
  * @module
  */
 
 import { getOrCreate } from "../core/mod.ts";
 
-/** Hosts that asked early, by upstream. */
+/** Hosts that requested slots early, by upstream. */
 export interface EarlyRequesters {
   add(upstream: string, entryHost: string): void;
-  /** Gives the hosts that asked, and forgets them. */
+  /** Removes and returns the hosts that requested slots of the upstream. */
   take(upstream: string): readonly string[];
 }
 
-/** Makes an empty record. */
+/** Creates an empty record. */
 export function createEarlyRequesters(): EarlyRequesters {
   const requesters = new Map<string, Set<string>>();
   return {
--- a/src/fleet/early_requesters_test.ts
+++ b/src/fleet/early_requesters_test.ts
@@ -1,5 +1,6 @@
 /**
- * Tests of what entry hosts ask before the owner knows that it is the owner.
+ * Tests of slot requests that reach the owner before it knows that it owns the
+ * upstream.
  *
  * @module
  */
@@ -27,7 +28,7 @@
   };
 }
 
-/** The fleet's part of the host "owner", dialed by "entry". */
+/** The fleet coordination of the host "owner", which "entry" has dialed. */
 function createFixture() {
   const clock = createManualClock();
   const sent: Frame[] = [];
@@ -65,10 +66,11 @@
   return { fleet, sent, view };
 }
 
-test("a new owner asks those that came early to declare all again", () => {
-  // An upstream is declared anew. The entry host has the version a second
-  // before the owner, and asks for its one waiting request; it sends only
-  // changes and would not ask again. The owner has to, once it knows.
+test("a new owner asks early requesters to declare their complete state again", () => {
+  // An upstream is added to the configuration. The entry host gets the version
+  // a second before the owner and requests a slot for its only waiting request.
+  // It sends only changes and would not request again, so the owner has to ask
+  // for its state once it has the configuration.
   const { fleet, sent, view } = createFixture();
   const deployment = createDeployment({
     regions: 1,
--- a/src/fleet/fleet.ts
+++ b/src/fleet/fleet.ts
@@ -1,6 +1,7 @@
 /**
- * Joins the decisions about slots and counters to the links between hosts:
- * which host owns an upstream, whom to ask, and what goes where.
+ * Connects slot ownership, slot requests and counters to the links between
+ * hosts: determines the owner of each upstream and routes each message to its
+ * receiver.
  *
  * @module
  */
@@ -22,14 +23,17 @@
 import { createPlacer } from "./placer.ts";
 import type { Fleet, FleetHost, FleetPolicy } from "./types.ts";
 
-/** The decisions as the router runs them. */
+/** The policies that the router uses. */
 export const defaultFleetPolicy: FleetPolicy = {
   tryPick: tryPickLowest,
   createExchange: createTreeExchange,
   tryGetOwner,
 };
 
-/** Makes the fleet's part; call `reconcile` after each change of view. */
+/**
+ * Creates the fleet coordination; call `reconcile` after each change of members
+ * or of the deployment.
+ */
 export function createFleet(host: FleetHost): Fleet {
   const ownership = createOwnership(host);
   const earlyRequesters = createEarlyRequesters();
@@ -66,8 +70,8 @@
     getLeaf: exchange.getLeaf,
     trySendGrant(entryHost, grant) {
       if (entryHost === host.id) {
-        // Deferred, so that an owner is never called from its own grant while
-        // it still walks its wants.
+        // Deferred, so that an owner is not called back while it iterates over
+        // its wants.
         host.defer(() => slots.receiveGrant(grant));
         return true;
       }
@@ -96,7 +100,8 @@
         return;
       }
       links.ensure(owner);
-      // A link that opens tells the owner all; what is sent before is dropped.
+      // When the link opens, the slot client sends its full state to the owner,
+      // so messages before that need not be queued.
       if (!links.isOpen(owner)) return;
       outbox.add(owner, "slotRequests", toWireRequest(req));
     },
@@ -125,8 +130,9 @@
     onKeptUses: (_from, uses) =>
       owned.tryGet(uses.upstream)?.receiveKeptUses(uses),
     onGrant(from, grant) {
-      // A host that lost the ownership may not know it yet; the new owner did
-      // not grant this slot and must not see its use.
+      // A host that is no longer the owner may not know it yet and may still
+      // grant. The slot is returned to it unused: the new owner did not grant
+      // the slot and must not get its release.
       if (ownership.get(grant.upstream) === from) slots.receiveGrant(grant);
       else addRelease(from, toUnused(grant));
     },
@@ -151,7 +157,10 @@
     receiveFrame(peer, frame, handlers);
   }
 
-  /** The link broke between grant and flush: the slots are free at once. */
+  /**
+   * Returns grants to their owners when the link broke before the flush, so
+   * that the slots are free at once.
+   */
   function reclaimGrants(peer: string, frame: Frame): void {
     for (const grant of frame.grants) {
       owned.tryGet(grant.upstream)?.receiveRelease(peer, toUnused(grant));
--- a/src/fleet/fleet_faults_test.ts
+++ b/src/fleet/fleet_faults_test.ts
@@ -1,6 +1,6 @@
 /**
- * Slots under random faults: whatever dies, pauses, restarts or is cut off, the
- * fleet comes back to granting every slot once.
+ * Tests of slots under random faults: after hosts die, pause, restart or are
+ * cut off, the fleet grants every slot again, and only once.
  *
  * @module
  */
@@ -19,7 +19,9 @@
 const HOSTS = 6;
 const SLOTS = 3;
 const DETECTION_MS = 3_000;
-/** After the last fault: found dead, taken over, and the longest request. */
+/**
+ * Time after the last fault for detection, takeover and the longest request.
+ */
 const RECOVERY_MS = 20_000;
 
 function createFixture(seed: number): FleetFixture {
@@ -119,9 +121,10 @@
 }
 
 test("after any faults every slot is granted again, and only once", () => {
-  // Engines idle for good, or are overrun for good: a host died, was paused for
-  // 30 s, restarted empty, lost its links or its region, and owner and holder
-  // then disagree about who has which slot.
+  // Guards against an owner and a holder that disagree for good about who has
+  // which slot, after a host died, was paused for 30 s, restarted without
+  // state, or lost its links or its region. The engines would stay idle or
+  // overloaded.
   fc.assert(
     fc.property(
       fc.integer({ min: 1, max: 1_000 }),
@@ -144,12 +147,20 @@
         const lost = fixture.getRequests().filter((req) =>
           isOpen(req) && !restarted.has(req.host)
         );
-        assert.deepEqual(lost.map((req) => req.id), [], "requests left open");
+        assert.deepEqual(lost.map((req) => req.id), [], "requests never ended");
         assert.deepEqual(getInFlight(fixture), [0, 0, 0, 0]);
         for (const each of fixture.hosts) {
           for (const owned of each.fleet.getOwned()) {
-            assert.equal(owned.inUse, 0, `${owned.upstream} slots lost`);
-            assert.equal(owned.waiting, 0, `${owned.upstream} wants left`);
+            assert.equal(
+              owned.inUse,
+              0,
+              `slots of ${owned.upstream} still in use`,
+            );
+            assert.equal(
+              owned.waiting,
+              0,
+              `wants of ${owned.upstream} still waiting`,
+            );
           }
         }
         for (let at = 0; at < HOSTS; at++) {
--- a/src/fleet/frames.ts
+++ b/src/fleet/frames.ts
@@ -1,5 +1,5 @@
 /**
- * Takes a frame apart and hands each message to its receiver.
+ * Splits a frame into its messages and dispatches each to its handler.
  *
  * @module
  */
@@ -19,7 +19,7 @@
   SlotResult,
 } from "../slots/mod.ts";
 
-/** Where the messages of a frame go. */
+/** Handlers of the messages in a frame. */
 export interface FrameHandlers {
   onSlotRequest(from: string, req: SlotRequest): void;
   onRelease(from: string, release: Release): void;
@@ -31,8 +31,8 @@
 }
 
 /**
- * Hands on the messages: releases first, since a request in the same frame may
- * get the slot that one frees.
+ * Dispatches the messages of a frame. Releases come first, since a request in
+ * the same frame may get a slot that one of them frees.
  */
 export function receiveFrame(
   from: string,
@@ -58,7 +58,7 @@
   for (const view of frame.counterViews) handlers.onView(from, view);
 }
 
-/** How a use ended, on the wire. */
+/** Encodes the result of a slot's use. */
 export function toWireResult(result: SlotResult): WireResult {
   switch (result) {
     case "answered":
@@ -70,7 +70,10 @@
   }
 }
 
-/** A result that a later version made up counts as failed. */
+/**
+ * Decodes the result of a slot's use. An unknown value, sent by a newer program
+ * version, counts as failed.
+ */
 function fromWireResult(result: WireResult): SlotResult {
   if (result === WireResult.ANSWERED) return "answered";
   return result === WireResult.UNUSED ? "unused" : "failed";
--- a/src/fleet/links.ts
+++ b/src/fleet/links.ts
@@ -1,10 +1,10 @@
 /**
- * The links that this host dials: opened when something is to be sent, closed
- * when unused for long. One fiber for each link.
+ * The links that this host dials. A link is opened when something is to be sent
+ * and closed after a time without use. Each link runs in one fiber.
  *
- * A full mesh of 390 hosts would be 152,100 links, whose pings alone exceed the
- * control budget; a host needs only the owners that it asks and the parents of
- * its counters.
+ * A full mesh of 390 hosts would have 152,100 links, whose heartbeats alone
+ * exceed the budget for control traffic. A host needs links only to the owners
+ * of the upstreams that it uses and to the parents of its counters.
  *
  * @module
  */
@@ -17,28 +17,31 @@
 import type { PeerLink } from "../peers/mod.ts";
 import type { FleetHost } from "./types.ts";
 
-/** A link that nobody used for so long is closed, in ms. */
+/** Time without use after which a link is closed, in ms. */
 export const LINK_IDLE_MS = 60_000;
 
-/** What was sent so lately may still be answered: counters, for one. */
+/**
+ * Time after the last message in which the peer may still answer, for example a
+ * counter report, in ms. The link is kept open meanwhile.
+ */
 const RECENT_USE_MS = 5_000;
 
-/** What the links tell the fleet. */
+/** Events of the links, and what they ask of the fleet. */
 export interface LinksHost {
   onOpen(peer: string): void;
   onFrame(peer: string, frame: Frame): void;
-  /** Whether the peer owns slots that are used or asked for here. */
+  /** Whether the peer owns upstreams that this host uses or waits for. */
   isNeeded(peer: string): boolean;
 }
 
-/** The links that this host dials. */
+/** The set of links that this host dials. */
 export interface Links {
-  /** Opens the link unless it is open or opening. */
+  /** Opens the link unless it is open or being opened. */
   ensure(peer: string): void;
   isOpen(peer: string): boolean;
-  /** Sends over an open link; false without one. */
+  /** Sends over an open link; returns false without one. */
   trySend(peer: string, frame: Frame): boolean;
-  /** Closes links to dead hosts, to old addresses, and idle ones. */
+  /** Closes links to dead hosts, links to outdated addresses and idle links. */
   reconcile(): void;
   getCount(): number;
 }
@@ -50,7 +53,7 @@
   lastUsedMs: number;
 }
 
-/** Makes the set of links, all closed. */
+/** Creates the set without links. */
 export function createLinks(host: FleetHost, events: LinksHost): Links {
   const entries = new Map<string, LinkEntry>();
 
--- a/src/fleet/member_watch.ts
+++ b/src/fleet/member_watch.ts
@@ -1,24 +1,25 @@
 /**
- * What happened to the other hosts since it was last asked: some died or were
- * restarted, so that what they held is void; some came back as they were.
+ * Detects which hosts died, restarted or returned since the last check. The
+ * slots and counters of a host that died or restarted are void; a returned host
+ * still has its state.
  *
  * @module
  */
 
 import type { Member, Membership } from "../membership/mod.ts";
 
-/** What happened to a host. */
+/** A change of one host. */
 export interface MemberChange {
   readonly kind: "died" | "restarted" | "returned";
   readonly host: string;
 }
 
-/** Compares the view with the one before. */
+/** Compares the members with those of the previous check. */
 export interface MemberWatch {
   takeChanges(): readonly MemberChange[];
 }
 
-/** Makes a watch that has seen nobody. */
+/** Creates a watch without a previous check. */
 export function createMemberWatch(
   membership: Pick<Membership, "getMembers">,
 ): MemberWatch {
@@ -29,7 +30,8 @@
     if (before === undefined) return undefined;
     const isDead = member.state === "dead";
     if (isDead) return before.state === "dead" ? undefined : "died";
-    // The platform's list names hosts without their start.
+    // The platform's list names hosts without the time of their start; their
+    // incarnation is 0.
     const isRestarted = before.incarnation > 0 &&
       member.incarnation > before.incarnation;
     if (isRestarted) return "restarted";
--- a/src/fleet/mod.ts
+++ b/src/fleet/mod.ts
@@ -1,5 +1,5 @@
 /**
- * How the hosts of the fleet act together on slots and counters.
+ * Coordination of slots and service counters between the hosts of the fleet.
  *
  * @module
  */
--- a/src/fleet/outbox.ts
+++ b/src/fleet/outbox.ts
@@ -1,6 +1,6 @@
 /**
- * Gathers what goes to one peer until the next flush, since a packet costs more
- * around its payload than most messages are long.
+ * Batches the messages to each peer into one frame per flush, since the headers
+ * of a packet are larger than most messages.
  *
  * @module
  */
@@ -9,7 +9,7 @@
 import { getOrCreate } from "../core/mod.ts";
 import { type Frame, FrameSchema } from "../generated/peer_pb.ts";
 
-/** The lists of a frame that the outbox gathers. */
+/** The lists of a frame that the outbox fills. */
 export type OutboxKind =
   | "slotRequests"
   | "grants"
@@ -23,22 +23,22 @@
 type Item<K extends OutboxKind> = NonNullable<FrameInit[K]>[number];
 type Lists = { [K in OutboxKind]?: Item<K>[] };
 
-/** What the outbox needs. */
+/** Dependencies of the outbox. */
 export interface OutboxHost {
-  /** Sends over whichever link there is; false without one. */
+  /** Sends over a link in either direction; returns false without one. */
   trySend(peer: string, frame: Frame): boolean;
   onControlSent(kind: OutboxKind, bytes: number, peer: string): void;
-  /** The frame could not be sent. */
+  /** Called with a frame that could not be sent. */
   onUndelivered(peer: string, frame: Frame): void;
 }
 
-/** Messages that wait for the flush. */
+/** Messages queued until the next flush. */
 export interface Outbox {
   add<K extends OutboxKind>(peer: string, kind: K, item: Item<K>): void;
   flush(): void;
 }
 
-/** Makes an empty outbox. */
+/** Creates an empty outbox. */
 export function createOutbox(host: OutboxHost): Outbox {
   let pending = new Map<string, Lists>();
 
--- a/src/fleet/owned_upstreams.ts
+++ b/src/fleet/owned_upstreams.ts
@@ -1,6 +1,6 @@
 /**
- * The upstreams that this host owns: for each its slot owner, its adaptive limit
- * and its part in the service's counters.
+ * The upstreams that this host owns, each with its slot owner, its adaptive
+ * concurrency limit and its share in the service's counters.
  *
  * @module
  */
@@ -27,41 +27,54 @@
 import type { FleetHost, OwnedUpstream } from "./types.ts";
 
 /**
- * So long after it took over, an owner grants half the limit: another host may
- * still think itself the owner and grant, too. Views agree sooner; a dead host
- * is known everywhere within three seconds.
+ * Time after a takeover in which the new owner grants only half the limit, in
+ * ms: another host may still hold itself for the owner and grant, too. The
+ * hosts agree sooner than that; all know a dead host within 3 s.
  */
 export const TAKEOVER_MS = 3_000;
 
 /**
- * A team of the other region goes first when it is behind by so many of the
- * largest requests. Without this, every second answer under saturation would
- * cross the billed link although each region could serve its own.
+ * A team of the other region gets a slot first only when its counter is behind
+ * by this many of the largest requests. Without this penalty, every second
+ * answer under saturation would cross the billed regional link, although each
+ * region could serve its own teams.
  */
 export const CROSS_REGION_PENALTY_REQUESTS = 2;
 
-/** Room between the slot numbers of successive owners. */
+/**
+ * Range of the random first slot number, so that successive owners of an
+ * upstream use different slot numbers.
+ */
 const FIRST_SLOT_RANGE = 2 ** 31;
 
-/** What the owned upstreams need of the rest of the fleet. */
+/** Dependencies of the owned upstreams that the fleet provides. */
 export interface OwnedUpstreamsHost {
   getLeaf(service: string): ServiceCounters;
   trySendGrant(entryHost: string, grant: Grant): boolean;
   sendRecall(entryHost: string, recall: Recall): void;
 }
 
-/** The upstreams that this host owns. */
+/** The set of upstreams that this host owns. */
 export interface OwnedUpstreams {
   tryGet(upstream: string): SlotOwner | undefined;
-  /** Takes ownership; at half the limit when another host may have it. */
+  /**
+   * Takes ownership. While another host may still hold itself for the owner,
+   * only half the limit is granted.
+   */
   acquire(upstream: Upstream, mayHavePreviousOwner: boolean): void;
-  /** Gives ownership up. */
+  /** Gives up ownership. */
   drop(upstream: string): void;
-  /** Drops what is no longer declared, and takes over changed limits. */
+  /**
+   * Drops upstreams that are no longer declared, and applies changed slot
+   * limits.
+   */
   reconcileWithDeployment(): void;
   forgetHost(entryHost: string): void;
   askToRedeclare(entryHost: string): void;
-  /** Grants what became free by time alone: after a take-over, or a pause. */
+  /**
+   * Grants slots that became free only by the passing of time: after a
+   * takeover, or after a pause of a circuit breaker.
+   */
   tick(): void;
   getAll(): readonly OwnedUpstream[];
 }
@@ -74,14 +87,14 @@
   readonly takeoverEndMs: number;
 }
 
-/** Makes the set with no upstream owned. */
+/** Creates the set without upstreams. */
 export function createOwnedUpstreams(
   host: FleetHost,
   fleet: OwnedUpstreamsHost,
 ): OwnedUpstreams {
   const owned = new Map<string, Owned>();
   const estimates = new Map<string, CostEstimate>();
-  /** Upstreams of this host for which a team waits, by service and team. */
+  /** Owned upstreams that a team waits for, by service and team. */
   const waiting = new Map<string, Map<string, Set<string>>>();
 
   function getCostEstimate(service: string): CostEstimate {
@@ -97,7 +110,10 @@
     return teams.find((each) => each.id === team)?.weight ?? 1;
   }
 
-  /** A team waits at this host while it waits for any upstream owned here. */
+  /**
+   * Marks whether the team waits for the upstream. A team counts as waiting at
+   * this host while it waits for any upstream owned here.
+   */
   function setWaiting(
     upstream: Upstream,
     team: string,
@@ -111,8 +127,9 @@
   }
 
   /**
-   * While no other team waits, service takes nothing from anybody and is not
-   * charged; a team that used an idle night would else pay for it by day.
+   * Charges the expected cost of a starting request. While no other team waits,
+   * service takes nothing from other teams and is not charged. Otherwise a team
+   * that used idle capacity at night would have to make up for it by day.
    */
   function chargeStart(service: string, team: string): number {
     const leaf = fleet.getLeaf(service);
@@ -222,7 +239,7 @@
       );
       for (const [id, { limit }] of [...owned]) {
         const upstream = declared.get(id);
-        // A changed maximum is in force at once, not at the next owner.
+        // A changed maximum applies at once, not only to the next owner.
         if (upstream !== undefined) limit.setMaxSlots(upstream.maxSlots);
         else drop(id);
       }
@@ -237,8 +254,8 @@
       const nowMs = host.clock.monotonicMs();
       for (const entry of owned.values()) {
         if (nowMs >= entry.takeoverEndMs) entry.isTakeoverOver = true;
-        // A breaker that has waited lets a probe through; nothing else tells
-        // the owner to grant then.
+        // A circuit breaker whose waiting time is over allows one trial
+        // request, and no other event makes the owner grant it.
         entry.limit.tick(nowMs);
         entry.owner.grantFree();
       }
--- a/src/fleet/ownership.ts
+++ b/src/fleet/ownership.ts
@@ -1,10 +1,11 @@
 /**
- * Which host owns the slots of which upstream: a live host of the upstream's
- * data centre, by rendezvous hashing over this host's view of the members.
+ * Determines the owner of each upstream's slots: a live host of the upstream's
+ * data centre, chosen by rendezvous hashing over the members that this host
+ * knows.
  *
- * A suspect stays a candidate until it is dead: a lost datagram would otherwise
- * move ownership there and back, and each move costs a stretch at half the
- * limit.
+ * A suspect stays a candidate until it is dead. Otherwise a lost datagram would
+ * move ownership away and back, and for a time after each move only half the
+ * limit is granted.
  *
  * @module
  */
@@ -14,35 +15,38 @@
 import type { Deployment, Upstream } from "../types.ts";
 import type { FleetPolicy } from "./types.ts";
 
-/** What ownership is decided from. */
+/** Dependencies of the choice of owners. */
 export interface OwnershipHost {
   readonly membership: Pick<Membership, "getUsable">;
   readonly policy: Pick<FleetPolicy, "tryGetOwner">;
   getDeployment(): Deployment | undefined;
 }
 
-/** An upstream whose owner is another than before. */
+/** An upstream whose owner has changed. */
 export interface OwnerChange {
   readonly upstream: Upstream;
   readonly owner: string;
-  /** Absent when no owner was known. */
+  /** `undefined` when no owner was known. */
   readonly previous: string | undefined;
 }
 
-/** The owners as this host sees them. */
+/** The owners that this host knows. */
 export interface Ownership {
   get(upstream: string): string | undefined;
-  /** Upstreams that a host owns, as seen from here. */
+  /** Upstreams that the host owns. */
   getOwnedBy(host: string): readonly string[];
-  /** Takes in the present view and gives what changed. */
+  /** Determines the owners anew and returns the changes. */
   update(): readonly OwnerChange[];
 }
 
-/** Makes the ownership with no owner known. */
+/** Creates the ownership without owners. */
 export function createOwnership(host: OwnershipHost): Ownership {
   const owners = new Map<string, string>();
 
-  /** Live hosts of the data centre, else of the region, else all. */
+  /**
+   * Live hosts of the data centre; without any, those of the region; without
+   * any, all.
+   */
   function getCandidates(
     deployment: Deployment,
     dataCentre: string,
--- a/src/fleet/placer.ts
+++ b/src/fleet/placer.ts
@@ -1,6 +1,6 @@
 /**
- * Keeps what placement decides from: hints of free slots and this host's order
- * of preference.
+ * Keeps the inputs of placement: hints about free slots, and this host's random
+ * order of preference among upstreams.
  *
  * @module
  */
@@ -9,16 +9,18 @@
 import { getCandidates, getRegion, type Placement } from "../placement/mod.ts";
 import type { FleetHost } from "./types.ts";
 
-/** A hint is of no use after so long, in ms: slots fill within seconds. */
+/**
+ * Time after which a hint is ignored, in ms, since slots fill within seconds.
+ */
 const HINT_TTL_MS = 1_000;
 
-/** Placement with its memory. */
+/** Placement with the hints received. */
 export interface Placer {
   getCandidates(service: string): Placement;
   onFreeHint(upstream: string, free: number): void;
 }
 
-/** Makes a placer without hints. */
+/** Creates a placer without hints. */
 export function createPlacer(host: FleetHost): Placer {
   const hints = new Map<string, { free: number; receivedMs: number }>();
   const preferences = new Map<string, number>();
--- a/src/fleet/types.ts
+++ b/src/fleet/types.ts
@@ -1,5 +1,5 @@
 /**
- * What the fleet's part of a router needs of the process, and what it offers.
+ * Interfaces of the fleet coordination of a router.
  *
  * @module
  */
@@ -18,7 +18,7 @@
 import type { Deployment } from "../types.ts";
 import type { CreateExchange } from "./counter_exchange.ts";
 
-/** What the fleet's part of a router needs of the process. */
+/** Dependencies of the fleet coordination that the process provides. */
 export interface FleetHost {
   readonly id: string;
   readonly incarnation: number;
@@ -29,34 +29,45 @@
   readonly recorder: Recorder;
   readonly membership: Pick<Membership, "getMembers" | "getUsable">;
   readonly policy: FleetPolicy;
-  /** A number from 0 up to 1. */
+  /** A random number from 0 up to 1. */
   random(): number;
   getDeployment(): Deployment | undefined;
   isUpstreamLeaving(upstream: string): boolean;
-  /** Makes the link to a peer's address. */
+  /** Creates the link to the peer at the address. */
   createLink(address: string, linkHost: PeerLinkHost): PeerLink;
-  /** Runs the callback soon, after what runs now. */
+  /** Runs the callback after the current call has returned. */
   defer(run: () => void): void;
-  /** Whether the host dialed this one, so that frames can go back to it. */
+  /**
+   * Whether the peer has dialed this host, so that frames can be sent over its
+   * connection.
+   */
   isDialedBy(peer: string): boolean;
-  /** Sends to a host that dialed this one; false when it did not. */
+  /**
+   * Sends over the connection of a peer that has dialed this host; returns
+   * false without one.
+   */
   trySendBack(peer: string, frame: Frame): boolean;
   onPeerLost(peer: string, reason: string): void;
-  /** Tells metrics how many bytes of control went out, by kind and receiver. */
+  /**
+   * Reports the bytes of control traffic sent, by kind of message and receiver.
+   */
   onControlSent(kind: string, bytes: number, peer: string): void;
 }
 
-/** The decisions that measurements replace by their baselines. */
+/** Policies that measurements can replace by baselines. */
 export interface FleetPolicy {
   readonly tryPick: PickPolicy;
   readonly createExchange: CreateExchange;
-  /** Makes the limit of an owned upstream; the adaptive one when absent. */
+  /**
+   * Creates the concurrency limit of an owned upstream; by default the adaptive
+   * limit.
+   */
   readonly createLimit?: (options: AdaptiveLimitOptions) => AdaptiveLimit;
-  /** The candidate that owns the key. */
+  /** Chooses the candidate that owns the key. */
   tryGetOwner(key: string, candidates: readonly string[]): string | undefined;
 }
 
-/** State of an owned upstream, for the operators. */
+/** State of an owned upstream, as shown to operators. */
 export interface OwnedUpstream {
   readonly upstream: string;
   readonly limit: number;
@@ -64,18 +75,21 @@
   readonly waiting: number;
 }
 
-/** The fleet's part of a router. */
+/** The fleet coordination of one router. */
 export interface Fleet {
   readonly slots: SlotClient;
   receiveFrame(peer: string, frame: Frame): void;
-  /** Opens and closes links and ownerships after a change of view. */
+  /**
+   * Updates ownerships and links after a change of members or of the
+   * deployment.
+   */
   reconcile(): void;
-  /** Sends what has gathered since the last flush. */
+  /** Sends all messages queued since the last flush. */
   flush(): void;
-  /** Reports service to the counters' parents. */
+  /** Sends counter reports to the parent nodes. */
   exchangeCounters(): void;
   getOwned(): readonly OwnedUpstream[];
-  /** Links that this host has dialed. */
+  /** Number of links that this host has dialed. */
   getLinkCount(): number;
   getOwner(upstream: string): string | undefined;
   getCounters(): ReadonlyMap<string, ServiceCounters>;
