--- a/src/fleet/counter_exchange.ts
+++ b/src/fleet/counter_exchange.ts
@@ -68,7 +68,7 @@
   receiveReport(peer: string, report: Addressed<CounterReport>): void;
   receiveView(peer: string, view: Addressed<CounterView>): void;
   /** Clears the backlog that the host reported, since a dead host has none. */
-  forgetHost(peer: string): void;
+  removeHost(peer: string): void;
 }
 
 /** Creates one host's part in an exchange. */
@@ -197,7 +197,7 @@
     receiveView(_peer, { service, childLevel, message }) {
       nodes.get(getKey(service, childLevel))?.counters.receiveView(message);
     },
-    forgetHost(peer) {
+    removeHost(peer) {
       for (const { counters } of nodes.values()) {
         for (let level = LEAF_LEVEL; level < ROOT_LEVEL; level++) {
           counters.forgetChild(getChildName(peer, level));
--- a/src/fleet/fleet.ts
+++ b/src/fleet/fleet.ts
@@ -185,9 +185,9 @@
     slots.resync(upstream.id);
   }
 
-  function forgetHost(peer: string): void {
-    owned.forgetHost(peer);
-    exchange.forgetHost(peer);
+  function removeHost(peer: string): void {
+    owned.removeHost(peer);
+    exchange.removeHost(peer);
   }
 
   return {
@@ -195,8 +195,8 @@
     receiveFrame: receive,
     reconcile() {
       for (const change of memberWatch.takeChanges()) {
-        if (change.kind === "returned") owned.askToRedeclare(change.host);
-        else forgetHost(change.host);
+        if (change.kind === "returned") owned.requestResync(change.host);
+        else removeHost(change.host);
       }
       for (const change of ownership.update()) applyOwnerChange(change);
       owned.reconcileWithDeployment();
--- a/src/fleet/owned_upstreams.ts
+++ b/src/fleet/owned_upstreams.ts
@@ -28,7 +28,7 @@
 
 /**
  * Time after a takeover in which the new owner grants only half the limit, in
- * ms: another host may still hold itself for the owner and grant, too. The
+ * ms: another host may not know of the takeover yet and still grant, too. The
  * hosts agree sooner than that; all know a dead host within 3 s.
  */
 export const TAKEOVER_MS = 3_000;
@@ -58,8 +58,8 @@
 export interface OwnedUpstreams {
   tryGet(upstream: string): SlotOwner | undefined;
   /**
-   * Takes ownership. While another host may still hold itself for the owner,
-   * only half the limit is granted.
+   * Takes ownership. With a previous owner, which may not know of the takeover
+   * yet, only half the limit is granted for `TAKEOVER_MS`.
    */
   acquire(upstream: Upstream, mayHavePreviousOwner: boolean): void;
   /** Gives up ownership. */
@@ -69,8 +69,8 @@
    * limits.
    */
   reconcileWithDeployment(): void;
-  forgetHost(entryHost: string): void;
-  askToRedeclare(entryHost: string): void;
+  removeHost(entryHost: string): void;
+  requestResync(entryHost: string): void;
   /**
    * Grants slots that became free only by the passing of time: after a
    * takeover, or after a pause of a circuit breaker.
@@ -83,7 +83,7 @@
   readonly upstream: Upstream;
   readonly owner: SlotOwner;
   readonly limit: AdaptiveLimit;
-  isTakeoverOver: boolean;
+  isTakeoverComplete: boolean;
   readonly takeoverEndMs: number;
 }
 
@@ -151,7 +151,7 @@
     leaf.charge(team, (cost - charged) / weight);
   }
 
-  function isNear(upstream: Upstream, entryHost: string): boolean {
+  function isSameRegion(upstream: Upstream, entryHost: string): boolean {
     const deployment = host.getDeployment();
     const member = host.membership.getMembers()
       .find((each) => each.host === entryHost);
@@ -186,12 +186,12 @@
       chargeEnd: (release, charged) => chargeEnd(service, release, charged),
       getLimit() {
         if (host.isUpstreamLeaving(id)) return 0;
-        if (entry.isTakeoverOver) return limit.get();
+        if (entry.isTakeoverComplete) return limit.get();
         return Math.max(1, Math.floor(limit.get() / 2));
       },
       tryPick: host.policy.tryPick,
       getFarPenalty: () => CROSS_REGION_PENALTY_REQUESTS * leaf.getLargest(),
-      isNear: (entryHost) => isNear(upstream, entryHost),
+      isNear: (entryHost) => isSameRegion(upstream, entryHost),
       trySendGrant(entryHost, grant) {
         host.recorder.record({
           kind: "slot-granted",
@@ -217,7 +217,7 @@
       upstream,
       owner,
       limit,
-      isTakeoverOver: !mayHavePreviousOwner,
+      isTakeoverComplete: !mayHavePreviousOwner,
       takeoverEndMs: nowMs + TAKEOVER_MS,
     };
     return entry;
@@ -244,16 +244,16 @@
         else drop(id);
       }
     },
-    forgetHost(entryHost) {
+    removeHost(entryHost) {
       for (const { owner } of owned.values()) owner.forgetHost(entryHost);
     },
-    askToRedeclare(entryHost) {
+    requestResync(entryHost) {
       for (const { owner } of owned.values()) owner.askToRedeclare(entryHost);
     },
     tick() {
       const nowMs = host.clock.monotonicMs();
       for (const entry of owned.values()) {
-        if (nowMs >= entry.takeoverEndMs) entry.isTakeoverOver = true;
+        if (nowMs >= entry.takeoverEndMs) entry.isTakeoverComplete = true;
         // A circuit breaker whose waiting time is over allows one trial
         // request, and no other event makes the owner grant it.
         entry.limit.tick(nowMs);
--- a/src/fleet/placer.ts
+++ b/src/fleet/placer.ts
@@ -12,7 +12,7 @@
 /**
  * Time after which a hint is ignored, in ms, since slots fill within seconds.
  */
-const HINT_TTL_MS = 1_000;
+const HINT_MS = 1_000;
 
 /** Placement with the hints received. */
 export interface Placer {
@@ -49,9 +49,7 @@
         isRegionLive: (region) => liveRegions.has(region),
         getFreeHint(upstream) {
           const hint = hints.get(upstream);
-          if (hint === undefined || nowMs - hint.receivedMs > HINT_TTL_MS) {
-            return 0;
-          }
+          if (hint === undefined || nowMs - hint.receivedMs > HINT_MS) return 0;
           return hint.free;
         },
         getPreference: (upstream) =>
--- a/src/measure/baselines.ts
+++ b/src/measure/baselines.ts
@@ -174,7 +174,7 @@
       getLeaf(service).receiveReport(peer, message);
     },
     receiveView() {},
-    forgetHost(peer) {
+    removeHost(peer) {
       for (const counters of leaves.values()) counters.forgetChild(peer);
     },
   };
