--- a/src/fleet/early_requesters_test.ts
+++ b/src/fleet/early_requesters_test.ts
@@ -66,7 +66,7 @@
   return { fleet, sent, view };
 }
 
-test("a new owner asks early requesters to declare their complete state again", () => {
+test("a new owner asks early requesters to declare their state again", () => {
   // An upstream is added to the configuration. The entry host gets the version
   // a second before the owner and requests a slot for its only waiting request.
   // It sends only changes and would not request again, so the owner has to ask
