--- a/src/platform/http_platform.ts
+++ b/src/platform/http_platform.ts
@@ -24,7 +24,7 @@
   readonly etag: string;
 }
 
-interface Call {
+interface CallOptions {
   readonly method: string;
   readonly body?: string;
   /** Reads only what differs from the content of this name. */
@@ -35,13 +35,15 @@
 
 /** Makes the client of the platform at the address, an IP and a port. */
 export function createHttpPlatform(address: string): Platform {
-  let list: { etag: string; machines: readonly ListedMachine[] } | undefined;
+  let cachedList:
+    | { etag: string; machines: readonly ListedMachine[] }
+    | undefined;
 
-  function call(path: string, init: Call) {
+  function call(path: string, options: CallOptions) {
     return Effect.tryPromise({
-      try: () => send(`http://${address}${path}`, init),
+      try: () => send(`http://${address}${path}`, options),
       catch: toPlatformError,
-    }).pipe(Effect.flatMap(requireUsable));
+    }).pipe(Effect.flatMap(rejectServerError));
   }
 
   function callJson<T>(path: string, body: unknown) {
@@ -57,14 +59,14 @@
   function getMachines() {
     // Suspended: the effect is made once and run each few seconds.
     const read = Effect.suspend(() =>
-      call("/machines", { method: "GET", knownEtag: list?.etag ?? "" })
+      call("/machines", { method: "GET", knownEtag: cachedList?.etag ?? "" })
     );
     return read.pipe(Effect.map((reply) => {
-      if (reply.status === NOT_MODIFIED && list !== undefined) {
-        return list.machines;
+      if (reply.status === NOT_MODIFIED && cachedList !== undefined) {
+        return cachedList.machines;
       }
       const machines = JSON.parse(reply.text) as readonly ListedMachine[];
-      list = { etag: reply.etag, machines };
+      cachedList = { etag: reply.etag, machines };
       return machines;
     }));
   }
@@ -97,8 +99,8 @@
   };
 }
 
-async function send(url: string, init: Call): Promise<Reply> {
-  const { method, body, knownEtag = "" } = init;
+async function send(url: string, options: CallOptions): Promise<Reply> {
+  const { method, body, knownEtag = "" } = options;
   const res = await fetch(url, {
     method,
     body: body ?? null,
@@ -109,7 +111,7 @@
   return { status: res.status, text: await res.text(), etag };
 }
 
-function requireUsable(reply: Reply): Effect.Effect<Reply, PlatformError> {
+function rejectServerError(reply: Reply): Effect.Effect<Reply, PlatformError> {
   if (reply.status < 500) return Effect.succeed(reply);
   // A 503 is the platform's word that it did nothing.
   const mayHaveRun = reply.status !== 503;
