--- a/src/discovery/shared_table_test.ts
+++ b/src/discovery/table_replica_test.ts
@@ -1,6 +1,6 @@
 import { deepStrictEqual, strictEqual } from "node:assert";
 import { test } from "node:test";
-import { createSharedTable } from "./shared_table.ts";
+import { createTableReplica } from "./table_replica.ts";
 
 const row = (key: string, version: number) => ({
   key,
@@ -9,11 +9,11 @@
 });
 
 test("an older copy never replaces a newer one", () => {
-  // An operator takes a key away; host B is cut off from the platform and
-  // still has the configuration from before. It meets host A, which has the
-  // new one, and each passes its copy on. If A took B's, the key would work
+  // An operator revokes an API key while host B is partitioned from the
+  // platform and still has the previous configuration. Hosts A and B then
+  // exchange their copies. If A accepted B's copy, the revoked key would work
   // again at A.
-  const table = createSharedTable<string>();
+  const table = createTableReplica<string>();
   table.replace({ version: 20, rows: [row("config", 19)] });
   strictEqual(table.replace({ version: 12, rows: [row("config", 11)] }), false);
   strictEqual(
@@ -23,8 +23,8 @@
   strictEqual(table.getRows().get("config")?.value, "config@19");
 });
 
-test("changes add to the copy, and what is removed is gone", () => {
-  const table = createSharedTable<string>();
+test("changed rows are added, and removed rows are deleted", () => {
+  const table = createTableReplica<string>();
   table.replace({ version: 5, rows: [row("a", 1), row("b", 2)] });
   strictEqual(
     table.apply({ version: 7, changed: [row("c", 6)], removed: ["a"] }),
@@ -33,24 +33,25 @@
   deepStrictEqual([...table.getRows().keys()], ["b", "c"]);
 });
 
-test("a copy that brings nothing new only raises the version", () => {
-  const table = createSharedTable<string>();
+test("a snapshot with unchanged rows only raises the version", () => {
+  const table = createTableReplica<string>();
   table.replace({ version: 5, rows: [row("a", 1)] });
   strictEqual(table.replace({ version: 9, rows: [row("a", 1)] }), false);
   strictEqual(table.getPosition().version, 9);
   strictEqual(table.getChangedPosition().version, 5);
 });
 
-test("a copy of the next era replaces one of higher versions, and no other way round", () => {
-  // Guards against a host that waits until a store back from a copy has come by.
-  const table = createSharedTable<string>();
+test("a snapshot of a later era replaces a higher version, not the other way round", () => {
+  // Guards against a host that ignores a restored platform until its version
+  // number exceeds the one from before the restore.
+  const table = createTableReplica<string>();
   table.replace({ era: 1, version: 20, rows: [row("a", 7), row("b", 19)] });
   strictEqual(
     table.replace({ era: 2, version: 15, rows: [row("a", 7)] }),
     true,
   );
   deepStrictEqual([...table.getRows().keys()], ["a"]);
-  deepStrictEqual(table.getState(), {
+  deepStrictEqual(table.getSnapshot(), {
     era: 2,
     version: 15,
     rows: [row("a", 7)],
@@ -65,17 +66,17 @@
   );
 });
 
-test("a row of the next era with the version of another one is not taken for it", () => {
-  // Guards against a copy that keeps what the store has lost.
-  const table = createSharedTable<string>();
+test("rows of different eras with the same version are different rows", () => {
+  // Guards against a replica that keeps a row which the restore has discarded.
+  const table = createTableReplica<string>();
   table.replace({ era: 1, version: 20, rows: [row("a", 19)] });
   const again = { key: "a", version: 19, value: "written again" };
   strictEqual(table.replace({ era: 2, version: 20, rows: [again] }), true);
   strictEqual(table.getRows().get("a")?.value, "written again");
 });
 
-test("where no era is named, versions alone count, and a known era stays", () => {
-  const table = createSharedTable<string>();
+test("without eras only versions are compared, and a known era is kept", () => {
+  const table = createTableReplica<string>();
   table.replace({ version: 20, rows: [row("a", 19)] });
   strictEqual(table.replace({ version: 12, rows: [] }), false);
   table.apply({ era: 3, version: 21, changed: [row("b", 21)], removed: [] });
--- a/src/entry/full_hosts.ts
+++ b/src/entry/full_hosts.ts
@@ -1,78 +1,87 @@
 /**
- * Which hosts take no new callers for now, as they have told each other.
+ * Tracks which hosts are full, meaning that they take no new callers at
+ * present. Hosts gossip this to each other.
  *
  * @module
  */
 
 import type { Clock } from "../core/mod.ts";
 import type { Fact, Member } from "../membership/mod.ts";
-import { WINDOW_MS } from "./intake.ts";
+import { INTAKE_WINDOW_MS } from "./intake.ts";
 
-/** The full hosts. */
+/** The full hosts as this host knows them. */
 export interface FullHosts {
-  /** Takes a fact of another host in. */
+  /** Processes another host's fact. */
   receive(fact: Fact): void;
-  /** Makes the fact by which this host tells of itself. */
+  /** Creates the fact that announces this host's own state. */
   createFact(isFull: boolean): Fact;
   isFull(peerAddress: string): boolean;
   /**
-   * Whether this host may be full as well: half of its data centre's hosts at
-   * most. Of too many the last by address go on; all hosts count alike.
+   * Whether this host may be full as well. At most half of the hosts in a data
+   * centre may be. If more are overloaded, those with the highest addresses
+   * continue to take callers; all hosts apply this rule alike.
    */
-  mayRest(members: readonly Member[]): boolean;
+  mayBeFull(members: readonly Member[]): boolean;
 }
 
-/** What the view needs of the process. */
+/** Dependencies of the view of full hosts. */
 export interface FullHostsHost {
   readonly clock: Clock;
   readonly peerAddress: string;
   readonly dataCentre: string;
-  /** Of this start; a restarted host's facts are others. */
+  /**
+   * Identifies this run of the host, since a restarted host's facts need new
+   * keys.
+   */
   readonly incarnation: number;
 }
 
-/** Facts of full hosts begin so. */
-export const FULL_KEY = "full/";
+/** Key prefix of the facts about full hosts. */
+export const FULL_KEY_PREFIX = "full/";
 
-/** A full host tells so each second; without news it has room, in ms. */
-const KEEP_MS = 3 * WINDOW_MS;
+/**
+ * Validity of a report that a host is full, in ms. A full host repeats its
+ * report each second; without a new report it counts as not full.
+ */
+const REPORT_TTL_MS = 3 * INTAKE_WINDOW_MS;
 
-/** Share of a data centre's hosts that may rest at once. */
-const MAX_RESTING_SHARE = 1 / 2;
+/** Maximum share of a data centre's hosts that may be full at the same time. */
+const MAX_FULL_SHARE = 1 / 2;
 
-/** Makes the view of a host that has heard nothing. */
+/** Creates the view of a host that has received no reports. */
 export function createFullHosts(host: FullHostsHost): FullHosts {
   const { clock, peerAddress } = host;
-  const heardMs = new Map<string, number>();
+  const reportedMs = new Map<string, number>();
   let version = 0;
 
   const isFull = (address: string) =>
-    clock.monotonicMs() - (heardMs.get(address) ?? -Infinity) < KEEP_MS;
+    clock.monotonicMs() - (reportedMs.get(address) ?? -Infinity) <
+      REPORT_TTL_MS;
 
   return {
     isFull,
     receive(fact) {
       const [, from] = fact.key.split("/");
       if (from === undefined || from === peerAddress) return;
-      if (fact.value === "full") heardMs.set(from, clock.monotonicMs());
-      else heardMs.delete(from);
+      if (fact.value === "full") reportedMs.set(from, clock.monotonicMs());
+      else reportedMs.delete(from);
     },
     createFact(isOwnFull) {
       version++;
       return {
-        key: `${FULL_KEY}${peerAddress}/${host.incarnation}`,
+        key: `${FULL_KEY_PREFIX}${peerAddress}/${host.incarnation}`,
         version,
         value: isOwnFull ? "full" : "room",
       };
     },
-    mayRest(members) {
+    mayBeFull(members) {
       const addresses = members
         .filter((each) => each.dataCentre === host.dataCentre)
         .map((each) => each.peerAddress);
-      const before = addresses
+      const fullBefore = addresses
         .filter((each) => each < peerAddress && isFull(each));
-      const allowed = Math.floor(addresses.length * MAX_RESTING_SHARE);
-      return before.length < allowed;
+      const allowed = Math.floor(addresses.length * MAX_FULL_SHARE);
+      return fullBefore.length < allowed;
     },
   };
 }
--- a/src/entry/knowledge.ts
+++ b/src/entry/platform_view.ts
@@ -1,7 +1,7 @@
 /**
- * What this host knows of the configuration and the upstreams: its copies of
- * the platform's tables, kept up by following the platform or by fetching from
- * the hosts that do.
+ * This host's view of the platform: replicas of its tables, from which the
+ * routes and the upstream directory derive. The replicas are kept current by
+ * reading the platform or by fetching from the hosts that do.
  *
  * @module
  */
@@ -11,38 +11,38 @@
 import type { Clock } from "../core/mod.ts";
 import type { Decision, Inputs } from "../diagnostics/mod.ts";
 import {
-  createPassingOn,
-  createSharedTable,
+  createTableDistribution,
+  createTableReplica,
   createUpstreamDirectory,
   decideToRead,
   type EntryPlatform,
   followTable,
-  type PassingOn,
-  type ReadingChoice,
-  REPORT_KEY,
-  type SharedTable,
+  type ReadingDecision,
+  REPORT_KEY_PREFIX,
   TABLE_NAMES,
+  type TableDistribution,
   type TableName,
-  type TableState,
+  type TableReplica,
+  type TableSnapshot,
   type UpstreamDirectory,
   type UpstreamEntry,
-  type UpstreamLife,
+  type UpstreamInstance,
 } from "../discovery/mod.ts";
 import type { Fact } from "../membership/mod.ts";
-import { createEraWatch } from "./era_watch.ts";
+import { createEraTracker } from "./era_tracker.ts";
 import {
   createLeavingFact,
-  LEAVING_KEY,
-  readLeavingFact,
-} from "./leaving_facts.ts";
+  LEAVING_KEY_PREFIX,
+  parseLeavingFact,
+} from "./upstream_leaving_facts.ts";
 import {
   createRouteTable,
   type RouteTable,
   type RoutingConfig,
 } from "../routing/mod.ts";
 
-/** What knowledge needs of the process. */
-export interface KnowledgeHost {
+/** Dependencies of a platform view. */
+export interface PlatformViewHost {
   readonly clock: Clock;
   readonly platform: EntryPlatform;
   readonly peerAddress: string;
@@ -50,53 +50,62 @@
   random(): number;
   log(decision: Decision): void;
   onFetched(table: string, outcome: FetchOutcome): void;
-  /** The platform has come back from an older copy of itself. */
-  onPlatformReturned(): void;
-  /** Peer addresses of the hosts that are alive, this one included. */
+  /** The platform was restored from an older backup. */
+  onPlatformRestored(): void;
+  /** Peer addresses of the hosts that are alive, including this one. */
   getHosts(): readonly string[];
   pushFact(fact: Fact): void;
   spreadFact(fact: Fact): void;
   fetchTable(name: string, peer: string): Promise<Uint8Array | undefined>;
 }
 
-/** How a fetch of a table from another host ended. */
+/** The outcome of fetching a table from another host. */
 export type FetchOutcome = "newer" | "not-newer" | "no-answer";
 
-/** What this host knows. */
-export interface Knowledge {
+/** A host's view of the platform. */
+export interface PlatformView {
   readonly directory: UpstreamDirectory;
-  /** `undefined` until a configuration is known. */
+  /** Returns `undefined` until a configuration is known. */
   tryGetRoutes(): RouteTable | undefined;
   getInputs(): Inputs;
-  /** Takes in what another host tells: a reader's report, or who leaves. */
+  /**
+   * Processes a fact from another host: a reader's report or a leaving
+   * upstream.
+   */
   receive(fact: Fact): void;
-  /** An upstream has told this host that it leaves; the others are told. */
-  noteLeaving(life: UpstreamLife): void;
-  /** A table as it is passed on; `undefined` for one never seen. */
+  /**
+   * Records that an upstream announced to this host that it is leaving, and
+   * tells the other hosts.
+   */
+  markLeaving(instance: UpstreamInstance): void;
+  /**
+   * A table's encoded snapshot for other hosts; `undefined` if the table is
+   * unknown or has never been read.
+   */
   tryGetTable(name: string): Uint8Array | undefined;
-  /** Follows the platform; never ends. */
+  /** Follows the platform's tables until the effect is interrupted. */
   readonly run: Effect.Effect<never>;
 }
 
-/** Makes the knowledge of a host that knows nothing. */
-export function createKnowledge(host: KnowledgeHost): Knowledge {
-  const config = createSharedTable<RoutingConfig>();
-  const upstreams = createSharedTable<UpstreamEntry>();
-  const tables: Record<TableName, SharedTable<unknown>> = {
-    config: config as SharedTable<unknown>,
-    upstreams: upstreams as SharedTable<unknown>,
+/** Creates the view of a host that has not read any table. */
+export function createPlatformView(host: PlatformViewHost): PlatformView {
+  const config = createTableReplica<RoutingConfig>();
+  const upstreams = createTableReplica<UpstreamEntry>();
+  const tables: Record<TableName, TableReplica<unknown>> = {
+    config: config as TableReplica<unknown>,
+    upstreams: upstreams as TableReplica<unknown>,
   };
   const fetching = new Set<TableName>();
-  const lost = new Set<TableName>();
-  const choices = new Map<TableName, ReadingChoice>();
-  const eras = createEraWatch({
+  const unreachable = new Set<TableName>();
+  const decisions = new Map<TableName, ReadingDecision>();
+  const eras = createEraTracker({
     clock: host.clock,
     log: host.log,
-    onReturned: host.onPlatformReturned,
+    onRestored: host.onPlatformRestored,
   });
   let routes: RouteTable | undefined;
 
-  const passingOn: PassingOn = createPassingOn({
+  const distribution: TableDistribution = createTableDistribution({
     clock: host.clock,
     peerAddress: host.peerAddress,
     incarnation: host.incarnation,
@@ -105,12 +114,12 @@
     countHosts: () => host.getHosts().length,
     getPosition: (table) => tables[table].getPosition(),
     getChangedPosition: (table) => tables[table].getChangedPosition(),
-    fetch: (table, peer) => void fetchFrom(table, peer),
+    fetch: (table, peer) => void fetchTableFrom(table, peer),
   });
   const directory = createUpstreamDirectory({
     clock: host.clock,
-    wasOutageWithin: (ms) =>
-      passingOn.wasOutageWithin(ms) || eras.wasReturnWithin(ms),
+    hadOutageWithin: (ms) =>
+      distribution.hadOutageWithin(ms) || eras.hadRestoreWithin(ms),
     onChange(entry, change, from) {
       host.log({
         event: "upstream-changed",
@@ -125,7 +134,10 @@
     },
   });
 
-  /** The newest version goes into force; an older one never does. */
+  /**
+   * Puts the newest version of the configuration into force, never an older
+   * one.
+   */
   function updateRoutes(from: string): void {
     for (const { value } of config.getRows().values()) {
       if (value.version <= (routes?.config.version ?? -1)) continue;
@@ -141,12 +153,12 @@
   }
 
   function onChanged(table: TableName, from: string): void {
-    eras.note(table, tables[table].getPosition(), from);
+    eras.recordPosition(table, tables[table].getPosition(), from);
     if (table === "config") updateRoutes(from);
     else directory.update(upstreams.getRows(), upstreams.getPosition());
   }
 
-  async function fetchFrom(table: TableName, peer: string): Promise<void> {
+  async function fetchTableFrom(table: TableName, peer: string): Promise<void> {
     if (fetching.has(table)) return;
     fetching.add(table);
     const sinceMs = host.clock.monotonicMs();
@@ -159,8 +171,8 @@
         return;
       }
       const text = Buffer.from(bytes).toString("utf8");
-      const state = JSON.parse(text) as TableState<unknown>;
-      const isNewer = tables[table].replace(state);
+      const snapshot = JSON.parse(text) as TableSnapshot<unknown>;
+      const isNewer = tables[table].replace(snapshot);
       host.onFetched(table, isNewer ? "newer" : "not-newer");
       if (isNewer) onChanged(table, peer);
     } catch (err) {
@@ -172,57 +184,57 @@
   }
 
   function isReader(table: TableName): boolean {
-    const unconfirmedMs = passingOn.getUnconfirmedMs(table);
-    const choice = decideToRead({
+    const unconfirmedMs = distribution.getUnconfirmedMs(table);
+    const decision = decideToRead({
       self: host.peerAddress,
       hosts: host.getHosts(),
-      isTurnedAway: (peer) => passingOn.isTurnedAway(table, peer),
+      hasRecentFailure: (peer) => distribution.hasRecentFailure(table, peer),
       unconfirmedMs,
     });
-    logChoice(table, choice, unconfirmedMs);
-    return choice.reads;
+    logDecision(table, decision, unconfirmedMs);
+    return decision.reads;
   }
 
-  function logChoice(
+  function logDecision(
     table: TableName,
-    choice: ReadingChoice,
+    decision: ReadingDecision,
     unconfirmedMs: number,
   ): void {
-    const known = choices.get(table);
-    choices.set(table, choice);
-    const isSame = known?.reads === choice.reads &&
-      known.because === choice.because;
+    const known = decisions.get(table);
+    decisions.set(table, decision);
+    const isSame = known?.reads === decision.reads &&
+      known.because === decision.because;
     if (isSame) return;
     host.log({
       event: "table-reader-changed",
       table,
-      ...choice,
+      ...decision,
       unconfirmedMs: roundMs(unconfirmedMs),
     });
   }
 
-  function follow(name: TableName): Effect.Effect<never> {
+  function followPlatformTable(name: TableName): Effect.Effect<never> {
     return followTable<unknown>({
       clock: host.clock,
       source: host.platform[name],
       table: tables[name],
       isReader: () => isReader(name),
       random: host.random,
-      onContact(changed) {
-        if (lost.delete(name)) {
-          const reason = "It answers again";
+      onAnswer(changed) {
+        if (unreachable.delete(name)) {
+          const reason = "The platform answers again";
           host.log({ event: "platform-regained", table: name, reason });
         }
         if (changed) onChanged(name, "platform");
-        passingOn.confirm(name, changed);
+        distribution.recordRead(name, changed);
       },
       onFailure(err) {
-        if (!lost.has(name)) {
+        if (!unreachable.has(name)) {
           const { reason } = err;
           host.log({ event: "platform-lost", table: name, reason });
         }
-        lost.add(name);
-        passingOn.turnedAway(name);
+        unreachable.add(name);
+        distribution.recordFailure(name);
       },
       onDefect(defect) {
         const reason = String(defect);
@@ -239,32 +251,35 @@
       platformEra: upstreams.getPosition().era,
       upstreamsVersion: upstreams.getPosition().version,
       confirmedMsAgo: roundMs(
-        Math.max(...TABLE_NAMES.map(passingOn.getUnconfirmedMs)),
+        Math.max(...TABLE_NAMES.map(distribution.getUnconfirmedMs)),
       ),
     }),
     receive(fact) {
-      if (fact.key.startsWith(REPORT_KEY)) passingOn.receive(fact);
-      else if (fact.key.startsWith(LEAVING_KEY)) {
-        directory.noteLeaving(readLeavingFact(fact), "host");
+      if (fact.key.startsWith(REPORT_KEY_PREFIX)) distribution.receive(fact);
+      else if (fact.key.startsWith(LEAVING_KEY_PREFIX)) {
+        directory.markLeaving(parseLeavingFact(fact), "host");
       }
     },
-    noteLeaving(life) {
-      if (!directory.noteLeaving(life, "answer")) return;
-      host.pushFact(createLeavingFact(life));
+    markLeaving(instance) {
+      if (!directory.markLeaving(instance, "answer")) return;
+      host.pushFact(createLeavingFact(instance));
     },
     tryGetTable(name) {
       const table = tables[name as TableName];
       if (table === undefined) return undefined;
       if (table.getPosition().version === 0) return undefined;
-      return Buffer.from(JSON.stringify(table.getState()));
+      return Buffer.from(JSON.stringify(table.getSnapshot()));
     },
-    run: Effect.all([follow("config"), follow("upstreams")], {
+    run: Effect.all([
+      followPlatformTable("config"),
+      followPlatformTable("upstreams"),
+    ], {
       concurrency: "unbounded",
     }).pipe(Effect.andThen(Effect.never)),
   };
 }
 
-/** JSON has no infinite number. */
+/** Rounds to whole ms. `Infinity` is capped, since JSON can't represent it. */
 function roundMs(ms: number): number {
   return Math.round(Math.min(ms, Number.MAX_SAFE_INTEGER));
 }
--- a/src/fleet/fleet.ts
+++ b/src/fleet/fleet.ts
@@ -8,7 +8,7 @@
 
 import type { Frame } from "../generated/peer_pb.ts";
 import { tryGetOwner } from "../membership/mod.ts";
-import { createSlotClient, tryPickLowest } from "../slots/mod.ts";
+import { createSlotClient, tryPickLowestCounter } from "../slots/mod.ts";
 import type { KeptUses, Release, SlotRequest } from "../slots/mod.ts";
 import type { Upstream } from "../types.ts";
 import { createTreeExchange } from "./counter_exchange.ts";
@@ -25,7 +25,7 @@
 
 /** The policies that the router uses. */
 export const defaultFleetPolicy: FleetPolicy = {
-  tryPick: tryPickLowest,
+  tryPick: tryPickLowestCounter,
   createExchange: createTreeExchange,
   tryGetOwner,
 };
@@ -170,7 +170,7 @@
   function takeOver(upstream: Upstream, mayHavePreviousOwner: boolean): void {
     owned.acquire(upstream, mayHavePreviousOwner);
     for (const entryHost of earlyRequesters.take(upstream.id)) {
-      owned.tryGet(upstream.id)?.askToRedeclare(entryHost);
+      owned.tryGet(upstream.id)?.requestResync(entryHost);
     }
   }
 
--- a/src/fleet/owned_upstreams.ts
+++ b/src/fleet/owned_upstreams.ts
@@ -190,8 +190,9 @@
         return Math.max(1, Math.floor(limit.get() / 2));
       },
       tryPick: host.policy.tryPick,
-      getFarPenalty: () => CROSS_REGION_PENALTY_REQUESTS * leaf.getLargest(),
-      isNear: (entryHost) => isSameRegion(upstream, entryHost),
+      getCrossRegionPenalty: () =>
+        CROSS_REGION_PENALTY_REQUESTS * leaf.getLargest(),
+      isSameRegion: (entryHost) => isSameRegion(upstream, entryHost),
       trySendGrant(entryHost, grant) {
         host.recorder.record({
           kind: "slot-granted",
@@ -203,10 +204,11 @@
         return fleet.trySendGrant(entryHost, grant);
       },
       sendRecall: fleet.sendRecall,
-      onStarted: (slot) => limit.observeStart(slot, host.clock.monotonicMs()),
-      onEnded({ slot, result, firstByteMs, tokenIntervalMs }) {
+      onRequestStarted: (slot) =>
+        limit.observeStart(slot, host.clock.monotonicMs()),
+      onRequestEnded({ slot, result, firstByteMs, tokenIntervalMs }) {
         if (result === "unused") {
-          limit.forget(slot);
+          limit.observeUnused(slot);
           return;
         }
         const use = { slot, result, firstByteMs, tokenIntervalMs };
@@ -245,10 +247,10 @@
       }
     },
     removeHost(entryHost) {
-      for (const { owner } of owned.values()) owner.forgetHost(entryHost);
+      for (const { owner } of owned.values()) owner.removeHost(entryHost);
     },
     requestResync(entryHost) {
-      for (const { owner } of owned.values()) owner.askToRedeclare(entryHost);
+      for (const { owner } of owned.values()) owner.requestResync(entryHost);
     },
     tick() {
       const nowMs = host.clock.monotonicMs();
@@ -257,7 +259,7 @@
         // A circuit breaker whose waiting time is over allows one trial
         // request, and no other event makes the owner grant it.
         entry.limit.tick(nowMs);
-        entry.owner.grantFree();
+        entry.owner.grantFreeSlots();
       }
     },
     getAll: () =>
--- a/src/forwarding/attempt.ts
+++ b/src/forwarding/attempt.ts
@@ -1,40 +1,42 @@
 /**
- * Sends a request to one upstream and gives the head of its answer, after the
- * checks that every answer has to pass.
+ * Sends a request to one upstream and validates the head of the response.
  *
  * @module
  */
 
 import * as Effect from "effect/Effect";
 import type { UpstreamEntry } from "../discovery/mod.ts";
-import { type Call, type ForwardHost, getLeftMs } from "./call.ts";
-import { getForwardable } from "./headers.ts";
-import { noteSaid } from "./note_said.ts";
+import { type Call, type ForwardHost, getRemainingMs } from "./call.ts";
+import { getEndToEndHeaders } from "./headers.ts";
+import { recordSignals } from "./upstream_signals.ts";
 import { AttemptFailed } from "./types.ts";
-import { type OpenAnswer, openCall } from "./upstream_call.ts";
+import { openCall, type UpstreamResponse } from "./upstream_call.ts";
 
-/** What an attempt is made with. */
+/** Parameters of an attempt. */
 export interface AttemptOptions {
   readonly upstream: UpstreamEntry;
-  /** Time until the head of the answer, in ms. */
-  readonly headLimitMs: number;
+  /** Time-out for the head of the response, in ms. */
+  readonly headTimeoutMs: number;
 }
 
-/** Statuses by which a caller would take a request for not run. */
+/** Statuses that tell a caller that its request has not run. */
 const NOT_RUN_STATUSES: ReadonlySet<number> = new Set([408, 421, 429, 503]);
 
-/** Sends; fails unless the answer is this request's and may be passed on. */
+/**
+ * Sends the request. Succeeds only with a response that belongs to this request
+ * and may be passed on to the caller.
+ */
 export function attempt(
   host: ForwardHost,
   call: Call,
-  { upstream, headLimitMs }: AttemptOptions,
-): Effect.Effect<OpenAnswer, AttemptFailed> {
+  { upstream, headTimeoutMs }: AttemptOptions,
+): Effect.Effect<UpstreamResponse, AttemptFailed> {
   const { req, progress } = call;
   return Effect.suspend(() => {
     const headers = host.codec.createUpstreamHeaders(
-      getForwardable(req.rawHeaders),
+      getEndToEndHeaders(req.rawHeaders),
       {
-        remainingMs: Math.max(1, Math.floor(getLeftMs(host, call))),
+        remainingMs: Math.max(1, Math.floor(getRemainingMs(host, call))),
         upstreamId: upstream.id,
         team: call.team,
         lastEventId: progress.lastEventId,
@@ -47,64 +49,85 @@
       target: req.url ?? "/",
       headers,
       body: call.body,
-      headLimitMs,
+      headTimeoutMs,
       mayStillSend: () =>
         host.directory.isReady(upstream) &&
-        host.rests.getLeftMs(upstream) === 0,
+        host.backoffs.getRemainingMs(upstream) === 0,
       onSent() {
         progress.attempts++;
-        progress.runs++;
+        progress.possibleRuns++;
       },
     });
   }).pipe(
-    Effect.flatMap((answer) => check(host, call, upstream, answer)),
+    Effect.flatMap((response) =>
+      validateResponse(host, call, upstream, response)
+    ),
   );
 }
 
 /**
- * Failures guarded against: a late answer to an earlier request is read as this
- * one's; an answer that no upstream made is passed on as a success; a status
- * that promises "not run" is passed on for a request that may have run.
+ * Rejects responses that must not reach the caller:
+ *
+ * - A late response to an earlier request would be read as the response to this
+ *   one.
+ * - A response that no upstream generated would be passed on as a success.
+ * - A status that promises "not run" would be passed on for a request that may
+ *   have run.
  */
-function check(
+function validateResponse(
   host: ForwardHost,
   call: Call,
   upstream: UpstreamEntry,
-  answer: OpenAnswer,
-): Effect.Effect<OpenAnswer, AttemptFailed> {
-  const { res } = answer;
+  response: UpstreamResponse,
+): Effect.Effect<UpstreamResponse, AttemptFailed> {
+  const { res } = response;
   const status = res.statusCode ?? 0;
-  const headers = host.codec.readAnswer(status, res.headers);
+  const headers = host.codec.readResponseHeaders(status, res.headers);
   const { requestId, isSealed, isNotRun } = headers;
-  noteSaid(host, call, { upstream, status, headers });
-  const isOther = requestId !== undefined &&
+  recordSignals(host, call, { upstream, status, headers });
+  const isForeign = requestId !== undefined &&
     requestId !== call.headers.requestId;
-  if (isOther) return drop(answer, "broken", "Answer to another request");
+  if (isForeign) return abortAndFail(response, "broken", "Request id mismatch");
   if (isNotRun) {
-    call.progress.runs--;
-    // Read to its end, so that the connection can be used again.
+    call.progress.possibleRuns--;
+    // Drain the body so that the connection can be reused.
     res.resume();
-    return fail("not-run", `Status ${status}, not run`);
+    return fail(
+      "not-run",
+      `Status ${status}: the upstream has not run the request`,
+    );
   }
   const isSuccess = status >= 200 && status < 300;
   if (isSuccess && (!isSealed || requestId === undefined)) {
-    return drop(answer, "broken", "Success that no upstream has sealed");
+    return abortAndFail(
+      response,
+      "broken",
+      "The successful response carries no seal of an upstream",
+    );
   }
   if (isSuccess && res.headers["content-encoding"] !== undefined) {
-    return drop(answer, "broken", "Body in an encoding nobody asked for");
+    return abortAndFail(
+      response,
+      "broken",
+      "The response body has a content encoding that was not requested",
+    );
   }
   if (NOT_RUN_STATUSES.has(status)) {
-    return drop(answer, "broken", `Status ${status} for what may have run`);
+    return abortAndFail(
+      response,
+      "broken",
+      `Status ${status} means "not run", but the request may have run`,
+    );
   }
-  return Effect.succeed(answer);
+  return Effect.succeed(response);
 }
 
-function drop(
-  answer: OpenAnswer,
+function abortAndFail(
+  response: UpstreamResponse,
   kind: AttemptFailed["kind"],
   reason: string,
 ): Effect.Effect<never, AttemptFailed> {
-  answer.abort();
+  response.abort();
   return fail(kind, reason);
 }
 
--- a/src/forwarding/crash_watch_test.ts
+++ b/src/forwarding/crash_watch_test.ts
@@ -9,64 +9,65 @@
   const facts: Fact[] = [];
   const watch = createCrashWatch({
     clock,
-    pushFact: (fact) => facts.push(fact),
+    broadcastFact: (fact) => facts.push(fact),
     onSuspected: () => {},
   });
   return { clock, watch, facts };
 }
 
-test("a content that crashed three upstreams is refused", () => {
+test("a request that crashed three upstreams is blocked", () => {
   // One request crashes each upstream that runs it, and its caller sends it
-  // again: three upstreams of six are down, with all that ran beside it.
+  // again. Without the block, three of six upstreams go down with all other
+  // requests that run there.
   const { watch } = createFixture();
   for (const upstream of ["a", "b", "c"]) {
-    strictEqual(watch.isRefused("poison"), false);
-    watch.noteBroken(upstream, "poison");
-    watch.noteBroken(upstream, `neighbour at ${upstream}`);
-    watch.noteUnreachable(upstream);
+    strictEqual(watch.isBlocked("poison"), false);
+    watch.recordBroken(upstream, "poison");
+    watch.recordBroken(upstream, `neighbour at ${upstream}`);
+    watch.recordUnreachable(upstream);
   }
-  strictEqual(watch.isRefused("poison"), true);
-  strictEqual(watch.isRefused("neighbour at c"), false);
+  strictEqual(watch.isBlocked("poison"), true);
+  strictEqual(watch.isBlocked("neighbour at c"), false);
 });
 
-test("lost answers of an upstream that lives are no crash", () => {
-  // The same read of one caller loses its answer again and again; refusing it
-  // would take it from the caller for a minute.
+test("lost responses of a reachable upstream do not count as crashes", () => {
+  // Guards against blocking, for a minute, a read whose response is lost
+  // several times although its upstream does not crash.
   const { watch } = createFixture();
-  for (let at = 0; at < 5; at++) watch.noteBroken("a", "read");
-  strictEqual(watch.isRefused("read"), false);
+  for (let at = 0; at < 5; at++) watch.recordBroken("a", "read");
+  strictEqual(watch.isBlocked("read"), false);
 });
 
-test("an answer clears the content", () => {
+test("a response clears the suspicion of a request", () => {
   const { watch } = createFixture();
   for (const upstream of ["a", "b"]) {
-    watch.noteBroken(upstream, "read");
-    watch.noteUnreachable(upstream);
+    watch.recordBroken(upstream, "read");
+    watch.recordUnreachable(upstream);
   }
-  watch.noteAnswered("read");
-  watch.noteBroken("c", "read");
-  watch.noteUnreachable("c");
-  strictEqual(watch.isRefused("read"), false);
+  watch.recordSuccess("read");
+  watch.recordBroken("c", "read");
+  watch.recordUnreachable("c");
+  strictEqual(watch.isBlocked("read"), false);
 });
 
-test("other hosts learn of it from the second crash on", () => {
+test("crash counts are gossiped to other hosts from the second crash on", () => {
   const { watch, facts } = createFixture();
   const other = createFixture();
   for (const upstream of ["a", "b", "c"]) {
-    watch.noteBroken(upstream, "poison");
-    watch.noteUnreachable(upstream);
+    watch.recordBroken(upstream, "poison");
+    watch.recordUnreachable(upstream);
   }
   deepStrictEqual(facts.map((fact) => fact.version), [2, 3]);
   for (const fact of facts) other.watch.receive(fact);
-  strictEqual(other.watch.isRefused("poison"), true);
+  strictEqual(other.watch.isBlocked("poison"), true);
 });
 
-test("a connection that fails long after is no crash by the request", () => {
+test("a connection failure long after a broken response does not count as a crash", () => {
   const { clock, watch } = createFixture();
   for (const upstream of ["a", "b", "c"]) {
-    watch.noteBroken(upstream, "read");
+    watch.recordBroken(upstream, "read");
     clock.advance(3_000);
-    watch.noteUnreachable(upstream);
+    watch.recordUnreachable(upstream);
   }
-  strictEqual(watch.isRefused("read"), false);
+  strictEqual(watch.isBlocked("read"), false);
 });
--- a/src/forwarding/request_end.ts
+++ b/src/forwarding/request_end.ts
@@ -1,6 +1,6 @@
 /**
- * The end of a request: what the caller is told, the line that tells it, and the
- * metrics.
+ * Ends a request: sends the rejection if there is one, logs the end and updates
+ * the metrics.
  *
  * @module
  */
@@ -10,53 +10,56 @@
 import type { CallerLost } from "../requests/caller.ts";
 import type { Route } from "../routing/mod.ts";
 import type { Call, ForwardHost } from "./call.ts";
-import { getOutcome, type Rejected, sendRejection } from "./replies.ts";
+import { getOutcome, type Rejected, sendRejection } from "./rejections.ts";
 import type { CallHeaders } from "./types.ts";
 
-/** What is known of a request, however far it gets. */
-export interface Trail {
+/** The state of a request; fields are filled in as they become known. */
+export interface RequestState {
   headers: CallHeaders | undefined;
   route: Route | undefined;
   team: string | undefined;
   call: Call | undefined;
-  /** Monotonic milliseconds; at the latest. */
+  /** Monotonic milliseconds; the earliest possible time of arrival. */
   readonly arrivedMs: number;
-  /** This host was too busy for it when it was read. */
-  readonly isTooMuch: boolean;
+  /** Whether this host was overloaded when it read the request. */
+  readonly isHostOverloaded: boolean;
 }
 
-/** Sends the answer of the system's own, as far as the caller can still get it. */
+/**
+ * Ends a request with a rejection. If part of a response has been sent, the
+ * connection is closed instead.
+ */
 export function endRejected(
   host: ForwardHost,
-  trail: Trail,
+  state: RequestState,
   res: ServerResponse,
   rejected: Rejected,
 ): void {
   const { status, reason, retryAfterMs, queue } = rejected;
-  const isCut = res.headersSent;
+  const isPartlySent = res.headersSent;
   sendRejection(res, rejected, {
     codec: host.codec,
-    id: trail.headers?.requestId,
+    id: state.headers?.requestId,
   });
-  // Part of an answer is out: only a closed connection tells that it is not
-  // whole.
-  if (isCut) res.destroy();
-  logEnd(host, trail, {
-    outcome: isCut ? "may-have-run" : getOutcome(status),
-    status: isCut ? 0 : status,
+  // Part of a response has been sent: only closing the connection tells the
+  // caller that it is incomplete.
+  if (isPartlySent) res.destroy();
+  logEnd(host, state, {
+    outcome: isPartlySent ? "may-have-run" : getOutcome(status),
+    status: isPartlySent ? 0 : status,
     reason,
     retryAfterMs,
     queue,
   });
 }
 
-/** The caller has left; nobody is told anything. */
+/** Ends a request whose caller has disconnected. No response is sent. */
 export function endCallerLost(
   host: ForwardHost,
-  trail: Trail,
+  state: RequestState,
   err: CallerLost,
 ): void {
-  logEnd(host, trail, {
+  logEnd(host, state, {
     outcome: "caller-left",
     status: 0,
     reason: err.reason,
@@ -64,22 +67,22 @@
   });
 }
 
-/** The upstream's answer has been passed on. */
+/** Ends a request whose response has been relayed completely. */
 export function endAnswered(
   host: ForwardHost,
-  trail: Trail,
+  state: RequestState,
   res: ServerResponse,
 ): void {
-  host.retryBudget.recordSuccess("", trail.call?.service ?? "");
-  logEnd(host, trail, {
+  host.retryBudget.recordSuccess("", state.call?.service ?? "");
+  logEnd(host, state, {
     outcome: "answered",
     status: res.statusCode,
-    reason: "Passed on from the upstream",
+    reason: "The upstream's response was relayed",
     retryAfterMs: undefined,
   });
 }
 
-interface End {
+interface EndDetails {
   readonly outcome: "answered" | "not-run" | "may-have-run" | "caller-left";
   readonly status: number;
   readonly reason: string;
@@ -87,10 +90,10 @@
   readonly queue?: QueueInputs | undefined;
 }
 
-function logEnd(host: ForwardHost, trail: Trail, end: End): void {
-  const { call, headers, route, team } = trail;
+function logEnd(host: ForwardHost, state: RequestState, end: EndDetails): void {
+  const { call, headers, route, team } = state;
   const nowMs = host.clock.monotonicMs();
-  const totalMs = Math.round(nowMs - trail.arrivedMs);
+  const totalMs = Math.round(nowMs - state.arrivedMs);
   const attempts = call?.progress.attempts ?? 0;
   host.log({
     event: "request-ended",
@@ -104,16 +107,16 @@
     attempts,
     sinceAttemptMs: attempts === 0
       ? undefined
-      : Math.round(nowMs - call!.progress.attemptedMs),
+      : Math.round(nowMs - call!.progress.attemptStartedMs),
     totalMs,
-    firstEventMs: toWhole(call?.progress.firstEventMs),
+    firstEventMs: roundMs(call?.progress.firstEventMs),
     chunks: call?.progress.chunks ?? 0,
-    longestPauseMs: toWhole(call?.progress.longestPauseMs),
+    longestPauseMs: roundMs(call?.progress.longestPauseMs),
     retryAfterMs: end.retryAfterMs,
     queue: end.queue,
     inputs: host.getInputs(),
   });
-  host.onEnded({
+  host.onRequestEnded({
     route: route?.name,
     outcome: end.outcome,
     status: end.status,
@@ -122,6 +125,6 @@
   });
 }
 
-function toWhole(ms: number | undefined): number | undefined {
+function roundMs(ms: number | undefined): number | undefined {
   return ms === undefined ? undefined : Math.round(ms);
 }
--- a/src/measure/prompt_world.ts
+++ b/src/measure/prompt_world.ts
@@ -6,7 +6,10 @@
  * @module
  */
 
-import { getSize, getWorkTokens } from "../forwarding/pick_upstream.ts";
+import {
+  getServiceTokens,
+  getWorkTokens,
+} from "../forwarding/pick_upstream.ts";
 import type { Prompt } from "../forwarding/mod.ts";
 import {
   createLoadSums,
@@ -17,7 +20,7 @@
 import { createPacing, type Pacing } from "../pacing/mod.ts";
 import { rankByRendezvous } from "../membership/mod.ts";
 import { getNameDigest } from "../peers/mod.ts";
-import { getReadingTokens } from "../placement/mod.ts";
+import { getPrefillTokens } from "../placement/mod.ts";
 import {
   createPromptQueue,
   type PromptQueue,
@@ -54,7 +57,7 @@
   /** What an upstream may have to read at once, if it isn't learned. */
   readonly limitTokens?: number | undefined;
   /** What a prompt counts for; the program's own count where absent. */
-  readonly getReading?: typeof getReadingTokens | undefined;
+  readonly getReading?: typeof getPrefillTokens | undefined;
   readonly engine: EngineFigures;
   /** Longest pause between two events that is on time, in ms. */
   readonly pauseTargetMs: number;
@@ -107,7 +110,7 @@
 
 /** Plays twenty seconds. */
 export function playPrompts(options: PromptWorldOptions): PromptResult {
-  const { getReading = getReadingTokens } = options;
+  const { getReading = getPrefillTokens } = options;
   const random = createRandom(options.seed);
   const agenda = createAgenda();
   const { clock } = agenda;
@@ -127,11 +130,11 @@
       getDigest: getNameDigest,
       isAlive: () => true,
       getStatedCapacity: () => STATED_CAPACITY,
-      getLearned: () => [{ ...pacing.getEvidence(), service: SERVICE_DIGEST }],
+      getLearned: () => [{ ...pacing.getStats(), service: SERVICE_DIGEST }],
     });
     const pacing: Pacing = createPacing({
       nowMs,
-      getOthers: () => view.getOthersLearned(SERVICE),
+      getRemoteStats: () => view.getOthersLearned(SERVICE),
       onChanged: () => {},
     });
     const sums = createLoadSums({
@@ -198,7 +201,7 @@
     const host = hosts[Math.floor(random() * hosts.length)]!;
     const { view, queue } = host;
     const prompt = toPrompt(req);
-    const size = getSize(prompt);
+    const size = getServiceTokens(prompt);
     const workTokens = getWorkTokens(prompt);
     view.noteAsked(req.team, size);
     view.noteWork(size, workTokens);
@@ -251,7 +254,7 @@
       isPauseLate = pauseMs > options.pauseTargetMs;
       if (!isPauseLate && atMs - notedMs < PAUSE_NOTE_MS) return;
       notedMs = atMs;
-      pacing.notePause(isPauseLate);
+      pacing.recordPause(isPauseLate);
     }
 
     let lastMs: number | undefined;
@@ -266,7 +269,7 @@
         if (lastMs === undefined) {
           runAt(atMs + LINK_MS, () => {
             view.endReading(engine, readingTokens);
-            pacing.noteFirstEvent(queuedTokens, nowMs() - startedMs);
+            pacing.recordFirstEvent(queuedTokens, nowMs() - startedMs);
           });
         } else notePause(atMs - lastMs, atMs);
         const limitMs = lastMs === undefined
--- a/src/peers/peer_link.ts
+++ b/src/peers/peer_link.ts
@@ -1,11 +1,11 @@
 /**
- * The link from this host to one peer: dials, greets, sends frames and hands on
- * the peer's answers. One fiber for each link, written straight down: dial,
- * serve until lost, wait, dial again.
+ * The link from this host to one peer: dials, sends the hello and frames, and
+ * delivers the peer's frames. Each link is run by one fiber in a loop: dial,
+ * serve the connection until it is lost, wait, dial again.
  *
- * A connection can go silent for good while new ones work. The link therefore
- * pings on its own, and a peer that answers nothing within the deadline is
- * dialed anew; TCP keepalive would show it only after minutes.
+ * Failure prevented: a connection can fail silently while new ones work. The
+ * link therefore sends its own pings and reconnects if the peer does not answer
+ * in time; TCP keep-alive would detect this only after minutes.
  *
  * @module
  */
@@ -20,29 +20,34 @@
 import * as Effect from "effect/Effect";
 import { assertNever, type Clock } from "../core/mod.ts";
 import { type Frame, FrameSchema } from "../generated/peer_pb.ts";
-import { peerService } from "./frames.ts";
-import { createLinkWatch, type LinkWatchOptions } from "./link_watch.ts";
+import { peerService } from "./peer_service.ts";
+import {
+  createLinkKeepalive,
+  type LinkKeepaliveOptions,
+} from "./link_keepalive.ts";
 
-/** Times of a link in milliseconds. */
-export interface PeerLinkOptions extends LinkWatchOptions {
-  readonly redialMs: number;
+/** Times of a link in ms. */
+export interface PeerLinkOptions extends LinkKeepaliveOptions {
+  readonly redialDelayMs: number;
 }
 
-/** Times for links within and between regions. */
+/** Default times, for links within and between regions. */
 export const defaultPeerLinkOptions: PeerLinkOptions = {
-  pingMs: 1_000,
-  idlePingMs: 20_000,
-  silenceMs: 3_000,
-  redialMs: 200,
+  pingIntervalMs: 1_000,
+  idlePingIntervalMs: 20_000,
+  pongTimeoutMs: 3_000,
+  redialDelayMs: 200,
 };
 
-/** What a link needs of the process. */
+/** Dependencies of a peer link. */
 export interface PeerLinkHost {
   readonly clock: Clock;
   readonly fleetToken: string;
   createHello(): Frame;
-  /** Whether a slot at the peer is held or asked for, or an answer is due. */
-  isNeeded(): boolean;
+  /**
+   * Whether a slot at the peer is held or requested, or an answer is pending.
+   */
+  isInUse(): boolean;
   onOpen(): void;
   onFrame(frame: Frame): void;
   onLost(reason: string): void;
@@ -50,30 +55,32 @@
 
 /** A link to one peer. */
 export interface PeerLink {
-  /** Sends now, or drops the frame while the link is down. */
+  /**
+   * Sends the frame immediately, or drops it if the link is not established.
+   */
   send(frame: Frame): void;
   isOpen(): boolean;
-  /** Runs the link until it is interrupted. */
+  /** Runs the link until the effect is interrupted. */
   readonly run: Effect.Effect<never>;
 }
 
 type Stream = ClientDuplexStream<Frame, Frame>;
 
-/** Name of the metadata entry that proves membership of the fleet. */
+/** Name of the gRPC metadata entry that carries the fleet's token. */
 export const FLEET_TOKEN_KEY = "azurestile-fleet";
 
-/** Makes a link to the peer's address; `run` drives it. */
+/** Creates a link to the peer's address; it connects while `run` runs. */
 export function createPeerLink(
   address: string,
   host: PeerLinkHost,
   options: PeerLinkOptions = defaultPeerLinkOptions,
 ): PeerLink {
   let stream: Stream | undefined;
-  let isGreeted = false;
+  let isEstablished = false;
 
   function dial(): Stream {
     const client = new Client(address, credentials.createInsecure(), {
-      "grpc.initial_reconnect_backoff_ms": options.redialMs,
+      "grpc.initial_reconnect_backoff_ms": options.redialDelayMs,
     });
     const metadata = new Metadata();
     metadata.set(FLEET_TOKEN_KEY, host.fleetToken);
@@ -88,15 +95,15 @@
     return opened;
   }
 
-  /** Serves one connection; ends with the reason of its loss. */
-  const serveOnce = Effect.callback<string>((resume) => {
+  /** Serves one connection; succeeds with the reason for its loss. */
+  const runConnection = Effect.callback<string>((resume) => {
     const opened = dial();
     stream = opened;
-    const watch = createLinkWatch(options, host.clock.monotonicMs());
+    const keepalive = createLinkKeepalive(options, host.clock.monotonicMs());
     opened.on("data", (frame: Frame) => {
-      watch.heard(host.clock.monotonicMs());
-      if (!isGreeted) {
-        isGreeted = true;
+      keepalive.recordReceived(host.clock.monotonicMs());
+      if (!isEstablished) {
+        isEstablished = true;
         host.onOpen();
       }
       host.onFrame(frame);
@@ -104,9 +111,9 @@
     opened.on("error", (err) => resume(Effect.succeed(err.message)));
     opened.on("end", () => resume(Effect.succeed("The peer closed the link")));
     opened.write(host.createHello());
-    const pings = setInterval(() => {
+    const pingTimer = setInterval(() => {
       const nowMs = host.clock.monotonicMs();
-      const decision = watch.decide(nowMs, host.isNeeded());
+      const decision = keepalive.decide(nowMs, host.isInUse());
       switch (decision.kind) {
         case "wait":
           return;
@@ -115,43 +122,43 @@
           return;
         case "give-up": {
           const silentMs = Math.round(decision.silentMs);
-          resume(Effect.succeed(`Silent for ${silentMs} ms`));
+          resume(Effect.succeed(`No data from the peer for ${silentMs} ms`));
           return;
         }
         default:
           assertNever(decision);
       }
-    }, options.pingMs);
+    }, options.pingIntervalMs);
     return Effect.sync(() => {
-      clearInterval(pings);
+      clearInterval(pingTimer);
       close(opened);
     });
   });
 
   function close(opened: Stream): void {
     stream = undefined;
-    isGreeted = false;
+    isEstablished = false;
     opened.on("error", () => {});
     opened.cancel();
   }
 
   const run = Effect.gen(function* () {
     while (true) {
-      const reason = yield* serveOnce.pipe(
+      const reason = yield* runConnection.pipe(
         Effect.ensuring(Effect.sync(() => {
           if (stream !== undefined) close(stream);
         })),
       );
       host.onLost(reason);
-      yield* Effect.sleep(options.redialMs);
+      yield* Effect.sleep(options.redialDelayMs);
     }
   });
 
   return {
     send(frame) {
-      if (isGreeted) stream?.write(frame);
+      if (isEstablished) stream?.write(frame);
     },
-    isOpen: () => isGreeted,
+    isOpen: () => isEstablished,
     run,
   };
 }
--- a/src/quarantine/quarantine_test.ts
+++ b/src/quarantine/quarantine_test.ts
@@ -1,6 +1,6 @@
 /**
- * Tests that one content crashes at most the stated number of upstreams over the
- * fleet, and that its neighbours are not blamed.
+ * Tests that content crashes at most the stated number of upstreams in the
+ * fleet, and that requests that ran beside it are not blamed.
  *
  * @module
  */
@@ -21,7 +21,7 @@
   runToRest,
 } from "../testing/fake_io.ts";
 import { createQuarantine } from "./quarantine.ts";
-import { QUARANTINE_KEEP_MS, SUSPECT_KEEP_MS } from "./records.ts";
+import { QUARANTINE_RETENTION_MS, SUSPECT_RETENTION_MS } from "./records.ts";
 import { CRASH_LIMIT, type CrashRecord, type Quarantine } from "./types.ts";
 
 interface Fleet {
@@ -31,13 +31,13 @@
   run<A>(effect: Effect.Effect<A>): Promise<A>;
 }
 
-/** Hosts that hear of each other's records at once, or not at all. */
-function createFleet(s: fc.Scheduler, hears: boolean): Fleet {
+/** Creates hosts that receive each other's records at once, or not at all. */
+function createFleet(s: fc.Scheduler, areConnected: boolean): Fleet {
   const store = createFakeStore();
   const clock = createManualClock(1_000_000);
   const hosts: Quarantine[] = [];
-  const tell = (record: CrashRecord) => {
-    if (!hears) return;
+  const deliver = (record: CrashRecord) => {
+    if (!areConnected) return;
     for (const host of hosts) host.receiveFact(JSON.stringify(record));
   };
   return {
@@ -53,11 +53,11 @@
         clock,
         tables,
         commit: createGroupCommit(tables),
-        spread: tell,
-        push: tell,
+        gossip: deliver,
+        broadcast: deliver,
         onQuarantined() {},
         countHosts: () => hosts.length,
-        isSomeHostOutOfSight: () => !hears,
+        isAnyHostUnreachable: () => !areConnected,
       });
       hosts.push(host);
       return host;
@@ -70,25 +70,31 @@
   };
 }
 
-/** Sends the content to the hosts in turn; each reruns it alone, as built. */
-async function sendCulprit(
+/**
+ * Sends the content to the hosts in turn; each host runs it alone after the
+ * first crash, as the router does.
+ */
+async function sendCrashingContent(
   fleet: Fleet,
-  options: { readonly sendings: readonly number[]; readonly guarded: boolean },
+  options: {
+    readonly sendings: readonly number[];
+    readonly isEnforced: boolean;
+  },
 ): Promise<readonly Observation[]> {
   const history: Observation[] = [];
   for (const index of options.sendings) {
     const host = fleet.hosts[index % fleet.hosts.length]!;
     for (let run = 0; run < 3; run++) {
-      if (options.guarded && host.isQuarantined("culprit")) break;
-      const isAlone = host.getCrashes("culprit") > 0;
+      if (options.isEnforced && host.isQuarantined("culprit")) break;
+      const isExclusive = host.getCrashes("culprit") > 0;
       history.push({
         kind: "upstream-crashed",
         upstream: "engine-1",
         work: "culprit",
-        // So far apart that each crash is known before the next run.
+        // Crashes are so far apart that each is known before the next attempt.
         atMs: history.length * 1_000,
       });
-      const crash = { isAlone, isFinal: true };
+      const crash = { isExclusive, isFinal: true };
       await fleet.run(host.recordCrash("culprit", crash));
     }
   }
@@ -101,9 +107,9 @@
   { maxLength: 10 },
 );
 
-test("one content crashes two upstreams over the fleet, whoever is asked", async () => {
-  // A survey with a broken character crashed an engine. Its caller sent it to
-  // the next host, and the next, until no engine was left.
+test("content crashes two upstreams in the fleet, at whichever hosts", async () => {
+  // Guards against the loss of all engines: a request with an invalid character
+  // crashed an engine, and its caller sent it to one host after another.
   await fc.assert(
     fc.asyncProperty(
       fc.scheduler(),
@@ -112,8 +118,8 @@
       async (s, order, faults) => {
         const fleet = createFleet(s, true);
         for (let host = 0; host < 5; host++) fleet.addHost(faults);
-        const options = { sendings: order, guarded: true };
-        const history = await sendCulprit(fleet, options);
+        const options = { sendings: order, isEnforced: true };
+        const history = await sendCrashingContent(fleet, options);
         assert.deepEqual(checkHistory(history, statedLimits), []);
         assert.equal(history.length, CRASH_LIMIT);
       },
@@ -122,26 +128,29 @@
   );
 });
 
-test("without the refusal the checker reports the crashes", async () => {
+test("the checker reports the crashes if quarantine is not enforced", async () => {
   const [s] = fc.sample(fc.scheduler(), { numRuns: 1, seed: 1 });
   const fleet = createFleet(s!, true);
   fleet.addHost();
-  const options = { sendings: [0], guarded: false };
-  const broken = checkHistory(await sendCulprit(fleet, options), statedLimits);
+  const options = { sendings: [0], isEnforced: false };
+  const broken = checkHistory(
+    await sendCrashingContent(fleet, options),
+    statedLimits,
+  );
   assert.deepEqual(broken.map((each) => each.promise), ["crashes-are-limited"]);
 });
 
-test("the count goes through the store when no host hears of another", async () => {
-  // The host that saw the first crash is cut off from the others. The second
-  // counts the next crash on top of the first, in the table service.
+test("hosts that cannot reach each other count in the table service", async () => {
+  // The host that recorded the first crash is partitioned from the others. The
+  // second host adds the next crash to the count in the table service.
   await fc.assert(
     fc.asyncProperty(fc.scheduler(), async (s) => {
       const fleet = createFleet(s, false);
       const first = fleet.addHost();
       const second = fleet.addHost();
-      const crash = { isAlone: false, isFinal: true };
+      const crash = { isExclusive: false, isFinal: true };
       assert.equal(await fleet.run(first.recordCrash("c", crash)), 1);
-      const alone = { isAlone: true, isFinal: true };
+      const alone = { isExclusive: true, isFinal: true };
       assert.equal(await fleet.run(second.recordCrash("c", alone)), 2);
       await runToRest(s);
       const empty = fleet.addHost();
@@ -153,15 +162,15 @@
   );
 });
 
-test("a neighbour is cleared, and never blamed for crashes in company", async () => {
-  // A short chat ran beside the broken survey three times. It was refused as if
-  // it had crashed the engines itself.
+test("a request beside a crashing one is cleared and not quarantined", async () => {
+  // Guards against quarantine of harmless content that ran beside the crashing
+  // content three times.
   await fc.assert(
     fc.asyncProperty(fc.scheduler(), async (s) => {
       const fleet = createFleet(s, true);
       const host = fleet.addHost();
       const other = fleet.addHost();
-      const crash = { isAlone: false, isFinal: false };
+      const crash = { isExclusive: false, isFinal: false };
       for (let time = 0; time < 3; time++) {
         await fleet.run(host.recordCrash("chat", crash));
       }
@@ -174,9 +183,10 @@
   );
 });
 
-test("one content runs alone at one host of the fleet at a time", async () => {
-  // Ten callers sent the broken survey to five hosts at once. Each host had
-  // heard of the first crash, tried it alone, and lost an engine.
+test("suspect content runs at one host of the fleet at a time", async () => {
+  // Guards against the loss of one engine at each host: callers sent the
+  // crashing content to five hosts at once, and each host knew of the first
+  // crash and ran the content alone.
   await fc.assert(
     fc.asyncProperty(
       fc.scheduler(),
@@ -184,7 +194,7 @@
       async (s, count) => {
         const fleet = createFleet(s, true);
         for (let host = 0; host < count; host++) fleet.addHost();
-        const crash = { isAlone: false, isFinal: true };
+        const crash = { isExclusive: false, isFinal: true };
         await fleet.run(fleet.hosts[0]!.recordCrash("c", crash));
         const all = Effect.all(
           fleet.hosts.map((host) => host.beginTrial("c")),
@@ -203,20 +213,20 @@
   );
 });
 
-test("a host that hears nothing reads what the others counted", async () => {
-  // A host was cut from the others; callers still reached it, and it ran what
-  // the whole fleet refused.
+test("a partitioned host reads the crash counts of the others", async () => {
+  // Guards against a host that runs quarantined content: it was partitioned
+  // from the other hosts but still reachable for callers.
   await fc.assert(
     fc.asyncProperty(fc.scheduler(), async (s) => {
       const fleet = createFleet(s, false);
       const cut = fleet.addHost();
       const other = fleet.addHost();
-      const alone = { isAlone: true, isFinal: true };
+      const alone = { isExclusive: true, isFinal: true };
       await fleet.run(other.recordCrash("c", alone));
       await fleet.run(other.recordCrash("c", alone));
       assert.ok(!cut.isQuarantined("c"));
-      await fleet.run(cut.catchUp);
-      // The wait has a limit, which the scheduler may let pass first.
+      await fleet.run(cut.refreshIfPartitioned);
+      // The wait has a time-out, which the scheduler may let expire first.
       await runToRest(s);
       assert.ok(cut.isQuarantined("c"));
     }),
@@ -228,13 +238,13 @@
   const [s] = fc.sample(fc.scheduler(), { numRuns: 1, seed: 1 });
   const fleet = createFleet(s!, true);
   const host = fleet.addHost();
-  const alone = { isAlone: true, isFinal: false };
+  const alone = { isExclusive: true, isFinal: false };
   await fleet.run(host.recordCrash("c", alone));
-  fleet.clock.advance(SUSPECT_KEEP_MS);
+  fleet.clock.advance(SUSPECT_RETENTION_MS);
   assert.equal(host.getCrashes("c"), 0);
   await fleet.run(host.recordCrash("c", alone));
   await fleet.run(host.recordCrash("c", alone));
   assert.ok(host.isQuarantined("c"));
-  fleet.clock.advance(QUARANTINE_KEEP_MS);
+  fleet.clock.advance(QUARANTINE_RETENTION_MS);
   assert.ok(!host.isQuarantined("c"));
 });
--- a/src/requests/end.ts
+++ b/src/requests/end.ts
@@ -1,5 +1,6 @@
 /**
- * The end of a request: its answer to the caller and its place in the record.
+ * The end of a request: sends the response to the caller and records the
+ * outcome.
  *
  * @module
  */
@@ -9,16 +10,18 @@
 import type { AdmittedRequest } from "../types.ts";
 import type { UpstreamError } from "../upstreams/mod.ts";
 import {
-  createMayHaveRun,
-  createNotRun,
+  createMayHaveRunReply,
+  createNotRunReply,
   type FinalReply,
   OUTCOME_HEADER,
   REQUEST_HEADER,
 } from "./reply.ts";
 import type { Progress, RequestEnd, ServeHost } from "./types.ts";
 
-/** The reply for a request that is given up after its upstream failed. */
-export function toReply(
+/**
+ * Creates the reply to a request that is not retried after its upstream failed.
+ */
+export function createFailureReply(
   err: UpstreamError,
   admitted: AdmittedRequest,
   progress: Progress,
@@ -26,28 +29,28 @@
   if (progress.nextOffset > 0) {
     const last = progress.nextOffset - 1;
     const args = [last, admitted.service, err.reason];
-    return createMayHaveRun(502, "answerIncomplete", { args });
+    return createMayHaveRunReply(502, "answerIncomplete", { args });
   }
   const args = [admitted.service, err.reason];
   return progress.mayHaveRun
-    ? createMayHaveRun(502, "upstreamFailed", { args })
-    : createNotRun(502, "upstreamFailed", { args, retryAfterMs: 1_000 });
+    ? createMayHaveRunReply(502, "upstreamFailed", { args })
+    : createNotRunReply(502, "upstreamFailed", { args, retryAfterMs: 1_000 });
 }
 
-/** Sends a plain service's whole answer. */
-export function sendAnswer(
+/** Sends the response of a plain service. */
+export function sendResponse(
   res: ServerResponse,
   request: string,
-  answer: RecordedEnd,
+  response: RecordedEnd,
 ): void {
   if (res.destroyed) return;
   res.setHeader(OUTCOME_HEADER, "answered");
   res.setHeader(REQUEST_HEADER, request);
-  res.writeHead(answer.status, { "content-type": "application/json" });
-  res.end(answer.body);
+  res.writeHead(response.status, { "content-type": "application/json" });
+  res.end(response.body);
 }
 
-/** Sends the last event of a stream that is whole. */
+/** Sends the last event of a complete stream. */
 export function sendStreamEnd(
   res: ServerResponse,
   request: string,
@@ -57,7 +60,7 @@
   res.end(`event: end\ndata: ${JSON.stringify(end)}\n\n`);
 }
 
-/** Tells time line, metrics and log how the request ended. */
+/** Records the end of the request in the time line, the metrics and the log. */
 export function recordEnd(
   host: ServeHost,
   admitted: AdmittedRequest,
--- a/src/requests/run_idempotent_test.ts
+++ b/src/requests/run_idempotent_test.ts
@@ -1,6 +1,7 @@
 /**
- * Tests of streamed requests: every slot goes back once, and not before its
- * engine is done; what may have run is never told not run.
+ * Tests streamed requests: each slot is released once, and not before its
+ * engine has stopped; a request that may have run never gets the outcome
+ * "not-run".
  *
  * @module
  */
@@ -20,8 +21,8 @@
 } from "../testing/fake_request_host.ts";
 import type { AdmittedRequest } from "../types.ts";
 import {
-  type AnswerEvent,
-  type AnswerStream,
+  type EventStream,
+  type StreamEvent,
   type UpstreamClient,
   UpstreamError,
   type UpstreamFailure,
@@ -30,9 +31,9 @@
 import { runIdempotent } from "./run_idempotent.ts";
 
 /** What happens to one call or one event at the engine. */
-type Fate = "good" | "refused" | "broken" | "silent" | "crash";
+type CallResult = "good" | "refused" | "broken" | "silent" | "crash";
 
-const fate = fc.constantFrom<Fate>(
+const callResult = fc.constantFrom<CallResult>(
   "good",
   "good",
   "good",
@@ -43,22 +44,22 @@
   "crash",
 );
 
-const LENGTH = 4;
+const STREAM_LENGTH = 4;
 
 function fail(failure: UpstreamFailure): UpstreamError {
   return new UpstreamError({ failure, reason: failure });
 }
 
-/** One engine that restarts empty at once after a crash. */
-function createEngine(s: fc.Scheduler, fates: Fate[]) {
+/** An engine that restarts without streams at once after a crash. */
+function createEngine(s: fc.Scheduler, callResults: CallResult[]) {
   const streams = new Map<string, { produced: number; readers: number }>();
-  let everBegan = false;
+  let hasStarted = false;
 
-  async function meet(name: string): Promise<void> {
-    const next = fates.shift() ?? "good";
+  async function applyNextResult(name: string): Promise<void> {
+    const next = callResults.shift() ?? "good";
     await s.schedule(Promise.resolve(), `${name} ${next}`);
     if (next === "good") return;
-    // A process that refuses connections is down, with all that it had.
+    // A process that refuses connections is down and has lost its streams.
     if (next === "crash" || next === "refused") streams.clear();
     throw fail(next === "crash" ? "broken" : next);
   }
@@ -70,20 +71,23 @@
     });
   }
 
-  function attach(id: string, from: number): AnswerStream {
+  function openStream(id: string, from: number): EventStream {
     const stream = streams.get(id);
     if (stream === undefined) throw fail("forgotten");
     let offset = from;
     let isOpen = true;
     stream.readers++;
-    const next = attempt(async (): Promise<AnswerEvent | undefined> => {
-      await meet("event");
+    const next = attempt(async (): Promise<StreamEvent | undefined> => {
+      await applyNextResult("event");
       if (!streams.has(id)) throw fail("broken");
-      stream.produced = Math.max(stream.produced, Math.min(LENGTH, offset + 1));
-      if (offset === LENGTH) {
+      stream.produced = Math.max(
+        stream.produced,
+        Math.min(STREAM_LENGTH, offset + 1),
+      );
+      if (offset === STREAM_LENGTH) {
         streams.delete(id);
-        const data = JSON.stringify({ tokens: LENGTH });
-        return { name: "end", offset: LENGTH, data };
+        const data = JSON.stringify({ tokens: STREAM_LENGTH });
+        return { name: "end", offset: STREAM_LENGTH, data };
       }
       return { name: "token", offset: offset++, data: "part" };
     });
@@ -99,22 +103,22 @@
   const client: Partial<UpstreamClient> = {
     generate: ({ stream }) =>
       attempt(async () => {
-        const next = fates[0];
+        const next = callResults[0];
         if (next !== "refused") {
-          everBegan = true;
+          hasStarted = true;
           streams.set(stream, { produced: 0, readers: 0 });
         }
-        await meet("generate");
-        return attach(stream, 0);
+        await applyNextResult("generate");
+        return openStream(stream, 0);
       }),
     resume: ({ stream }, offset) =>
       attempt(async () => {
-        await meet("resume");
-        return attach(stream, offset);
+        await applyNextResult("resume");
+        return openStream(stream, offset);
       }),
     cancelIfUnread: ({ stream }) =>
       attempt(async () => {
-        await meet("cancel");
+        await applyNextResult("cancel");
         const tokens = streams.get(stream)?.produced ?? 0;
         streams.delete(stream);
         return { kind: "gone" as const, tokens };
@@ -123,7 +127,7 @@
   return {
     client: client as UpstreamClient,
     countStreams: () => streams.size,
-    everBegan: () => everBegan,
+    hasStarted: () => hasStarted,
   };
 }
 
@@ -150,12 +154,12 @@
 } as unknown as ParsedCall;
 
 interface Scenario {
-  readonly fates: readonly Fate[];
-  /** Scheduler steps after which the caller vanishes; 0 for never. */
-  readonly vanishesAt: number;
+  readonly callResults: readonly CallResult[];
+  /** Scheduler steps after which the caller disconnects; 0 for never. */
+  readonly callerSteps: number;
 }
 
-async function vanish(
+async function disconnect(
   s: fc.Scheduler,
   fiber: Fiber.Fiber<unknown>,
   steps: number,
@@ -166,20 +170,23 @@
   await Effect.runPromise(Fiber.interrupt(fiber));
 }
 
-/** Runs one request; tells how it ended and whether its slot came back early. */
+/**
+ * Runs one request; returns its outcome, and how often its slot was released
+ * while the engine was still working.
+ */
 async function runScenario(
   s: fc.Scheduler,
   scenario: Scenario,
-  replaced: Partial<UpstreamClient> = {},
+  overrides: Partial<UpstreamClient> = {},
 ) {
   const world = createFakeWorld(s, 15);
-  const engine = createEngine(s, [...scenario.fates]);
-  let early = 0;
+  const engine = createEngine(s, [...scenario.callResults]);
+  let earlyReleases = 0;
   const host = createFakeHost(world, "entry-1", {
     plan: { faults: [], diesAtCall: 0 },
-    createUpstreams: () => ({ ...engine.client, ...replaced }),
+    createUpstreams: () => ({ ...engine.client, ...overrides }),
     onRelease: () => {
-      if (engine.countStreams() > host.getSlotsInUse()) early++;
+      if (engine.countStreams() > host.getSlotsInUse()) earlyReleases++;
     },
   });
   const answer = { outcome: "", status: 0, body: "" };
@@ -192,7 +199,7 @@
     }),
   );
   const fiber = forkScheduled(s, run, 15);
-  if (scenario.vanishesAt > 0) void vanish(s, fiber, scenario.vanishesAt);
+  if (scenario.callerSteps > 0) void disconnect(s, fiber, scenario.callerSteps);
   const ended = Effect.runPromise(Fiber.await(fiber));
   await s.waitFor(ended);
   const exit = await ended;
@@ -201,46 +208,50 @@
   const parts = [...answer.body.matchAll(/^id: (\d+)$/gm)].map((match) =>
     Number(match[1])
   );
-  return { outcome, parts, early, engine, host };
+  return { outcome, parts, earlyReleases, engine, host };
 }
 
-test("a slot goes back once, after its engine is done, on every path", async () => {
-  // Engines idled while requests waited: a caller had hung up, and its slot was
-  // never given back. Or an engine ran two streams in one slot, since the slot
-  // went back while the engine still worked for the caller that had left.
+test("a slot is released once, after its engine has stopped", async () => {
+  // Guards against two faults: a slot is never released after its caller
+  // disconnects, so that the engine stays idle while requests wait; or it is
+  // released while the engine still works for that caller, so that the engine
+  // runs two streams in one slot.
   await fc.assert(
     fc.asyncProperty(
       fc.scheduler(),
       fc.record({
-        fates: fc.array(fate, { maxLength: 12 }),
-        vanishesAt: fc.oneof(fc.constant(0), fc.integer({ min: 1, max: 30 })),
+        callResults: fc.array(callResult, { maxLength: 12 }),
+        callerSteps: fc.oneof(
+          fc.constant(0),
+          fc.integer({ min: 1, max: 30 }),
+        ),
       }),
       async (s, scenario) => {
         const seen = await runScenario(s, scenario);
-        const { outcome, parts, early, engine, host } = seen;
+        const { outcome, parts, earlyReleases, engine, host } = seen;
         assert.equal(host.getSlotsInUse(), 0);
-        assert.equal(early, 0);
+        assert.equal(earlyReleases, 0);
         assert.equal(engine.countStreams(), 0);
         assert.deepEqual(parts, parts.map((_, index) => index));
-        if (outcome === "answered") assert.equal(parts.length, LENGTH);
-        if (outcome === "not-run") assert.ok(!engine.everBegan());
+        if (outcome === "answered") assert.equal(parts.length, STREAM_LENGTH);
+        if (outcome === "not-run") assert.ok(!engine.hasStarted());
       },
     ),
     { numRuns: 500, seed: 1 },
   );
 });
 
-test("without the cancellation a slot goes back too early", async () => {
+test("without the cancellation a slot is released too early", async () => {
   const cancelIfUnread: UpstreamClient["cancelIfUnread"] = () =>
     Effect.succeed({ kind: "gone", tokens: 0 });
   const found = await fc.check(
     fc.asyncProperty(
       fc.scheduler(),
       fc.integer({ min: 1, max: 30 }),
-      async (s, vanishesAt) => {
-        const scenario = { fates: [], vanishesAt };
+      async (s, callerSteps) => {
+        const scenario = { callResults: [], callerSteps };
         const seen = await runScenario(s, scenario, { cancelIfUnread });
-        assert.equal(seen.early, 0);
+        assert.equal(seen.earlyReleases, 0);
       },
     ),
     { numRuns: 100, seed: 1 },
--- a/src/requests/run_on_plain_service.ts
+++ b/src/requests/run_on_plain_service.ts
@@ -1,5 +1,6 @@
 /**
- * One call to a plain service, and what it says of the request's progress.
+ * Calls a plain service and records what the call shows of the request's
+ * progress.
  *
  * @module
  */
@@ -7,12 +8,12 @@
 import * as Effect from "effect/Effect";
 import type { SlotHandle } from "../slots/mod.ts";
 import type { AdmittedRequest } from "../types.ts";
-import type { PlainAnswer, UpstreamError } from "../upstreams/mod.ts";
+import type { PlainResponse, UpstreamError } from "../upstreams/mod.ts";
 import type { ParsedCall } from "./parse.ts";
 import { getRemainingMs, type Progress, type ServeHost } from "./types.ts";
 
-/** What a call needs. */
-export interface PlainRun {
+/** Input of a call. */
+export interface PlainAttempt {
   readonly host: ServeHost;
   readonly admitted: AdmittedRequest;
   readonly call: ParsedCall;
@@ -20,14 +21,14 @@
 }
 
 /**
- * Calls the service. From the start the call counts as sent; only a refused
+ * Calls the service. The call counts as sent from the start; only a refused
  * connection proves that it was not.
  */
 export function runOnPlainService(
-  run: PlainRun,
+  attempt: PlainAttempt,
   slot: SlotHandle,
-): Effect.Effect<PlainAnswer, UpstreamError> {
-  const { host, admitted, call, progress } = run;
+): Effect.Effect<PlainResponse, UpstreamError> {
+  const { host, admitted, call, progress } = attempt;
   return Effect.gen(function* () {
     const startMs = host.clock.monotonicMs();
     progress.isSent = true;
@@ -37,7 +38,7 @@
       request: admitted.id,
       idempotencyKey: call.idempotencyKey,
       body: call.body,
-      limitMs: getRemainingMs(host, admitted),
+      timeoutMs: getRemainingMs(host, admitted),
     });
     progress.firstByteMs = host.clock.monotonicMs() - startMs;
     progress.cost = 1;
--- a/src/requests/use_slot.ts
+++ b/src/requests/use_slot.ts
@@ -1,6 +1,6 @@
 /**
- * Waiting for a slot, and giving it back exactly once whatever happens, with
- * the service that was used.
+ * Waits for a slot, runs a task with it, and releases it exactly once, however
+ * the task ends, together with the cost of the request.
  *
  * @module
  */
@@ -11,52 +11,52 @@
 import type { AdmittedRequest } from "../types.ts";
 import { DOWN_SLOT_HOLD_MS } from "../upstreams/mod.ts";
 import { reject, type RequestRejected } from "./parse.ts";
-import { createMayHaveRun, createNotRun } from "./reply.ts";
+import { createMayHaveRunReply, createNotRunReply } from "./reply.ts";
 import {
   getTokenIntervalMs,
   type Progress,
+  resetForAttempt,
   type ServeHost,
-  startRun,
 } from "./types.ts";
 
-/** What is done with a slot. */
-export interface SlotUse<A, E> {
+/** A task that needs a slot. */
+export interface SlotTask<A, E> {
   readonly progress: Progress;
   readonly bodyBytes: number;
-  /** Goes on beside the wait; the slot is used once both are done. */
+  /** Runs while the request waits; the task starts once both are done. */
   readonly prepare: Effect.Effect<void, E>;
-  /** Called when the slot has come. */
-  onSlot(): void;
+  /** Called when the slot has been granted. */
+  onSlotGranted(): void;
   run(slot: SlotHandle): Effect.Effect<A, E>;
 }
 
-const unused = {
+const UNUSED_END = {
   cost: 0,
   firstByteMs: 0,
   tokenIntervalMs: 0,
   result: "unused" as const,
 };
 
-/** Runs with a slot. */
+/** Waits for a slot and runs the task with it. */
 export function withSlot<A, E>(
   host: ServeHost,
   admitted: AdmittedRequest,
-  use: SlotUse<A, E>,
+  task: SlotTask<A, E>,
 ): Effect.Effect<A, E | RequestRejected> {
   return Effect.suspend(() => {
-    const { progress } = use;
+    const { progress } = task;
     const held: { slot?: SlotHandle } = {};
     let isAnswered = false;
-    startRun(progress);
-    const wait = waitForSlot(host, admitted, held, use);
-    return Effect.all([use.prepare, wait], { concurrency: "unbounded" }).pipe(
-      Effect.flatMap(() => use.run(held.slot!)),
+    resetForAttempt(progress);
+    const wait = waitForSlot(host, admitted, held, task);
+    return Effect.all([task.prepare, wait], { concurrency: "unbounded" }).pipe(
+      Effect.flatMap(() => task.run(held.slot!)),
       Effect.tap(() => Effect.sync(() => isAnswered = true)),
-      // Also runs when the caller vanished: a slot that is never given back
-      // would stand idle for good.
+      // Also runs when the caller disconnects: a slot that is never released
+      // would stay idle for ever.
       Effect.ensuring(
         Effect.sync(() =>
-          giveBack(host, admitted, held.slot, {
+          releaseSlot(host, admitted, held.slot, {
             progress,
             isAnswered,
           })
@@ -66,16 +66,16 @@
   });
 }
 
-/** Gives the slot back once the upstream works on the run no longer. */
-function giveBack(
+/** Releases the slot once the upstream has stopped working on the attempt. */
+function releaseSlot(
   host: ServeHost,
   admitted: AdmittedRequest,
   slot: SlotHandle | undefined,
-  run: { readonly progress: Progress; readonly isAnswered: boolean },
+  attempt: { readonly progress: Progress; readonly isAnswered: boolean },
 ): void {
   if (slot === undefined) return;
-  const { progress, isAnswered } = run;
-  const { firstByteMs, isSent, leftover } = progress;
+  const { progress, isAnswered } = attempt;
+  const { firstByteMs, isSent, pendingUpstreamWork } = progress;
   const failed = isSent ? "failed" as const : "unused" as const;
   const result = isAnswered ? "answered" as const : failed;
   const tokenIntervalMs = getTokenIntervalMs(progress);
@@ -84,18 +84,19 @@
     const runMs = firstByteMs + progress.tokenWaitMs;
     host.backlog.observeRun(admitted.service, { firstByteMs, runMs });
   }
-  if (leftover === undefined) {
+  if (pendingUpstreamWork === undefined) {
     slot.release(end);
     return;
   }
-  host.runDetached(leftover.pipe(Effect.map((tokens) => {
+  host.runDetached(pendingUpstreamWork.pipe(Effect.map((tokens) => {
     slot.release({ ...end, cost: Math.max(end.cost, tokens) });
   })));
 }
 
 /**
- * A process that was paused between the grant and here finds that the caller
- * gave up: the clock is read right before the first byte goes upstream.
+ * Fails when the deadline has passed. The clock is read right before the first
+ * byte is sent upstream, since a process that was paused after the grant may
+ * find that its caller no longer waits.
  */
 export function checkDeadline(
   host: ServeHost,
@@ -104,11 +105,11 @@
   return Effect.suspend(() =>
     host.clock.monotonicMs() < input.deadlineMs
       ? Effect.void
-      : rejectLate(input.progress)
+      : rejectUnserved(input.progress)
   );
 }
 
-function rejectLate(
+function rejectUnserved(
   progress: Progress,
   message: "deadlinePassed" | "deadlineLost" | "draining" = "deadlinePassed",
   retryAfterMs = 1_000,
@@ -116,45 +117,45 @@
   const options = { retryAfterMs };
   return reject(
     progress.mayHaveRun
-      ? createMayHaveRun(504, message, options)
-      : createNotRun(504, message, options),
+      ? createMayHaveRunReply(504, message, options)
+      : createNotRunReply(504, message, options),
   );
 }
 
 /**
- * Waits for a slot, at most until the deadline and no longer than it can be
- * met; a cancelled wait leaves nothing.
+ * Waits for a slot until the deadline at most, and only while the deadline can
+ * be met. A cancelled wait leaves nothing behind.
  */
 function waitForSlot<A, E>(
   host: ServeHost,
   admitted: AdmittedRequest,
   held: { slot?: SlotHandle },
-  use: SlotUse<A, E>,
+  task: SlotTask<A, E>,
 ): Effect.Effect<void, RequestRejected> {
-  const { progress } = use;
+  const { progress } = task;
   const wait = Effect.callback<void, RequestRejected>((resume) => {
     const start = (slot: SlotHandle) => {
       if (host.health.isDown(slot.upstream.id)) {
-        holdAndRelease(host, slot);
-        host.slots.wait(admitted, start);
+        releaseAfterHold(host, slot);
+        host.slots.acquire(admitted, start);
         return;
       }
       held.slot = slot;
       host.backlog.leave(admitted, "started");
       resume(Effect.void);
     };
-    host.backlog.enter(admitted, use.bodyBytes, (retryAfterMs) => {
+    host.backlog.enter(admitted, task.bodyBytes, (retryAfterMs) => {
       host.slots.cancel(admitted);
-      resume(rejectLate(progress, "deadlineLost", retryAfterMs));
+      resume(rejectUnserved(progress, "deadlineLost", retryAfterMs));
     });
-    host.slots.wait(admitted, start);
+    host.slots.acquire(admitted, start);
     return Effect.sync(() => {
       host.backlog.leave(admitted, "gave-up");
       host.slots.cancel(admitted);
     });
   });
   const giveUp = host.waitUntilGivingUp.pipe(
-    Effect.flatMap(() => rejectLate(progress, "draining")),
+    Effect.flatMap(() => rejectUnserved(progress, "draining")),
   );
   return wait.pipe(
     Effect.raceFirst(giveUp),
@@ -163,22 +164,22 @@
       orElse: () => {
         const { team, service } = admitted;
         const retryAfterMs = host.backlog.getRetryAfterMs(team, service);
-        return rejectLate(progress, "deadlinePassed", retryAfterMs);
+        return rejectUnserved(progress, "deadlinePassed", retryAfterMs);
       },
     }),
     Effect.tap(() =>
       Effect.sync(() => {
         recordDispatch(host, admitted, held.slot!);
-        use.onSlot();
+        task.onSlotGranted();
       })
     ),
   );
 }
 
-function holdAndRelease(host: ServeHost, slot: SlotHandle): void {
+function releaseAfterHold(host: ServeHost, slot: SlotHandle): void {
   host.runDetached(
     Effect.sleep(DOWN_SLOT_HOLD_MS).pipe(
-      Effect.tap(() => Effect.sync(() => slot.release(unused))),
+      Effect.tap(() => Effect.sync(() => slot.release(UNUSED_END))),
     ),
   );
 }
@@ -190,7 +191,7 @@
 ): void {
   const nowMs = host.clock.monotonicMs();
   const { team, id: request } = admitted;
-  recordShift(host, admitted, slot);
+  recordCrossRegion(host, admitted, slot);
   host.recorder.record({
     kind: "request-dispatched",
     request,
@@ -200,8 +201,11 @@
   });
 }
 
-/** Tells that the request leaves its region, over the link that is billed. */
-function recordShift(
+/**
+ * Records that the request is sent to another region, over the link that is
+ * billed by volume.
+ */
+function recordCrossRegion(
   host: ServeHost,
   admitted: AdmittedRequest,
   slot: SlotHandle,
@@ -215,6 +219,6 @@
     kind: "request-shifted",
     request: admitted.id,
     team: admitted.team,
-    reason: `no slot of region ${own} came in time, one of ${other} did`,
+    reason: `a slot in region ${other} was granted before one in region ${own}`,
   });
 }
--- a/src/slots/slot_client_test.ts
+++ b/src/slots/slot_client_test.ts
@@ -1,5 +1,5 @@
 /**
- * Tests of the entry host's side of slots.
+ * Tests the entry host's side of slots.
  *
  * @module
  */
@@ -32,7 +32,7 @@
   const time = { nowMs: 0 };
   const client = createSlotClient({
     nowMs: () => time.nowMs,
-    getCandidates: () => ({ near: upstreams, far: [] }),
+    getCandidates: () => ({ sameRegion: upstreams, otherRegions: [] }),
     tryGetUpstream: (id) => upstreams.find((each) => each.id === id),
     isLeaving: (id) => leaving.has(id),
     sendRequest: (req) => requests.push(req),
@@ -65,35 +65,35 @@
 test("a kept slot serves the next request without a message", () => {
   const { client, requests, releases } = createFixture(1);
   const handles: SlotHandle[] = [];
-  client.wait(createRequest("r1"), (handle) => handles.push(handle));
+  client.acquire(createRequest("r1"), (handle) => handles.push(handle));
   client.flush();
   client.receiveGrant(createGrant(1, true));
   handles[0]!.release(ANSWERED);
   client.flush();
   const told = requests.length;
-  client.wait(createRequest("r2"), (handle) => handles.push(handle));
+  client.acquire(createRequest("r2"), (handle) => handles.push(handle));
   client.flush();
   assert.equal(handles.length, 2);
   assert.equal(requests.length, told);
   assert.deepEqual(releases, []);
 });
 
-test("a kept slot takes no new work to an upstream that leaves", () => {
-  // An engine is drained for an upgrade, and a request is cut off when it goes:
-  // the host had kept a slot there and used it for new work.
+test("a kept slot is not reused at an upstream that is being drained", () => {
+  // An engine is drained for an upgrade. Guards against a host that reuses a
+  // slot kept there for a new request, which is cut off when the engine stops.
   const { client, releases, leaving } = createFixture(1);
   const handles: SlotHandle[] = [];
-  client.wait(createRequest("r1"), (handle) => handles.push(handle));
+  client.acquire(createRequest("r1"), (handle) => handles.push(handle));
   client.flush();
   client.receiveGrant(createGrant(1, true));
   handles[0]!.release(ANSWERED);
   leaving.add("engine-1");
-  client.wait(createRequest("r2"), (handle) => handles.push(handle));
+  client.acquire(createRequest("r2"), (handle) => handles.push(handle));
   assert.equal(handles.length, 1);
   assert.deepEqual(releases.map((each) => each.slot), [1]);
 });
 
-test("kept slots go back when the owner recalls them, or after idling", () => {
+test("kept slots are released when recalled or idle for too long", () => {
   const { client, releases, time } = createFixture(1);
   client.receiveGrant(createGrant(1, true));
   client.receiveRecall({ upstream: "engine-1", redeclare: false });
@@ -103,21 +103,22 @@
   assert.deepEqual(releases.map((each) => each.slot), [1, 2]);
 });
 
-test("a grant whose request is gone is returned unused", () => {
-  // Another team waits although a slot is free: its caller hung up while the
-  // grant was on its way, and nobody gave the slot back.
+test("a grant whose request was cancelled is released unused", () => {
+  // Guards against a lost slot while another team waits: the caller
+  // disconnected while the grant was in transit, and the host did not release
+  // the slot.
   const { client, releases } = createFixture(1);
   const req = createRequest("r1");
-  client.wait(req, () => assert.fail("started"));
+  client.acquire(req, () => assert.fail("started"));
   client.flush();
   client.cancel(req);
   client.receiveGrant(createGrant(1, false));
   assert.deepEqual(releases.map((each) => each.result), ["unused"]);
 });
 
-test("one owner is asked first, then more as the request waits", () => {
+test("more owners are asked the longer a request waits", () => {
   const { client, requests, time } = createFixture(20);
-  client.wait(createRequest("r1"), () => {});
+  client.acquire(createRequest("r1"), () => {});
   const counts: number[] = [];
   for (const nowMs of [0, 100, 200, 500]) {
     time.nowMs = nowMs;
@@ -127,10 +128,10 @@
   assert.deepEqual(counts, [1, 2, 4, 20]);
 });
 
-test("all that was asked is withdrawn once nothing waits", () => {
+test("all slot requests are withdrawn once no request waits", () => {
   const { client, requests, time } = createFixture(8);
   const req = createRequest("r1");
-  client.wait(req, () => {});
+  client.acquire(req, () => {});
   time.nowMs = 500;
   client.flush();
   client.cancel(req);
--- a/src/slots/waiting_teams.ts
+++ b/src/slots/waiting_teams.ts
@@ -1,60 +1,68 @@
 /**
- * Who waits for an upstream, kept by team, so that a grant looks at each waiting
- * team once and not at each host: with 29 backlogged teams on 390 hosts that is
- * 29 steps instead of 11,310, and then one for each host of the picked team.
+ * The hosts where requests wait for an upstream, indexed by team, so that a
+ * grant looks at each waiting team once and not at each host. With 29
+ * backlogged teams on 390 hosts these are 29 steps instead of 11,310, followed
+ * by one step for each host of the picked team.
  *
  * @module
  */
 
 import { getOrCreate } from "../core/mod.ts";
 
-/** Since when a team waits at each host, in ms; the oldest is next. */
+/** When the team's oldest request began to wait, in ms, by host. */
 export interface WaitingHosts {
-  /** Hosts of the upstream's own region. */
-  readonly near: ReadonlyMap<string, number>;
-  readonly far: ReadonlyMap<string, number>;
+  /** Hosts in the region of the upstream. */
+  readonly local: ReadonlyMap<string, number>;
+  /** Hosts in other regions. */
+  readonly remote: ReadonlyMap<string, number>;
 }
 
-/** What a pick chooses from. */
+/** The waiting hosts of each waiting team. */
 export type WaitingByTeam = ReadonlyMap<string, WaitingHosts>;
 
-/** A host and the team there that gets the next slot. */
-export interface Pick {
+/** A team at an entry host. */
+export interface GrantTarget {
   readonly entryHost: string;
   readonly team: string;
 }
 
 /** The teams that wait for one upstream, with their hosts. */
 export interface WaitingTeams {
-  /** The pick's oldest request waits since the time given. */
-  set(pick: Pick, options: { isNear: boolean; sinceMs: number }): void;
-  remove(pick: Pick): void;
+  /** Sets when the team's oldest request at the host began to wait. */
+  set(
+    target: GrantTarget,
+    options: { isSameRegion: boolean; sinceMs: number },
+  ): void;
+  remove(target: GrantTarget): void;
   has(team: string): boolean;
   getByTeam(): WaitingByTeam;
 }
 
 interface Hosts {
-  readonly near: Map<string, number>;
-  readonly far: Map<string, number>;
+  readonly local: Map<string, number>;
+  readonly remote: Map<string, number>;
 }
 
-/** Makes an index in which nobody waits. */
+/** Creates an empty index. */
 export function createWaitingTeams(): WaitingTeams {
   const byTeam = new Map<string, Hosts>();
   return {
-    set({ entryHost, team }, { isNear, sinceMs }) {
+    set({ entryHost, team }, { isSameRegion, sinceMs }) {
       const hosts = getOrCreate(byTeam, team, () => ({
-        near: new Map<string, number>(),
-        far: new Map<string, number>(),
+        local: new Map<string, number>(),
+        remote: new Map<string, number>(),
       }));
-      (isNear ? hosts.near : hosts.far).set(entryHost, sinceMs);
+      (isSameRegion ? hosts.local : hosts.remote).set(
+        entryHost,
+        sinceMs,
+      );
     },
     remove({ entryHost, team }) {
       const hosts = byTeam.get(team);
       if (hosts === undefined) return;
-      hosts.near.delete(entryHost);
-      hosts.far.delete(entryHost);
-      if (hosts.near.size + hosts.far.size === 0) byTeam.delete(team);
+      hosts.local.delete(entryHost);
+      hosts.remote.delete(entryHost);
+      if (hosts.local.size + hosts.remote.size === 0) byTeam.delete(team);
     },
     has: (team) => byTeam.has(team),
     getByTeam: () => byTeam,
--- a/src/testing/fake_request_host.ts
+++ b/src/testing/fake_request_host.ts
@@ -20,9 +20,9 @@
 import type { SlotClient, SlotHandle } from "../slots/mod.ts";
 import type { AdmittedRequest, Outcome, Upstream } from "../types.ts";
 import {
-  createOccupancy,
   createUpstreamHealth,
-  DOWN_MS,
+  createUpstreamLocks,
+  DOWN_PERIOD_MS,
   type UpstreamClient,
   UpstreamError,
   type UpstreamFailure,
@@ -89,7 +89,7 @@
   recordCrash: () => Effect.succeed(1),
   beginTrial: () => Effect.succeed("begun"),
   endTrial: () => Effect.void,
-  catchUp: Effect.void,
+  refreshIfPartitioned: Effect.void,
   clear: () => Effect.void,
   receiveFact() {},
   refresh: Effect.void,
@@ -114,7 +114,7 @@
   const clock = createManualClock(1_000_000);
   const slots = createFakeSlots(scheduler, io, () => {
     // Time passes with each slot, so that an upstream is not down for good.
-    clock.advance(DOWN_MS / 2);
+    clock.advance(DOWN_PERIOD_MS / 2);
   }, options.onRelease);
   const claims = options.claims ?? createClaims({
     id,
@@ -134,7 +134,7 @@
     upstreams: options.createUpstreams?.(io) ??
       createFakeUpstreams(world, io),
     health: createUpstreamHealth(clock),
-    occupancy: createOccupancy(),
+    occupancy: createUpstreamLocks(),
     quarantine: noCrashes,
     recorder: { record() {}, getSince: () => [] },
     backlog: createBacklog({ clock, random: () => 0 }),
@@ -142,7 +142,7 @@
     getDeployment: () => undefined,
     isDraining: () => false,
     waitUntilGivingUp: Effect.never,
-    isProcessGone: (other) => world.dead.has(other),
+    isProcessDead: (other) => world.dead.has(other),
     charge() {},
     runDetached: (effect) =>
       void runScheduled(scheduler, effect, world.patience),
@@ -182,7 +182,7 @@
   }
 
   const client = {
-    wait(req: AdmittedRequest, start: (slot: SlotHandle) => void) {
+    acquire(req: AdmittedRequest, start: (slot: SlotHandle) => void) {
       waiting.add(req);
       void scheduler.schedule(Promise.resolve(), "grant").then(() => {
         if (waiting.delete(req) && !io.isDead()) start(createHandle());
--- a/src/upstreams/health_watch.ts
+++ b/src/upstreams/health_watch.ts
@@ -1,29 +1,32 @@
 /**
- * What this host has seen of each upstream: work in flight, signs of life and
- * failures. Placement passes over an upstream that fails, but never over all.
+ * Tracks the health of each upstream as seen by this host: requests in flight,
+ * last activity and failures. Placement avoids unhealthy upstreams as long as
+ * there are healthy ones.
  *
- * Load: an upstream crashes, goes silent, or fails half of its requests while
- * it calls itself healthy. Harm prevented: request after request is sent there,
- * since an upstream that fails at once looks the least busy of all.
+ * Load: an upstream crashes, stops responding, or fails half of its requests
+ * while it reports itself as healthy.
+ *
+ * Failure prevented: request after request is sent there, since an upstream
+ * that fails at once looks the least loaded of all.
  *
  * @module
  */
 
 import { type Clock, getOrCreate } from "../core/mod.ts";
 
-/** What this host knows of its upstreams by itself. */
+/** Health of upstreams as observed by this host. */
 export interface HealthWatch {
-  begin(upstream: string): void;
-  end(upstream: string): void;
-  /** Bytes of an answer have come. */
-  noteLife(upstream: string): void;
-  noteAnswered(upstream: string): void;
-  noteFailed(upstream: string, failure: FailureKind): void;
+  beginRequest(upstream: string): void;
+  endRequest(upstream: string): void;
+  /** Records that bytes of a response have arrived. */
+  recordActivity(upstream: string): void;
+  recordSuccess(upstream: string): void;
+  recordFailure(upstream: string, failure: FailureKind): void;
   getInFlight(upstream: string): number;
-  /** Whether other upstreams should be asked first. */
-  isSuspect(upstream: string): boolean;
-  /** Those that should be asked, or all where none should. */
-  filterSound<T extends { readonly id: string }>(
+  /** Whether other upstreams should be preferred. */
+  isUnhealthy(upstream: string): boolean;
+  /** Returns the healthy upstreams, or all of them if none is healthy. */
+  filterHealthy<T extends { readonly id: string }>(
     upstreams: readonly T[],
   ): readonly T[];
 }
@@ -32,105 +35,112 @@
 export type FailureKind = "unreachable" | "failed";
 
 /**
- * An upstream that can't be reached is left alone for so long, in ms, and twice
- * as long at each further failure up to the most: a restart takes seconds, and
- * each try costs its request up to half a second.
+ * Time for which an unreachable upstream is avoided, in ms. Doubles with each
+ * further failure up to the maximum: a restart takes seconds, and each attempt
+ * costs its request up to half a second.
  */
-const UNREACHABLE_MS = 1_000;
+const INITIAL_UNREACHABLE_MS = 1_000;
 
-/** The most of it, in ms. */
+/**
+ * Upper bound of the time for which an unreachable upstream is avoided, in ms.
+ */
 const MAX_UNREACHABLE_MS = 4_000;
 
 /**
- * With work in flight and no byte for so long, in ms, an upstream counts as
- * silent; a full one still sends an event each few hundred ms.
+ * An upstream with requests in flight that has sent no byte for this time, in
+ * ms, counts as silent. Even a full upstream sends an event every few hundred
+ * ms.
  */
-const SILENT_MS = 1_500;
+const SILENCE_TIMEOUT_MS = 1_500;
 
-/** Weight of the newest result in the share of failures. */
+/** Weight of the latest result in the moving average of failures. */
 const RESULT_WEIGHT = 0.2;
 
-/** Above this share of failures other upstreams are asked first. */
+/** Share of failures above which other upstreams are preferred. */
 const MAX_FAILURE_SHARE = 0.35;
 
-/** The share of failures fades to a half in so long, in ms, to try again. */
+/**
+ * Half-life of the share of failures, in ms, after which the upstream is tried
+ * again.
+ */
 const FAILURE_HALF_LIFE_MS = 2_000;
 
-interface Seen {
+interface UpstreamRecord {
   inFlight: number;
-  lastLifeMs: number;
+  lastActivityMs: number;
   unreachableUntilMs: number;
   unreachableMs: number;
   failureShare: number;
   failureAtMs: number;
 }
 
-/** Makes a watch that has seen nothing. */
+/** Creates a watch without observations. */
 export function createHealthWatch(clock: Clock): HealthWatch {
-  const upstreams = new Map<string, Seen>();
+  const upstreams = new Map<string, UpstreamRecord>();
 
-  function get(upstream: string): Seen {
+  function get(upstream: string): UpstreamRecord {
     return getOrCreate(upstreams, upstream, () => ({
       inFlight: 0,
-      lastLifeMs: clock.monotonicMs(),
+      lastActivityMs: clock.monotonicMs(),
       unreachableUntilMs: 0,
-      unreachableMs: UNREACHABLE_MS,
+      unreachableMs: INITIAL_UNREACHABLE_MS,
       failureShare: 0,
       failureAtMs: 0,
     }));
   }
 
-  function getFailureShare(seen: Seen): number {
-    const sinceMs = clock.monotonicMs() - seen.failureAtMs;
-    return seen.failureShare * 0.5 ** (sinceMs / FAILURE_HALF_LIFE_MS);
+  function getFailureShare(record: UpstreamRecord): number {
+    const sinceMs = clock.monotonicMs() - record.failureAtMs;
+    return record.failureShare * 0.5 ** (sinceMs / FAILURE_HALF_LIFE_MS);
   }
 
-  function noteResult(seen: Seen, failure: 0 | 1): void {
-    const share = getFailureShare(seen);
-    seen.failureShare = share + (failure - share) * RESULT_WEIGHT;
-    seen.failureAtMs = clock.monotonicMs();
+  function recordResult(record: UpstreamRecord, failure: 0 | 1): void {
+    const share = getFailureShare(record);
+    record.failureShare = share + (failure - share) * RESULT_WEIGHT;
+    record.failureAtMs = clock.monotonicMs();
   }
 
-  function isSuspect(upstream: string): boolean {
-    const seen = upstreams.get(upstream);
-    if (seen === undefined) return false;
+  function isUnhealthy(upstream: string): boolean {
+    const record = upstreams.get(upstream);
+    if (record === undefined) return false;
     const nowMs = clock.monotonicMs();
-    if (nowMs < seen.unreachableUntilMs) return true;
-    const isSilent = seen.inFlight > 0 && nowMs - seen.lastLifeMs > SILENT_MS;
-    return isSilent || getFailureShare(seen) > MAX_FAILURE_SHARE;
+    if (nowMs < record.unreachableUntilMs) return true;
+    const isSilent = record.inFlight > 0 &&
+      nowMs - record.lastActivityMs > SILENCE_TIMEOUT_MS;
+    return isSilent || getFailureShare(record) > MAX_FAILURE_SHARE;
   }
 
   return {
-    begin(upstream) {
-      const seen = get(upstream);
-      if (seen.inFlight === 0) seen.lastLifeMs = clock.monotonicMs();
-      seen.inFlight++;
+    beginRequest(upstream) {
+      const record = get(upstream);
+      if (record.inFlight === 0) record.lastActivityMs = clock.monotonicMs();
+      record.inFlight++;
     },
-    end: (upstream) => void get(upstream).inFlight--,
-    noteLife(upstream) {
-      const seen = get(upstream);
-      seen.lastLifeMs = clock.monotonicMs();
-      seen.unreachableMs = UNREACHABLE_MS;
-      seen.unreachableUntilMs = 0;
+    endRequest: (upstream) => void get(upstream).inFlight--,
+    recordActivity(upstream) {
+      const record = get(upstream);
+      record.lastActivityMs = clock.monotonicMs();
+      record.unreachableMs = INITIAL_UNREACHABLE_MS;
+      record.unreachableUntilMs = 0;
     },
-    noteAnswered: (upstream) => noteResult(get(upstream), 0),
-    noteFailed(upstream, failure) {
-      const seen = get(upstream);
+    recordSuccess: (upstream) => recordResult(get(upstream), 0),
+    recordFailure(upstream, failure) {
+      const record = get(upstream);
       if (failure === "failed") {
-        noteResult(seen, 1);
+        recordResult(record, 1);
         return;
       }
-      seen.unreachableUntilMs = clock.monotonicMs() + seen.unreachableMs;
-      seen.unreachableMs = Math.min(
+      record.unreachableUntilMs = clock.monotonicMs() + record.unreachableMs;
+      record.unreachableMs = Math.min(
         MAX_UNREACHABLE_MS,
-        seen.unreachableMs * 2,
+        record.unreachableMs * 2,
       );
     },
     getInFlight: (upstream) => upstreams.get(upstream)?.inFlight ?? 0,
-    isSuspect,
-    filterSound(all) {
-      const sound = all.filter((each) => !isSuspect(each.id));
-      return sound.length > 0 ? sound : all;
+    isUnhealthy,
+    filterHealthy(all) {
+      const healthy = all.filter((each) => !isUnhealthy(each.id));
+      return healthy.length > 0 ? healthy : all;
     },
   };
 }
