--- a/src/claims/claims.ts
+++ b/src/claims/claims.ts
@@ -1,8 +1,9 @@
 /**
- * Claims of idempotency keys: a request that may run at most once writes its
- * claim on the table service before its first byte goes upstream. A claim is
- * given up by its own attempt alone, never by others after some time: a holder
- * that was paused for long may still go on, since nobody else ran its request.
+ * Claims of idempotency keys. A request that may run at most once writes its
+ * claim to the table service before its first byte is sent upstream. Only the
+ * attempt that wrote a claim releases it; no time-out during its retention lets
+ * another attempt acquire it. So a holder that was suspended for long may still
+ * proceed, since no other attempt has run its request.
  *
  * @module
  */
@@ -26,50 +27,56 @@
   RecordedEnd,
 } from "./types.ts";
 
-/** What claims need of the process. */
+/** Dependencies of the claims, supplied by the process. */
 export interface ClaimsHost {
   readonly id: string;
   /** Start of this process in wall milliseconds. */
   readonly incarnation: number;
   readonly clock: Clock;
   readonly tables: TableService;
-  /** A number from 0 up to 1; picks the keys to sweep. */
+  /** Returns a number in [0, 1); selects the keys to sweep. */
   random(): number;
 }
 
 const TABLE = "claims";
 
 /**
- * A key is kept for three days: longer than a weekend, over which a caller's
- * own job queue may hold a resend, and short enough for the table to stay small.
+ * Claims are retained for three days: longer than a weekend, over which a
+ * caller's own job queue may hold a retry, and short enough to keep the table
+ * small.
  */
-export const CLAIM_KEEP_MS = 72 * 3_600_000;
+export const CLAIM_RETENTION_MS = 72 * 3_600_000;
 
-/** Time for a claim, in ms; a caller is not kept waiting for a slow store. */
-export const CLAIM_LIMIT_MS = 1_000;
+/**
+ * Time-out of acquiring a claim; a slow table service must not hold callers.
+ */
+export const CLAIM_TIMEOUT_MS = 1_000;
 
-/** After a failure the store is not asked for so long, in ms. */
-export const STORE_PAUSE_MS = 1_000;
+/** Time after a failure of the table service without new claims, in ms. */
+export const TABLES_BACKOFF_MS = 1_000;
 
-/** First pause between tries to record an end or a release, in ms. */
-const FIRST_PAUSE_MS = 100;
+/** Delay before the first retry of recording an end or a release, in ms. */
+const INITIAL_RETRY_DELAY_MS = 100;
 
-/** Longest pause between tries, in ms. */
-const LONGEST_PAUSE_MS = 10_000;
+/** Upper bound of the delay between retries, in ms. */
+const MAX_RETRY_DELAY_MS = 10_000;
 
-/** Tries to record; with the pauses above they last for six hours. */
-const RECORD_TRIES = 2_160;
+/** Attempts to record; with the delays above they span six hours. */
+const MAX_RECORD_ATTEMPTS = 2_160;
 
-/** The claims are swept in so many parts, so that no list is long. */
+/**
+ * Hexadecimal digits of the key that select the part to sweep: 4096 parts, so
+ * that no list of rows is long.
+ */
 const SWEEP_PREFIX_LENGTH = 3;
 
-/** Makes the claims of one host. */
+/** Creates the claims of one host. */
 export function createClaims(host: ClaimsHost): Claims {
   const commit = createGroupCommit(host.tables);
-  let storePausedUntilMs = 0;
+  let backoffUntilMs = 0;
 
-  function noteFailure(): void {
-    storePausedUntilMs = host.clock.monotonicMs() + STORE_PAUSE_MS;
+  function recordFailure(): void {
+    backoffUntilMs = host.clock.monotonicMs() + TABLES_BACKOFF_MS;
   }
 
   return {
@@ -77,26 +84,26 @@
       createClaim(input, {
         ...host,
         commit,
-        noteFailure,
-        isStorePaused: () => host.clock.monotonicMs() < storePausedUntilMs,
+        recordFailure,
+        isBackingOff: () => host.clock.monotonicMs() < backoffUntilMs,
       }),
     sweep: Effect.suspend(() => sweep(host)),
   };
 }
 
-interface ClaimHost extends ClaimsHost {
+interface ClaimContext extends ClaimsHost {
   readonly commit: GroupCommit;
-  noteFailure(): void;
-  isStorePaused(): boolean;
+  recordFailure(): void;
+  isBackingOff(): boolean;
 }
 
-function createClaim(input: ClaimInput, host: ClaimHost): Claim {
+function createClaim(input: ClaimInput, context: ClaimContext): Claim {
   const key = getClaimKey(input);
-  /** Version of the row that holds this attempt's last write; 0 before it. */
+  /** Row version written by this attempt's last write; 0 before any write. */
   let version = 0;
-  /** True from the first write until its fate is known. */
-  let isInDoubt = false;
-  let isGivenUp = false;
+  /** True from the start of the first write until its outcome is known. */
+  let isWriteUncertain = false;
+  let isReleaseRequested = false;
 
   function createRow(state: ClaimState, end?: RecordedEnd): ClaimRow {
     return {
@@ -104,9 +111,9 @@
       attempt: input.attempt,
       writeId: randomUUID(),
       fingerprint: input.fingerprint,
-      host: host.id,
-      incarnation: host.incarnation,
-      expiresMs: host.clock.wallMs() + CLAIM_KEEP_MS,
+      host: context.id,
+      incarnation: context.incarnation,
+      expiresMs: context.clock.wallMs() + CLAIM_RETENTION_MS,
       ...(end === undefined ? {} : { end }),
     };
   }
@@ -115,79 +122,82 @@
     expectedVersion: number,
     value: ClaimRow,
   ): Effect.Effect<WriteResult> {
-    return host.commit.write({ table: TABLE, key, expectedVersion, value })
+    return context.commit.write({ table: TABLE, key, expectedVersion, value })
       .pipe(Effect.tap((result) =>
         Effect.sync(() => {
           if (result.kind === "committed") version = expectedVersion + 1;
-          if (result.kind === "failed") host.noteFailure();
+          if (result.kind === "failed") context.recordFailure();
         })
       ));
   }
 
-  function takeFrom(expectedVersion: number): Effect.Effect<ClaimResult> {
+  function acquireAt(expectedVersion: number): Effect.Effect<ClaimResult> {
     return write(expectedVersion, createRow("held")).pipe(
       Effect.flatMap((result) => {
         switch (result.kind) {
           case "committed":
-            return settled({ kind: "claimed" });
+            return settle({ kind: "claimed" });
           case "failed":
             return Effect.succeed<ClaimResult>({
               kind: "unavailable",
               reason: result.err.reason,
             });
           case "conflict":
-            // Given up meanwhile: to take the released row again would leave a
-            // claim that nobody uses.
-            return !isGivenUp && isFree(result.row, host.clock.wallMs())
-              ? takeFrom(result.row.version)
-              : settled(toResult(result.row, input));
+            // If this claim was released meanwhile, acquiring the free row
+            // would leave a claim that no attempt uses.
+            return !isReleaseRequested &&
+                isFree(result.row, context.clock.wallMs())
+              ? acquireAt(result.row.version)
+              : settle(toResult(result.row, input));
         }
       }),
     );
   }
 
-  function settled(result: ClaimResult): Effect.Effect<ClaimResult> {
-    isInDoubt = false;
+  function settle(result: ClaimResult): Effect.Effect<ClaimResult> {
+    isWriteUncertain = false;
     return Effect.succeed(result);
   }
 
-  const take = Effect.suspend(() => {
-    if (host.isStorePaused()) {
-      const reason = "The store failed a moment ago";
+  const acquire = Effect.suspend(() => {
+    if (context.isBackingOff()) {
+      const reason = "The table service failed within the last second";
       return Effect.succeed<ClaimResult>({ kind: "unavailable", reason });
     }
-    isInDoubt = true;
-    // The write goes on when its caller is interrupted, and settles the doubt.
-    return waitDetached(takeFrom(0)).pipe(Effect.timeoutOrElse({
-      duration: CLAIM_LIMIT_MS,
+    isWriteUncertain = true;
+    // The write continues if its caller is interrupted, so that its outcome
+    // becomes known.
+    return awaitDetached(acquireAt(0)).pipe(Effect.timeoutOrElse({
+      duration: CLAIM_TIMEOUT_MS,
       orElse: () =>
         Effect.sync((): ClaimResult => {
-          host.noteFailure();
-          const reason = `No reply in ${CLAIM_LIMIT_MS} ms`;
+          context.recordFailure();
+          const reason = `No reply within ${CLAIM_TIMEOUT_MS} ms`;
           return { kind: "unavailable", reason };
         }),
     }));
   });
 
   function record(row: ClaimRow): Effect.Effect<boolean> {
-    const tryOnce = Effect.suspend(() => write(version, row));
-    return retry(tryOnce).pipe(
+    const attemptWrite = Effect.suspend(() => write(version, row));
+    return retry(attemptWrite).pipe(
       Effect.map((result) => result.kind === "committed"),
     );
   }
 
   function release(): Effect.Effect<boolean> {
-    isGivenUp = true;
-    if (version === 0 && !isInDoubt) return Effect.succeed(true);
-    // In doubt, the row is read and overwritten at the version found. When the
-    // first write arrives after that, its version no longer matches.
-    const tryOnce = Effect.gen(function* () {
-      const row = yield* host.tables.get(TABLE, key);
+    isReleaseRequested = true;
+    if (version === 0 && !isWriteUncertain) return Effect.succeed(true);
+    // If the first write is uncertain, the row is read and overwritten at the
+    // version found. If the first write arrives after that, it conflicts, since
+    // its expected version no longer matches.
+    const attemptRelease = Effect.gen(function* () {
+      const row = yield* context.tables.get(TABLE, key);
       const found = row.value as ClaimRow | null;
       const isOther = found !== null && found.attempt !== input.attempt;
-      if (isOther && !isFree(row, host.clock.wallMs())) return released;
+      if (isOther && !isFree(row, context.clock.wallMs())) return committed;
       if (found?.attempt === input.attempt && found.state === "released") {
-        return released;
+        return committed;
       }
       return yield* write(row.version, createRow("released"));
     }).pipe(
@@ -196,21 +206,23 @@
         (err) => Effect.succeed<WriteResult>({ kind: "failed", err }),
       ),
     );
-    return retryUntilCommitted(tryOnce);
+    return retryUntilCommitted(attemptRelease);
   }
 
   return {
-    take,
-    end: (end) => record(createRow("ended", end)),
-    setUnknown: () => record(createRow("unknown")),
+    acquire,
+    recordEnd: (end) => record(createRow("ended", end)),
+    recordUnknown: () => record(createRow("unknown")),
     release,
   };
 }
 
-const released: WriteResult = { kind: "committed" };
+const committed: WriteResult = { kind: "committed" };
 
-/** Runs the effect to its end even when the one who waits is interrupted. */
-function waitDetached<A>(effect: Effect.Effect<A>): Effect.Effect<A> {
+/**
+ * Waits for the effect, which runs to its end even if the wait is interrupted.
+ */
+function awaitDetached<A>(effect: Effect.Effect<A>): Effect.Effect<A> {
   return Effect.callback<A>((resume) => {
     Effect.runFork(effect.pipe(Effect.map((value) => {
       resume(Effect.succeed(value));
@@ -218,32 +230,36 @@
   });
 }
 
-/** Tries again after failures, with growing pauses, and then gives up. */
+/** Retries failures with exponential back-off, up to the limit of attempts. */
 function retry(
-  tryOnce: Effect.Effect<WriteResult>,
+  attemptOnce: Effect.Effect<WriteResult>,
   isDone = (result: WriteResult) => result.kind !== "failed",
 ): Effect.Effect<WriteResult> {
   return Effect.gen(function* () {
-    let result = yield* tryOnce;
-    let pauseMs = FIRST_PAUSE_MS;
-    for (let tries = 1; tries < RECORD_TRIES && !isDone(result); tries++) {
-      yield* Effect.sleep(pauseMs);
-      pauseMs = Math.min(LONGEST_PAUSE_MS, pauseMs * 3);
-      result = yield* tryOnce;
+    let result = yield* attemptOnce;
+    let delayMs = INITIAL_RETRY_DELAY_MS;
+    for (
+      let attempt = 1;
+      attempt < MAX_RECORD_ATTEMPTS && !isDone(result);
+      attempt++
+    ) {
+      yield* Effect.sleep(delayMs);
+      delayMs = Math.min(MAX_RETRY_DELAY_MS, delayMs * 3);
+      result = yield* attemptOnce;
     }
     return result;
   });
 }
 
 function retryUntilCommitted(
-  tryOnce: Effect.Effect<WriteResult>,
+  attemptOnce: Effect.Effect<WriteResult>,
 ): Effect.Effect<boolean> {
-  return retry(tryOnce, (result) => result.kind === "committed").pipe(
+  return retry(attemptOnce, (result) => result.kind === "committed").pipe(
     Effect.map((result) => result.kind === "committed"),
   );
 }
 
-/** The row's key; a digest spreads the rows evenly for the sweep. */
+/** Returns the row's key: a digest, which spreads rows evenly for the sweep. */
 export function getClaimKey(
   input: Omit<ClaimInput, "attempt" | "fingerprint">,
 ): string {
@@ -272,8 +288,8 @@
 }
 
 /**
- * Deletes expired claims of one part of the keys, picked at random: the hosts
- * need not agree on who sweeps what.
+ * Deletes the expired claims of one part of the keys. The part is random, so
+ * that hosts need not agree on who sweeps which part.
  */
 function sweep(host: ClaimsHost): Effect.Effect<number> {
   const parts = 16 ** SWEEP_PREFIX_LENGTH;
--- a/src/router/configuration.ts
+++ b/src/router/configuration.ts
@@ -1,6 +1,7 @@
 /**
- * Joins the watcher of configurations to this process: what it hears from other
- * hosts, whom it asks for files, and how often it reads the store.
+ * Connects the configuration watcher to this process: versions that other hosts
+ * announce, peers from which files are fetched, and how often the platform is
+ * polled.
  *
  * @module
  */
@@ -20,7 +21,7 @@
 import { tryFetchConfiguration } from "../peers/mod.ts";
 import type { ConfigVersion } from "../types.ts";
 
-/** What the configuration's part of a router needs of the process. */
+/** Dependencies of the configuration, supplied by the process. */
 export interface ConfigurationHost {
   readonly clock: Clock;
   readonly store: ConfigStore;
@@ -30,19 +31,19 @@
   onRefused(version: number, reason: string): void;
 }
 
-/** The configuration's part of a router. */
+/** Configuration watcher of one router, with its peers and its poll period. */
 export interface Configuration extends ConfigWatcher {
-  /** Takes in the version that a datagram names. */
-  receiveClaim(claim: VersionClaim, peer: string): void;
-  /** The bytes for a peer that asks for the version in force. */
+  /** Handles a version that a peer announced in a datagram. */
+  receiveAnnouncement(announced: VersionClaim, peer: string): void;
+  /** Returns the encoded copy for a peer that requests the digest. */
   tryEncode(digest: string): Uint8Array | undefined;
-  /** Milliseconds until this host looks at the platform again. */
+  /** Milliseconds until this host polls the platform again. */
   getPollMs(): number;
 }
 
-/** Makes the part; nothing is in force. */
+/** Creates the configuration of one router; no version is in force. */
 export function createConfiguration(host: ConfigurationHost): Configuration {
-  let heardMs = -Infinity;
+  let lastAnnouncementMs = -Infinity;
   let encoded: { digest: string; bytes: Uint8Array } | undefined;
 
   const watcher = createConfigWatcher({
@@ -56,12 +57,12 @@
     onRefused: host.onRefused,
   });
 
-  function tryFetch(peer: string, asked: VersionClaim) {
+  function tryFetch(peer: string, announced: VersionClaim) {
     const member = host.getMembership().getMembers().find((each) =>
       each.host === peer
     );
     if (member === undefined) return Effect.succeed(undefined);
-    const { digest } = asked;
+    const { digest } = announced;
     return Effect.promise(() =>
       tryFetchConfiguration(member.peerAddress, {
         digest,
@@ -69,39 +70,48 @@
       })
     ).pipe(
       Effect.map((fetched) => {
-        const copy = fetched && tryDecodeCopy(fetched.content, asked);
+        const copy = fetched && tryDecodeCopy(fetched.content, announced);
         return copy && { copy, knownHosts: fetched!.knownHosts };
       }),
     );
   }
 
-  /** The own data centre first: the link between regions is paid by volume. */
+  /**
+   * Peers of this data centre first: cross-region traffic is paid by volume.
+   */
   function sortPeers(peers: readonly string[]): readonly string[] {
     const membership = host.getMembership();
     const own = membership.getSelf().dataCentre;
-    const near = new Set(
+    const sameDataCentre = new Set(
       membership.getMembers().filter((each) => each.dataCentre === own)
         .map((each) => each.host),
     );
-    return [...peers].sort((a, b) => Number(near.has(b)) - Number(near.has(a)));
+    return [...peers].sort((a, b) =>
+      Number(sameDataCentre.has(b)) - Number(sameDataCentre.has(a))
+    );
   }
 
-  /** One host of each data centre reads the store often for the others. */
-  function isPicked(): boolean {
+  /**
+   * True for the one host of each data centre that polls the platform often.
+   */
+  function isDesignatedPoller(): boolean {
     const membership = host.getMembership();
     const self = membership.getSelf();
-    const near = membership.getUsable().filter((each) =>
+    const sameDataCentre = membership.getUsable().filter((each) =>
       each.dataCentre === self.dataCentre
     );
-    const picked = tryGetOwner("poll", near.map((each) => each.host));
-    return picked === self.host;
+    const designated = tryGetOwner(
+      "poll",
+      sameDataCentre.map((each) => each.host),
+    );
+    return designated === self.host;
   }
 
   return {
     ...watcher,
-    receiveClaim(claim, peer) {
-      heardMs = host.clock.monotonicMs();
-      watcher.learn(claim, peer);
+    receiveAnnouncement(announced, peer) {
+      lastAnnouncementMs = host.clock.monotonicMs();
+      watcher.learn(announced, peer);
       if (watcher.isBehind()) Effect.runFork(watcher.catchUp());
     },
     tryEncode(digest) {
@@ -115,8 +125,8 @@
     getPollMs: () =>
       getPollMs({
         hasVersion: watcher.getCurrent() !== undefined,
-        isPicked: isPicked(),
-        sinceHeardMs: host.clock.monotonicMs() - heardMs,
+        isPicked: isDesignatedPoller(),
+        sinceHeardMs: host.clock.monotonicMs() - lastAnnouncementMs,
         random: Math.random(),
       }),
   };
--- a/src/router/leaving_test.ts
+++ b/src/router/leaving_upstreams_test.ts
@@ -1,5 +1,5 @@
 /**
- * Tests of what hosts know of leaving upstreams.
+ * Tests of the distribution of leaving upstreams between hosts.
  *
  * @module
  */
@@ -14,7 +14,7 @@
 import { createOwnerFixture } from "../testing/slot_owner_fixture.ts";
 import type { Upstream } from "../types.ts";
 import { pollUpstreamStates, type UpstreamState } from "../upstreams/mod.ts";
-import { createLeavingUpstreams } from "./leaving.ts";
+import { createLeavingUpstreams } from "./leaving_upstreams.ts";
 
 function createFixture(wallMs = 1_000_000) {
   const clock = createManualClock(wallMs);
@@ -23,7 +23,7 @@
   const leaving = createLeavingUpstreams({
     clock,
     spreadFact: (fact) => spread.push(fact),
-    onChange: (upstream, is) => changes.push(`${upstream} ${is}`),
+    onChange: (upstream, isLeaving) => changes.push(`${upstream} ${isLeaving}`),
   });
   return { clock, spread, changes, leaving };
 }
@@ -38,56 +38,58 @@
   };
 }
 
-test("the upstream's word reaches hosts that can't see the list", () => {
-  // An engine says that it leaves; its owner hears it within a second. The
-  // others must know too, or the next owner grants to it again.
+test("an upstream's own report reaches hosts that can't read the list", () => {
+  // An engine reports that it is leaving, and its owner reads this within a
+  // second. Other hosts must know it too, or the next owner would grant its
+  // slots again.
   const owner = createFixture();
   const other = createFixture();
-  owner.leaving.receiveWord("engine-1", true);
+  owner.leaving.receiveReport("engine-1", true);
   for (const fact of owner.spread) other.leaving.receiveFact(fact);
   assert.equal(other.leaving.isLeaving("engine-1"), true);
   assert.deepEqual(other.changes, ["engine-1 true"]);
 });
 
-test("what is known stays while nobody answers", () => {
-  // The list has an outage right after it named an upstream as leaving, and
-  // comes back without an entry for it.
+test("the last known state is kept while the list has no entry", () => {
+  // The list has an outage right after it listed an upstream as leaving, and
+  // returns without an entry for it.
   const { leaving } = createFixture();
-  leaving.receiveList([createListed("leaving")]);
-  leaving.receiveList([]);
+  leaving.receiveMachineList([createListed("leaving")]);
+  leaving.receiveMachineList([]);
   assert.equal(leaving.isLeaving("engine-1"), true);
 });
 
-test("an upstream that is back gets work again, whoever said it left", () => {
-  // Host two's clock is a minute behind host one's: its newer word must still
-  // win everywhere.
+test("an upstream that returned is available again at all hosts", () => {
+  // The clock of host two is a minute behind that of host one. Its newer report
+  // must still replace the older one at both hosts.
   const one = createFixture(1_060_000);
   const two = createFixture(1_000_000);
-  one.leaving.receiveWord("engine-1", true);
+  one.leaving.receiveReport("engine-1", true);
   for (const fact of one.spread) two.leaving.receiveFact(fact);
-  two.leaving.receiveWord("engine-1", false);
+  two.leaving.receiveReport("engine-1", false);
   for (const fact of two.spread) one.leaving.receiveFact(fact);
   assert.equal(one.leaving.isLeaving("engine-1"), false);
   assert.equal(two.leaving.isLeaving("engine-1"), false);
 });
 
-test("the list and the upstream's word count each for itself", () => {
+test("the list and the upstream's own report are tracked separately", () => {
   const { leaving } = createFixture();
-  leaving.receiveList([createListed("leaving")]);
-  leaving.receiveWord("engine-1", false);
+  leaving.receiveMachineList([createListed("leaving")]);
+  leaving.receiveReport("engine-1", false);
   assert.equal(leaving.isLeaving("engine-1"), true);
-  leaving.receiveList([createListed("live")]);
+  leaving.receiveMachineList([createListed("live")]);
   assert.equal(leaving.isLeaving("engine-1"), false);
 });
 
-test("a silent upstream delays no other's word", async () => {
-  // One engine hangs; another one says that it leaves. Asked one after the
-  // other, the second would be heard only after the first one's deadline.
+test("an unresponsive upstream does not delay the reports of others", async () => {
+  // One engine hangs; another one reports that it is leaving. If they were
+  // polled in sequence, the second would be delayed by the first one's
+  // time-out.
   const upstreams = ["engine-1", "engine-2"].map((id) => ({ id }) as Upstream);
-  const said: string[] = [];
-  let answer = (_: UpstreamState | undefined) => {};
-  const silent = new Promise<UpstreamState | undefined>((resolve) =>
-    answer = resolve
+  const reported: string[] = [];
+  let respond = (_: UpstreamState | undefined) => {};
+  const pending = new Promise<UpstreamState | undefined>((resolve) =>
+    respond = resolve
   );
   const state: UpstreamState = {
     running: 0,
@@ -99,39 +101,41 @@
   const polled = Effect.runPromise(pollUpstreamStates({
     getOwned: () => upstreams,
     tryGetState: ({ id }) =>
-      id === "engine-1" ? Effect.promise(() => silent) : Effect.succeed(state),
-    onState: (upstream, { leaving }) => said.push(`${upstream.id} ${leaving}`),
+      id === "engine-1" ? Effect.promise(() => pending) : Effect.succeed(state),
+    onState: (upstream, { leaving }) =>
+      reported.push(`${upstream.id} ${leaving}`),
   }));
   await new Promise((resolve) => setImmediate(resolve));
-  assert.deepEqual(said, ["engine-2 true"]);
-  answer(undefined);
+  assert.deepEqual(reported, ["engine-2 true"]);
+  respond(undefined);
   await polled;
-  assert.deepEqual(said, ["engine-2 true"]);
+  assert.deepEqual(reported, ["engine-2 true"]);
 });
 
 const PERIOD_MS = 500;
-const WORD_POLL_MS = 1_000;
+const STATE_POLL_MS = 1_000;
 
 /**
- * Grants a slot each half second for ten seconds, while the upstream says after
- * one second that it leaves; the owner asks it each second.
+ * Requests a slot every half second for ten seconds. The upstream is leaving
+ * from the first second on, and the owner polls its state every second;
+ * `usesReport` tells whether the owner acts on it.
  */
-function runWhileLeaving(isHeard: boolean): readonly Observation[] {
+function simulateLeaving(usesReport: boolean): readonly Observation[] {
   const { clock, leaving } = createFixture();
   const history: Observation[] = [];
   const startMs = clock.monotonicMs();
   const getAtMs = () => clock.monotonicMs() - startMs;
-  const isLimited = () => isHeard && leaving.isLeaving("engine-1");
+  const isLimited = () => usesReport && leaving.isLeaving("engine-1");
   const { owner, grants } = createOwnerFixture(() => isLimited() ? 0 : 4);
-  for (let turn = 0; turn < 20; turn++) {
+  for (let step = 0; step < 20; step++) {
     clock.advance(PERIOD_MS);
-    const hasWord = getAtMs() >= WORD_POLL_MS;
-    if (getAtMs() === WORD_POLL_MS) {
+    const isReportDue = getAtMs() >= STATE_POLL_MS;
+    if (getAtMs() === STATE_POLL_MS) {
       const kind = "upstream-leaving" as const;
       history.push({ kind, upstream: "engine-1", atMs: getAtMs() });
     }
-    if (hasWord && getAtMs() % WORD_POLL_MS === 0) {
-      leaving.receiveWord("engine-1", true);
+    if (isReportDue && getAtMs() % STATE_POLL_MS === 0) {
+      leaving.receiveReport("engine-1", true);
     }
     const before = grants.length;
     owner.receiveRequest("entry-1", {
@@ -160,14 +164,14 @@
   return history;
 }
 
-test("an owner grants nothing at an upstream that leaves", () => {
-  const history = runWhileLeaving(true);
+test("an owner grants no slots of a leaving upstream", () => {
+  const history = simulateLeaving(true);
   assert.ok(history.some((each) => each.kind === "upstream-ran"));
   assert.deepEqual(checkHistory(history, statedLimits), []);
 });
 
-test("without hearing that it leaves the checker reports the new work", () => {
-  const broken = checkHistory(runWhileLeaving(false), statedLimits);
-  const promises = new Set(broken.map((each) => each.promise));
+test("without the upstream's report the checker finds requests sent to it", () => {
+  const violations = checkHistory(simulateLeaving(false), statedLimits);
+  const promises = new Set(violations.map((each) => each.promise));
   assert.deepEqual([...promises], ["leaving-upstream-gets-nothing"]);
 });
--- a/src/streams/mod.ts
+++ b/src/streams/mod.ts
@@ -1,10 +1,10 @@
 /**
- * Streams of engines: followed without gap or repeat, resumed at any host, and
- * cancelled when nobody wants them.
+ * Event streams of engines: read without gaps or repeated events, resumable at
+ * any host, and cancelled after their callers have disconnected.
  *
  * @module
  */
 
-export * from "./abandon_stream.ts";
+export * from "./cancel_abandoned_stream.ts";
 export * from "./follow_stream.ts";
 export * from "./token.ts";
