--- a/src/fleet/frames.ts
+++ b/src/fleet/frames.ts
@@ -1,5 +1,5 @@
 /**
- * Takes a frame apart and hands each message to its receiver.
+ * Splits a frame into its messages and dispatches each to its handler.
  *
  * @module
  */
@@ -19,8 +19,8 @@
   SlotResult,
 } from "../slots/mod.ts";
 
-/** Where the messages of a frame go. */
-export interface Receivers {
+/** Handlers of the messages in a frame. */
+export interface FrameHandlers {
   onSlotRequest(from: string, req: SlotRequest): void;
   onRelease(from: string, release: Release): void;
   onKeptUses(from: string, uses: KeptUses): void;
@@ -31,17 +31,17 @@
 }
 
 /**
- * Hands on the messages: releases first, since a request in the same frame may
- * get the slot that one frees.
+ * Dispatches the messages of a frame. Releases come first, since a request in
+ * the same frame may get a slot that one of them frees.
  */
 export function receiveFrame(
   from: string,
   frame: Frame,
-  receivers: Receivers,
+  handlers: FrameHandlers,
 ): void {
   for (const release of frame.releases) {
     const result = fromWireResult(release.result);
-    receivers.onRelease(from, { ...release, result });
+    handlers.onRelease(from, { ...release, result });
   }
   for (const { upstream, slots, ...lists } of frame.keptUses) {
     const uses = slots.map((slot, at) => ({
@@ -49,16 +49,16 @@
       firstByteMs: lists.firstByteMs[at] ?? 0,
       tokenIntervalMs: lists.tokenIntervalMs[at] ?? 0,
     }));
-    receivers.onKeptUses(from, { upstream, uses });
+    handlers.onKeptUses(from, { upstream, uses });
   }
-  for (const req of frame.slotRequests) receivers.onSlotRequest(from, req);
-  for (const grant of frame.grants) receivers.onGrant(from, grant);
-  for (const recall of frame.recalls) receivers.onRecall(from, recall);
-  for (const report of frame.counterReports) receivers.onReport(from, report);
-  for (const view of frame.counterViews) receivers.onView(from, view);
+  for (const req of frame.slotRequests) handlers.onSlotRequest(from, req);
+  for (const grant of frame.grants) handlers.onGrant(from, grant);
+  for (const recall of frame.recalls) handlers.onRecall(from, recall);
+  for (const report of frame.counterReports) handlers.onReport(from, report);
+  for (const view of frame.counterViews) handlers.onView(from, view);
 }
 
-/** How a use ended, on the wire. */
+/** Encodes the result of a slot's use. */
 export function toWireResult(result: SlotResult): WireResult {
   switch (result) {
     case "answered":
@@ -70,7 +70,10 @@
   }
 }
 
-/** A result that a later version made up counts as failed. */
+/**
+ * Decodes the result of a slot's use. An unknown value, sent by a newer program
+ * version, counts as failed.
+ */
 function fromWireResult(result: WireResult): SlotResult {
   if (result === WireResult.ANSWERED) return "answered";
   return result === WireResult.UNUSED ? "unused" : "failed";
--- a/src/fleet/placer.ts
+++ b/src/fleet/placer.ts
@@ -1,6 +1,6 @@
 /**
- * Keeps what placement decides from: hints of free slots and this host's order
- * of preference.
+ * Keeps the inputs of placement: hints about free slots, and this host's random
+ * order of preference among upstreams.
  *
  * @module
  */
@@ -9,18 +9,20 @@
 import { getCandidates, getRegion, type Placement } from "../placement/mod.ts";
 import type { FleetHost } from "./types.ts";
 
-/** A hint is of no use after so long, in ms: slots fill within seconds. */
+/**
+ * Time after which a hint is ignored, in ms, since slots fill within seconds.
+ */
 const HINT_MS = 1_000;
 
-/** Placement with its memory. */
+/** Placement with the hints received. */
 export interface Placer {
   getCandidates(service: string): Placement;
   onFreeHint(upstream: string, free: number): void;
 }
 
-/** Makes a placer without hints. */
+/** Creates a placer without hints. */
 export function createPlacer(host: FleetHost): Placer {
-  const hints = new Map<string, { free: number; heardMs: number }>();
+  const hints = new Map<string, { free: number; receivedMs: number }>();
   const preferences = new Map<string, number>();
 
   function getLiveRegions(): ReadonlySet<string> {
@@ -47,7 +49,7 @@
         isRegionReachable: (region) => liveRegions.has(region),
         getFreeSlotsHint(upstream) {
           const hint = hints.get(upstream);
-          if (hint === undefined || nowMs - hint.heardMs > HINT_MS) return 0;
+          if (hint === undefined || nowMs - hint.receivedMs > HINT_MS) return 0;
           return hint.free;
         },
         getTieBreaker: (upstream) =>
@@ -55,6 +57,6 @@
       });
     },
     onFreeHint: (upstream, free) =>
-      void hints.set(upstream, { free, heardMs: host.clock.monotonicMs() }),
+      void hints.set(upstream, { free, receivedMs: host.clock.monotonicMs() }),
   };
 }
--- a/src/membership/membership.ts
+++ b/src/membership/membership.ts
@@ -1,53 +1,60 @@
 /**
- * Failure detection and spread of membership changes by probes: each period a
- * host probes one other host and, when no reply comes, asks two more to probe
- * it. Changes ride on probes and their replies, each a few times, so that the
+ * Failure detection and gossip of membership changes, after the SWIM protocol.
+ * In each period a host probes one other host. When no acknowledgement comes,
+ * it asks two more hosts to probe that host indirectly. Changes are piggybacked
+ * on probes and acknowledgements, each a limited number of times, so that the
  * traffic of a host does not grow with the number of hosts.
  *
- * The platform's list is only a seed: it lags, so it may name a dead host and
- * miss a new one. A listed host becomes a member when it has answered, and a
- * dead one is asked now and then whether it is back.
+ * The platform's list is only a source of seeds, since it lags: it may name a
+ * dead host and miss a new one. A listed host becomes a member when it has
+ * answered a probe. A dead host is probed at intervals, in case it is back.
  *
  * @module
  */
 
 import type { Clock } from "../core/mod.ts";
-import { createBroadcasts } from "./broadcasts.ts";
+import { createGossipQueue } from "./gossip_queue.ts";
 import { createFactStore } from "./facts.ts";
 import { createMemberTable, isUsableMember } from "./member_table.ts";
-import { createProbing } from "./probing.ts";
+import { createProber } from "./prober.ts";
 import { createSuspicion } from "./suspicion.ts";
 import { createSync } from "./sync.ts";
 import type { Fact, Member, MembershipMessage, Seed } from "./types.ts";
 
-/** What the protocol needs of the process. */
+/** Dependencies of the membership protocol that the process provides. */
 export interface MembershipHost {
   readonly clock: Clock;
-  /** Sends one datagram to a member's peer address; loss is expected. */
+  /** Sends one datagram to a peer address; it may be lost. */
   send(peerAddress: string, message: MembershipMessage): void;
-  /** A number from 0 up to 1, for the order of probes. */
+  /** A random number from 0 up to 1, used for the order of probes. */
   random(): number;
   onChange(member: Member): void;
-  /** A fact that is new to this host. */
+  /** Called with each fact that is new to this host. */
   onFact(fact: Fact): void;
-  /** What the host named has in force. */
+  /** Called with the configuration version that host `from` has in force. */
   onConfigVersion(version: number, digest: string, from: string): void;
   getConfigVersion(): { readonly version: number; readonly digest: string };
 }
 
-/** Times of the protocol, in milliseconds, and sizes. */
+/** Timing and sizes of the protocol; times are in ms. */
 export interface MembershipOptions {
   readonly periodMs: number;
-  /** A probe without a reply for so long goes by way of others. */
+  /** Time to wait for an acknowledgement before indirect probes are sent. */
   readonly ackTimeoutMs: number;
-  /** A suspect that is silent for so long is dead. */
+  /** Time without a sign of life after which a suspect is declared dead. */
   readonly suspectTimeoutMs: number;
   readonly indirectProbes: number;
-  /** Bytes of changes and facts in one datagram; keeps it under one packet. */
+  /**
+   * Maximum bytes of updates and facts in one datagram, so that it fits into
+   * one packet.
+   */
   readonly maxPayloadBytes: number;
 }
 
-/** A dead host is known everywhere within about 5 s, at 9 hosts and at 390. */
+/**
+ * With these values all hosts know a dead host within about 5 s, in fleets of 9
+ * and of 390 hosts.
+ */
 export const defaultMembershipOptions: MembershipOptions = {
   periodMs: 500,
   ackTimeoutMs: 200,
@@ -56,56 +63,65 @@
   maxPayloadBytes: 1_100,
 };
 
-/** One host's part in the protocol. */
+/** The membership protocol as one host runs it. */
 export interface Membership {
   getSelf(): Member;
-  /** All members known, dead ones too, this host included. */
+  /** All known members, including dead ones and this host. */
   getMembers(): readonly Member[];
-  /** Members that may get new work: alive or suspect, this host included. */
+  /**
+   * Members that may get new work: those alive or suspect, including this host.
+   */
   getUsable(): readonly Member[];
   isUsable(host: string): boolean;
-  /** Replaces the hosts that the platform's list or the settings name. */
+  /**
+   * Replaces the seeds: the hosts that the platform's list or the settings
+   * name.
+   */
   setSeeds(seeds: readonly Seed[]): void;
-  /** Takes in a member as another host would tell of it. */
-  learn(member: Member): void;
+  /** Applies an update about a member as if another host had sent it. */
+  applyUpdate(member: Member): void;
   receive(message: MembershipMessage, replyAddress: string): void;
-  /** Called once each period. */
+  /** Runs one protocol period; must be called every `periodMs`. */
   tick(): void;
   /**
-   * Spreads a fact to all hosts; each learns it once and keeps it for an hour.
-   * Throws `RangeError` when it is too large for a datagram.
+   * Gossips a fact to all hosts. Each host gets it once and keeps it for an
+   * hour. Throws `RangeError` when the fact is too large for a datagram.
    */
   spreadFact(fact: Fact): void;
   /**
-   * Sends a fact straight to all usable hosts, besides the gossip, for the few
-   * that must be known within one network delay. One datagram for each host.
+   * Gossips a fact and also sends it directly to every peer, one datagram each.
+   * For the few facts that all hosts must know within one network delay.
    */
   pushFact(fact: Fact): void;
-  /** Tells the others that this host takes no new work. */
+  /** Announces that this host takes no new work. */
   leave(): void;
 }
 
-/** Lost hosts are asked whether they are back once in so many periods. */
-const LOST_PERIODS = 4;
+/** An unreachable host is probed once in this many periods. */
+const UNREACHABLE_PROBE_PERIODS = 4;
 
-/** And so many at each period while this host has met nobody. */
+/**
+ * Number of unreachable hosts probed in each period while this host has no
+ * peer.
+ */
 const JOINING_PROBES = 3;
 
 /**
- * A period that took so many times too long shows that this process was stopped
- * or starved: the silence was its own.
+ * A period that is longer than planned by this many periods shows that this
+ * process was stopped or starved, so that missing acknowledgements are its own
+ * fault.
  */
-const PAUSE_PERIODS = 4;
+const PAUSE_THRESHOLD_PERIODS = 4;
 
-/** Bytes of an entry or a fact besides its texts, as encoded. */
+/** Encoded bytes of a member entry or a fact besides its strings. */
 const ENTRY_OVERHEAD_BYTES = 32;
 
-/** Sequence of an acknowledgement that answers no probe. */
-const NO_PROBE = 0;
+/** Sequence number of an acknowledgement that answers no probe. */
+const UNSOLICITED_SEQUENCE = 0;
 
 const MAX_FACT_BYTES = 512;
 
-/** Makes the protocol's state for the host given. */
+/** Creates the membership protocol of the host `self`. */
 export function createMembership(
   self: Member,
   host: MembershipHost,
@@ -114,25 +130,26 @@
   const { clock } = host;
   const table = createMemberTable(self, clock);
   const facts = createFactStore(clock);
-  const updates = createBroadcasts(getSendLimit);
-  const factNews = createBroadcasts(getSendLimit);
+  const memberQueue = createGossipQueue(getSendLimit);
+  const factQueue = createGossipQueue(getSendLimit);
   const suspicion = createSuspicion(options, clock);
   const sync = createSync();
-  const probing = createProbing(options, {
+  const prober = createProber(options, {
     clock,
     random: host.random,
-    getOthers: table.getOthers,
-    tryGetOther: table.tryGetOther,
+    getPeers: table.getPeers,
+    tryGetPeer: table.tryGetPeer,
     send: sendProbe,
-    onSilent: suspect,
+    onProbeFailed: startSuspicion,
   });
   let lastTickMs = clock.monotonicMs();
   let ticks = 0;
-  updates.put(self.host);
+  memberQueue.enqueue(self.host);
 
   /**
-   * Each change is sent a number of times that grows with the logarithm of the
-   * members: enough for it to reach all with high probability.
+   * Number of times that each update is sent. It grows with the logarithm of
+   * the number of members, which is enough to reach all of them with high
+   * probability.
    */
   function getSendLimit(): number {
     return 3 * Math.ceil(Math.log2(table.getCount() + 1));
@@ -140,33 +157,33 @@
 
   function createMessage(
     parts: Partial<MembershipMessage>,
-    about: readonly Member[] = [],
+    entries: readonly Member[] = [],
   ): MembershipMessage {
     const config = host.getConfigVersion();
     const { incarnation } = table.getSelf();
     const message = {
       from: self.host,
       incarnation,
-      sequence: NO_PROBE,
+      sequence: UNSOLICITED_SEQUENCE,
       isAck: false,
       wantsSync: false,
       probeTarget: "",
       configVersion: config.version,
       configDigest: config.digest,
-      updates: about,
+      updates: entries,
       facts: [],
     };
     return { ...message, ...parts };
   }
 
-  /** Adds the news that fits beside the entries that the message has. */
-  function addNews(message: MembershipMessage): MembershipMessage {
+  /** Fills the rest of the message with queued facts and updates. */
+  function addQueuedUpdates(message: MembershipMessage): MembershipMessage {
     let leftBytes = options.maxPayloadBytes;
-    for (const entry of message.updates) leftBytes -= getEntryBytes(entry);
-    const newFacts = factNews.take(leftBytes, getFactBytes)
+    for (const entry of message.updates) leftBytes -= estimateMemberSize(entry);
+    const newFacts = factQueue.take(leftBytes, getFactBytes)
       .map((key) => facts.tryGet(key)!);
     for (const fact of newFacts) leftBytes -= getFactBytes(fact.key);
-    const newEntries = updates.take(leftBytes, getMemberBytes)
+    const newEntries = memberQueue.take(leftBytes, getMemberBytes)
       .map((each) => table.tryGet(each)!);
     return {
       ...message,
@@ -177,19 +194,25 @@
 
   function getMemberBytes(name: string): number {
     const member = table.tryGet(name);
-    return member === undefined ? 0 : getEntryBytes(member);
+    return member === undefined ? 0 : estimateMemberSize(member);
   }
 
   function getFactBytes(key: string): number {
     const fact = facts.tryGet(key);
-    return fact === undefined ? 0 : getSize(fact);
+    return fact === undefined ? 0 : estimateFactSize(fact);
   }
 
   /**
-   * What a host must hear itself: that it is thought dead or suspect, so that it
-   * can say otherwise; and then who says so, so that it learns the sender.
+   * Entries that the target must get in any case. If this host holds the target
+   * for suspect, leaving or dead, or knows another incarnation of it, the
+   * target gets that entry, so that it can refute it, and the sender's entry. A
+   * target that this host does not know gets the sender's entry, so that it can
+   * add the sender.
    */
-  function getAbout(target: string, incarnation?: number): readonly Member[] {
+  function getEntriesFor(
+    target: string,
+    incarnation?: number,
+  ): readonly Member[] {
     const member = table.tryGet(target);
     if (member === undefined) return [table.getSelf()];
     const isOther = incarnation !== undefined &&
@@ -203,24 +226,24 @@
     sequence: number,
     target: string | undefined,
   ): void {
-    const about = [...getAbout(to.host)];
-    const claimed = target === undefined ? undefined : table.tryGet(target);
-    if (claimed !== undefined && claimed.state !== "alive") about.push(claimed);
+    const entries = [...getEntriesFor(to.host)];
+    const member = target === undefined ? undefined : table.tryGet(target);
+    if (member !== undefined && member.state !== "alive") entries.push(member);
     const parts = {
       sequence,
       probeTarget: target ?? "",
-      wantsSync: sync.isWanted(),
+      wantsSync: sync.isNeeded(),
     };
-    host.send(to.peerAddress, addNews(createMessage(parts, about)));
+    host.send(to.peerAddress, addQueuedUpdates(createMessage(parts, entries)));
   }
 
-  function store(member: Member, known: Member | undefined): void {
-    updates.put(member.host);
-    note(member, known);
+  function setAndGossip(member: Member, known: Member | undefined): void {
+    memberQueue.enqueue(member.host);
+    setWithoutGossip(member, known);
   }
 
-  /** Stores without telling others: they have heard it. */
-  function note(member: Member, known: Member | undefined): void {
+  /** Stores an update that need not be gossiped. */
+  function setWithoutGossip(member: Member, known: Member | undefined): void {
     table.set(member);
     suspicion.update(member);
     const isChange = known?.state !== member.state ||
@@ -228,47 +251,56 @@
     if (isChange) host.onChange(member);
   }
 
-  function learn(claim: Member, isNews: boolean): void {
-    if (claim.host === self.host) {
-      refute(claim);
+  function applyUpdate(update: Member, shouldGossip: boolean): void {
+    if (update.host === self.host) {
+      refute(update);
       return;
     }
-    const known = table.tryGet(claim.host);
-    if (!table.add(claim)) return;
-    if (isNews) store(claim, known);
-    else note(claim, known);
+    const known = table.tryGet(update.host);
+    if (!table.merge(update)) return;
+    if (shouldGossip) setAndGossip(update, known);
+    else setWithoutGossip(update, known);
   }
 
   /**
-   * Others may take this host for dead after a cut or a pause, or know a start
-   * of it with a later wall clock. Only the host itself raises its revision and
-   * incarnation, so its word overrides theirs.
+   * Refutes an update about this host. After a network partition or a pause,
+   * others may hold this host for dead, or they may know an earlier run of it
+   * whose wall clock was ahead. Only the host itself raises its revision and
+   * incarnation, so its own entry overrides theirs.
    */
-  function refute(claim: Member): void {
+  function refute(update: Member): void {
     const own = table.getSelf();
-    if (claim.incarnation > own.incarnation) {
-      store({ ...own, incarnation: claim.incarnation + 1, revision: 1 }, own);
+    if (update.incarnation > own.incarnation) {
+      setAndGossip(
+        { ...own, incarnation: update.incarnation + 1, revision: 1 },
+        own,
+      );
       return;
     }
-    const isWorse = claim.state === "dead" || claim.state === "suspect";
-    if (claim.incarnation < own.incarnation || claim.revision < own.revision) {
-      // Answered long ago, but the sender has missed that. It must hear again:
-      // the next datagram, the reply to this one, carries the own entry.
-      updates.put(self.host);
+    const isSuspectOrDead = update.state === "dead" ||
+      update.state === "suspect";
+    if (
+      update.incarnation < own.incarnation || update.revision < own.revision
+    ) {
+      // This host has refuted the update before, and the sender missed that.
+      // The host's entry is queued again, so that the next datagram, which is
+      // the reply to this one, contains it.
+      memberQueue.enqueue(self.host);
       return;
     }
-    // A leaving host that others took for alive again must not stay so.
-    const isAhead = claim.revision > own.revision;
-    if (!isWorse && !isAhead) return;
-    store({ ...own, revision: claim.revision + 1 }, own);
+    // A revision that this host has not set itself must be overridden even if
+    // the state is better: others may hold a leaving host for alive.
+    const isAhead = update.revision > own.revision;
+    if (!isSuspectOrDead && !isAhead) return;
+    setAndGossip({ ...own, revision: update.revision + 1 }, own);
   }
 
-  function suspect(target: string): void {
+  function startSuspicion(target: string): void {
     const member = table.tryGet(target);
     if (member === undefined) return;
     suspicion.start(target);
     if (member.state === "alive") {
-      store({ ...member, state: "suspect" }, member);
+      setAndGossip({ ...member, state: "suspect" }, member);
     }
   }
 
@@ -276,53 +308,59 @@
     for (const target of suspicion.takeExpired()) {
       const member = table.tryGet(target);
       if (member === undefined || member.state === "dead") continue;
-      store({ ...member, state: "dead" }, member);
+      setAndGossip({ ...member, state: "dead" }, member);
     }
   }
 
-  /** Asks each suspect itself, so that it hears of it and can say otherwise. */
+  /**
+   * Probes suspects directly, so that each learns of the suspicion and can
+   * refute it.
+   */
   function probeSuspects(): void {
     for (const target of suspicion.getDueForProbe()) {
       const member = table.tryGet(target);
-      if (member !== undefined) probing.check(member);
+      if (member !== undefined) prober.probeOnce(member);
     }
   }
 
   /**
-   * After a cut each side holds the other for dead, and the list may name hosts
-   * that were never met. Nobody else would ask them again.
+   * Probes unreachable hosts. After a network partition each side holds the
+   * other for dead, and the platform's list may name hosts that have never
+   * answered. No other part of the protocol would probe them again.
    */
-  function probeLost(): void {
-    const isAlone = table.getOthers().length === 0;
-    if (!isAlone && ticks % LOST_PERIODS !== 0) return;
-    const lost = table.getLost();
+  function probeUnreachable(): void {
+    const isAlone = table.getPeers().length === 0;
+    if (!isAlone && ticks % UNREACHABLE_PROBE_PERIODS !== 0) return;
+    const unreachable = table.getUnreachable();
     const count = isAlone ? JOINING_PROBES : 1;
-    const first = Math.floor(host.random() * lost.length);
-    for (let each = 0; each < Math.min(count, lost.length); each++) {
-      probing.check(lost[(first + each) % lost.length]!);
+    const first = Math.floor(host.random() * unreachable.length);
+    for (let each = 0; each < Math.min(count, unreachable.length); each++) {
+      prober.probeOnce(unreachable[(first + each) % unreachable.length]!);
     }
   }
 
   /**
-   * This process was stopped: what it waited for came meanwhile and was lost. It
-   * must not judge others by its own silence, nor trust what it knew before.
+   * Detects that this process was stopped and resets its timers.
+   * Acknowledgements that came meanwhile were lost, so missing ones say nothing
+   * about other hosts. The known state may be outdated, so a full sync is
+   * requested.
    */
-  function forgivePause(nowMs: number): void {
+  function recoverFromPause(nowMs: number): void {
     const pausedMs = nowMs - lastTickMs - options.periodMs;
-    if (pausedMs < PAUSE_PERIODS * options.periodMs) return;
-    probing.forgetAll();
-    suspicion.postpone(pausedMs);
-    sync.want();
+    if (pausedMs < PAUSE_THRESHOLD_PERIODS * options.periodMs) return;
+    prober.cancelAll();
+    suspicion.extendTimeouts(pausedMs);
+    sync.restart();
   }
 
   function sendSync(): void {
-    const take = (keys: readonly string[]) => {
+    const createSyncMessage = (keys: readonly string[]) => {
       const entries = keys.flatMap((key) => table.tryGet(key) ?? []);
       const known = keys.flatMap((key) => facts.tryGet(key) ?? []);
       return createMessage({ isAck: true, facts: known }, entries);
     };
     for (const { address, keys } of sync.takeChunks(options, getKeyBytes)) {
-      host.send(address, take(keys));
+      host.send(address, createSyncMessage(keys));
     }
   }
 
@@ -332,56 +370,63 @@
 
   function receive(message: MembershipMessage, replyAddress: string): void {
     if (message.from === self.host) return;
-    // All that a host knows, sent to one that asked, is old news.
-    const isNews = message.sequence !== NO_PROBE;
-    for (const update of message.updates) learn(update, isNews);
+    // A full sync repeats old state, which must not be gossiped again.
+    const shouldGossip = message.sequence !== UNSOLICITED_SEQUENCE;
+    for (const update of message.updates) applyUpdate(update, shouldGossip);
     for (const fact of message.facts) {
       if (!facts.add(fact)) continue;
-      factNews.put(fact.key);
+      factQueue.enqueue(fact.key);
       host.onFact(fact);
     }
     const { configVersion, configDigest, from, sequence } = message;
     host.onConfigVersion(configVersion, configDigest, from);
     if (message.wantsSync) {
       const keys = table.getAll().map((each) => each.host);
-      sync.add(replyAddress, [...keys, ...facts.getKeys()]);
+      sync.enqueue(replyAddress, [...keys, ...facts.getKeys()]);
     }
     if (message.isAck) receiveAck(message);
     else if (!tryRelay(message, replyAddress)) {
-      const about = getAbout(from, message.incarnation);
-      const ack = createMessage({ isAck: true, sequence }, about);
-      host.send(replyAddress, addNews(ack));
+      const entries = getEntriesFor(from, message.incarnation);
+      const ack = createMessage({ isAck: true, sequence }, entries);
+      host.send(replyAddress, addQueuedUpdates(ack));
     }
   }
 
   function tryRelay(message: MembershipMessage, replyAddress: string): boolean {
     const target = table.tryGet(message.probeTarget);
     if (target === undefined || target.host === self.host) return false;
-    probing.relay(target, { address: replyAddress, ...message });
+    prober.probeOnBehalf(target, { address: replyAddress, ...message });
     return true;
   }
 
   function receiveAck(message: MembershipMessage): void {
-    const { relay, probed } = probing.takeAck(message.sequence);
-    if (relay !== undefined) {
-      // With the target's entry, so that a suspect's word gets through.
-      const about = table.tryGet(message.from);
-      const parts = { isAck: true, sequence: relay.sequence };
-      const entries = about === undefined ? [] : [about];
-      host.send(relay.address, addNews(createMessage(parts, entries)));
+    const { requester, probed } = prober.completeProbe(message.sequence);
+    if (requester !== undefined) {
+      // Includes the target's entry, so that its refutation reaches the
+      // requester.
+      const sender = table.tryGet(message.from);
+      const parts = { isAck: true, sequence: requester.sequence };
+      const entries = sender === undefined ? [] : [sender];
+      host.send(
+        requester.address,
+        addQueuedUpdates(createMessage(parts, entries)),
+      );
     }
     if (probed === undefined) return;
-    sync.countContact(message.from);
-    // A leaving host that answers is still there; a suspect has just said so
-    // itself by a higher revision, which came with this acknowledgement.
+    sync.recordContact(message.from);
+    // A leaving host that answers is still running. A suspect that answers has
+    // already refuted the suspicion by a higher revision, which this
+    // acknowledgement contained.
     if (table.tryGet(probed)?.state === "leaving") suspicion.stop(probed);
   }
 
   function addFact(fact: Fact): void {
-    if (getSize(fact) > MAX_FACT_BYTES) {
-      throw new RangeError(`The fact "${fact.key}" is too large`);
+    if (estimateFactSize(fact) > MAX_FACT_BYTES) {
+      throw new RangeError(
+        `The fact "${fact.key}" is too large for a datagram`,
+      );
     }
-    if (facts.add(fact)) factNews.put(fact.key);
+    if (facts.add(fact)) factQueue.enqueue(fact.key);
   }
 
   return {
@@ -393,45 +438,45 @@
       return member !== undefined && isUsableMember(member);
     },
     setSeeds: table.setSeeds,
-    learn: (member) => learn(member, true),
+    applyUpdate: (member) => applyUpdate(member, true),
     receive,
     tick() {
       const nowMs = clock.monotonicMs();
-      forgivePause(nowMs);
+      recoverFromPause(nowMs);
       lastTickMs = nowMs;
       ticks++;
-      probing.checkSilent();
+      prober.checkTimeouts();
       expireSuspects();
-      probing.probeNext();
+      prober.probeNext();
       probeSuspects();
-      probeLost();
+      probeUnreachable();
       sendSync();
-      table.forgetDead();
+      table.removeExpiredDead();
       facts.expire();
     },
     spreadFact: addFact,
     pushFact(fact) {
       addFact(fact);
-      // As an acknowledgement of no probe, which asks for no reply.
+      // Sent as an unsolicited acknowledgement, which gets no reply.
       const message = createMessage({ isAck: true, facts: [fact] });
-      for (const member of table.getOthers()) {
+      for (const member of table.getPeers()) {
         host.send(member.peerAddress, message);
       }
     },
     leave() {
       const own = table.getSelf();
       const revision = own.revision + 1;
-      store({ ...own, state: "leaving", revision }, own);
+      setAndGossip({ ...own, state: "leaving", revision }, own);
     },
   };
 }
 
-function getEntryBytes(member: Member): number {
+function estimateMemberSize(member: Member): number {
   const { host, dataCentre, peerAddress, publicAddress } = member;
   return ENTRY_OVERHEAD_BYTES + host.length + dataCentre.length +
     peerAddress.length + publicAddress.length;
 }
 
-function getSize(fact: Fact): number {
+function estimateFactSize(fact: Fact): number {
   return ENTRY_OVERHEAD_BYTES + fact.key.length + fact.value.length;
 }
