--- a/src/forwarding/upstream_signals.ts
+++ b/src/forwarding/upstream_signals.ts
@@ -50,7 +50,10 @@
   host.backoffs.record(head.upstream, backoff.ms);
 }
 
-/** Fields of the log line that describe the signal. */
+/**
+ * Fields of the log line that describe the signal. The log calls a back-off
+ * "rest".
+ */
 interface SignalFields {
   readonly said: "leaving" | "rest" | "unreadable-rest";
   readonly restMs?: number;
