--- a/src/entry/entry.ts
+++ b/src/entry/entry.ts
@@ -121,7 +121,7 @@
     clock,
     mayBeFull: () => fullHosts.mayBeFull(getAlive()),
     onDecision({ isFull, meanTurnMs }) {
-      peers.membership.pushFact(fullHosts.createFact(isFull));
+      peers.membership.broadcastFact(fullHosts.createFact(isFull));
       log({
         event: "intake-changed",
         isFull,
@@ -180,7 +180,7 @@
   });
   const crashes = createCrashWatch({
     clock,
-    broadcastFact: (fact) => peers.membership.pushFact(fact),
+    broadcastFact: (fact) => peers.membership.broadcastFact(fact),
     onSuspected: (fingerprint, count) =>
       log({
         event: "content-suspected",
@@ -199,8 +199,8 @@
     onPlatformRestored: () => registration.refresh(),
     onFetched: (table, outcome) => metrics.observeFetch(table, outcome),
     getHosts: () => getAlive().map((each) => each.peerAddress),
-    pushFact: (fact) => peers.membership.pushFact(fact),
-    spreadFact: (fact) => peers.membership.spreadFact(fact),
+    pushFact: (fact) => peers.membership.broadcastFact(fact),
+    spreadFact: (fact) => peers.membership.gossipFact(fact),
     fetchTable: (name, peer) => peers.fetchTable(name, peer),
   });
   const drain = createDrain({
--- a/src/measure/scale.ts
+++ b/src/measure/scale.ts
@@ -217,7 +217,7 @@
 function measureFact(fixture: MembershipFixture): number {
   const { agenda, names } = fixture;
   const startMs = agenda.clock.monotonicMs();
-  fixture.get(names.at(-1)!).spreadFact({ key: "a", version: 1, value: "x" });
+  fixture.get(names.at(-1)!).gossipFact({ key: "a", version: 1, value: "x" });
   const others = names.length - 3 - 1;
   while (
     fixture.countFacts("a") < others &&
--- a/src/membership/membership.ts
+++ b/src/membership/membership.ts
@@ -87,12 +87,12 @@
    * Gossips a fact to all hosts. Each host gets it once and keeps it for an
    * hour. Throws `RangeError` when the fact is too large for a datagram.
    */
-  spreadFact(fact: Fact): void;
+  gossipFact(fact: Fact): void;
   /**
    * Gossips a fact and also sends it directly to every peer, one datagram each.
    * For the few facts that all hosts must know within one network delay.
    */
-  pushFact(fact: Fact): void;
+  broadcastFact(fact: Fact): void;
   /** Announces that this host takes no new work. */
   leave(): void;
 }
@@ -454,8 +454,8 @@
       table.removeExpiredDead();
       facts.expire();
     },
-    spreadFact: addFact,
-    pushFact(fact) {
+    gossipFact: addFact,
+    broadcastFact(fact) {
       addFact(fact);
       // Sent as an unsolicited acknowledgement, which gets no reply.
       const message = createMessage({ isAck: true, facts: [fact] });
--- a/src/membership/membership_test.ts
+++ b/src/membership/membership_test.ts
@@ -103,7 +103,7 @@
       version++;
       for (const name of fixture.names.slice(0, 10)) {
         const fact = { key: `report/${name}`, version, value: "r".repeat(150) };
-        fixture.get(name).spreadFact(fact);
+        fixture.get(name).gossipFact(fact);
       }
     });
     getTimeUntil(
@@ -309,7 +309,7 @@
 
 test("a fact reaches all of 390 hosts", () => {
   const fixture = createMembershipFixture({ hosts: 390, seed: 1, loss: 0.02 });
-  fixture.get("entry-9").spreadFact({ key: "a", version: 1, value: "x" });
+  fixture.get("entry-9").gossipFact({ key: "a", version: 1, value: "x" });
   const tookMs = getTimeUntil(
     fixture,
     () => fixture.countFacts("a") === 389,
@@ -320,7 +320,7 @@
 
 test("a host that starts later gets the known facts", () => {
   const fixture = createMembershipFixture({ hosts: 20, seed: 1, loss: 0.02 });
-  fixture.get("entry-9").spreadFact({ key: "a", version: 1, value: "x" });
+  fixture.get("entry-9").gossipFact({ key: "a", version: 1, value: "x" });
   run(fixture, 60_000);
   fixture.restart("entry-2", 2);
   run(fixture, 10_000);
@@ -336,7 +336,7 @@
     });
     for (let each = 0; each < 30; each++) {
       const value = "x".repeat(200);
-      fixture.get("entry-1").spreadFact({ key: `f${each}`, version: 1, value });
+      fixture.get("entry-1").gossipFact({ key: `f${each}`, version: 1, value });
     }
     fixture.setCut(true);
     run(fixture, 10_000);
--- a/src/router/router.ts
+++ b/src/router/router.ts
@@ -123,7 +123,7 @@
 
   const leavingUpstreams = createLeavingUpstreams({
     clock,
-    spreadFact: (fact) => membership.spreadFact(fact),
+    spreadFact: (fact) => membership.gossipFact(fact),
     onChange(upstream, isLeaving) {
       reporter.upstreamLeaving(upstream, isLeaving);
       fleet.reconcile();
--- a/src/router/serving.ts
+++ b/src/router/serving.ts
@@ -73,8 +73,9 @@
     clock,
     tables: platform.tables,
     commit: createGroupCommit(platform.tables),
-    gossip: (record) => membership.spreadFact(createCrashFact(record, clock)),
-    broadcast: (record) => membership.pushFact(createCrashFact(record, clock)),
+    gossip: (record) => membership.gossipFact(createCrashFact(record, clock)),
+    broadcast: (record) =>
+      membership.broadcastFact(createCrashFact(record, clock)),
     onQuarantined: reporter.contentQuarantined,
     countHosts: () => membership.getMembers().length,
     isAnyHostUnreachable: parts.isAnyHostUnreachable,
