--- a/src/fleet/counter_exchange.ts
+++ b/src/fleet/counter_exchange.ts
@@ -158,9 +158,9 @@
     const message = counters.tryGetReport();
     if (message === undefined || parent === undefined) return;
     if (parent === host.id) {
-      const above = getNode(service, level).counters;
+      const parentCounters = getNode(service, level).counters;
       const name = getChildName(host.id, node.level);
-      counters.receiveView(above.receiveReport(name, message));
+      counters.receiveView(parentCounters.receiveReport(name, message));
     } else {
       const childLevel = node.level;
       transport.sendReport(parent, { service, level, childLevel, message });
--- a/src/fleet/fleet_faults_test.ts
+++ b/src/fleet/fleet_faults_test.ts
@@ -144,10 +144,14 @@
         }
         nowMs += 35_000 + RECOVERY_MS;
         agenda.runUntil(nowMs);
-        const lost = fixture.getRequests().filter((req) =>
+        const unfinished = fixture.getRequests().filter((req) =>
           isOpen(req) && !restarted.has(req.host)
         );
-        assert.deepEqual(lost.map((req) => req.id), [], "requests never ended");
+        assert.deepEqual(
+          unfinished.map((req) => req.id),
+          [],
+          "requests never ended",
+        );
         assert.deepEqual(getInFlight(fixture), [0, 0, 0, 0]);
         for (const each of fixture.hosts) {
           for (const owned of each.fleet.getOwned()) {
--- a/src/membership/membership_test.ts
+++ b/src/membership/membership_test.ts
@@ -163,10 +163,10 @@
     );
     run(fixture, 10_000);
     assert.equal(countFalseDeaths(fixture, ["entry-5"]), 0);
-    const blamed = fixture.changes.filter(({ by, member }) =>
+    const declaredDead = fixture.changes.filter(({ by, member }) =>
       by === "entry-5" && member.state === "dead"
     );
-    assert.deepEqual(blamed, []);
+    assert.deepEqual(declaredDead, []);
   }
 });
 
