--- a/src/membership/membership.ts
+++ b/src/membership/membership.ts
@@ -89,8 +89,9 @@
    */
   gossipFact(fact: Fact): void;
   /**
-   * Gossips a fact and also sends it directly to every peer, one datagram each.
-   * For the few facts that all hosts must know within one network delay.
+   * Gossips a fact and also sends it directly to every peer, in one datagram
+   * each. Meant for the few facts that all hosts must know within one network
+   * delay.
    */
   broadcastFact(fact: Fact): void;
   /** Announces that this host takes no new work. */
@@ -203,8 +204,8 @@
   }
 
   /**
-   * Entries that the target must get in any case. If this host holds the target
-   * for suspect, leaving or dead, or knows another incarnation of it, the
+   * Entries that the target must get in any case. If this host considers the
+   * target suspect, leaving or dead, or knows another incarnation of it, the
    * target gets that entry, so that it can refute it, and the sender's entry. A
    * target that this host does not know gets the sender's entry, so that it can
    * add the sender.
@@ -264,8 +265,8 @@
 
   /**
    * Refutes an update about this host. After a network partition or a pause,
-   * others may hold this host for dead, or they may know an earlier run of it
-   * whose wall clock was ahead. Only the host itself raises its revision and
+   * other hosts may consider this host dead, or they may know an earlier run of
+   * it whose wall clock was ahead. Only the host itself raises its revision and
    * incarnation, so its own entry overrides theirs.
    */
   function refute(update: Member): void {
@@ -289,7 +290,7 @@
       return;
     }
     // A revision that this host has not set itself must be overridden even if
-    // the state is better: others may hold a leaving host for alive.
+    // the state is better: other hosts may consider a leaving host alive.
     const isAhead = update.revision > own.revision;
     if (!isSuspectOrDead && !isAhead) return;
     setAndGossip({ ...own, revision: update.revision + 1 }, own);
@@ -324,8 +325,8 @@
   }
 
   /**
-   * Probes unreachable hosts. After a network partition each side holds the
-   * other for dead, and the platform's list may name hosts that have never
+   * Probes unreachable hosts. After a network partition each side considers the
+   * other dead, and the platform's list may name hosts that have never
    * answered. No other part of the protocol would probe them again.
    */
   function probeUnreachable(): void {
--- a/src/membership/membership_test.ts
+++ b/src/membership/membership_test.ts
@@ -205,7 +205,7 @@
 });
 
 test("regions rejoin after a network partition of an hour", () => {
-  // Guards against regions that hold each other for dead and never probe each
+  // Guards against regions that consider each other dead and never probe each
   // other again, so that they stay two fleets until every host is restarted. Of
   // 50 seeds, with these one host stayed out, because of the fault that the
   // next test guards against.
--- a/src/membership/types.ts
+++ b/src/membership/types.ts
@@ -14,9 +14,9 @@
 export interface Member {
   readonly host: string;
   /**
-   * Wall-clock time of the host's start, in ms, which tells a restarted host
-   * from its previous run. A host whose clock went back between two starts
-   * raises it above the value that the others know.
+   * Wall-clock time of the host's start, in ms, which distinguishes a restarted
+   * host from its previous run. A host whose clock went back between two starts
+   * raises it above the value that the other hosts know.
    */
   readonly incarnation: number;
   /**
