--- a/src/membership/membership_test.ts
+++ b/src/membership/membership_test.ts
@@ -103,7 +103,7 @@
       version++;
       for (const name of fixture.names.slice(0, 10)) {
         const fact = { key: `report/${name}`, version, value: "r".repeat(150) };
-        fixture.get(name).spreadFact(fact);
+        fixture.get(name).gossipFact(fact);
       }
     });
     getTimeUntil(
@@ -163,10 +163,10 @@
     );
     run(fixture, 10_000);
     assert.equal(countFalseDeaths(fixture, ["entry-5"]), 0);
-    const blamed = fixture.changes.filter(({ by, member }) =>
+    const declaredDead = fixture.changes.filter(({ by, member }) =>
       by === "entry-5" && member.state === "dead"
     );
-    assert.deepEqual(blamed, []);
+    assert.deepEqual(declaredDead, []);
   }
 });
 
@@ -205,7 +205,7 @@
 });
 
 test("regions rejoin after a network partition of an hour", () => {
-  // Guards against regions that hold each other for dead and never probe each
+  // Guards against regions that consider each other dead and never probe each
   // other again, so that they stay two fleets until every host is restarted. Of
   // 50 seeds, with these one host stayed out, because of the fault that the
   // next test guards against.
@@ -309,7 +309,7 @@
 
 test("a fact reaches all of 390 hosts", () => {
   const fixture = createMembershipFixture({ hosts: 390, seed: 1, loss: 0.02 });
-  fixture.get("entry-9").spreadFact({ key: "a", version: 1, value: "x" });
+  fixture.get("entry-9").gossipFact({ key: "a", version: 1, value: "x" });
   const tookMs = getTimeUntil(
     fixture,
     () => fixture.countFacts("a") === 389,
@@ -320,7 +320,7 @@
 
 test("a host that starts later gets the known facts", () => {
   const fixture = createMembershipFixture({ hosts: 20, seed: 1, loss: 0.02 });
-  fixture.get("entry-9").spreadFact({ key: "a", version: 1, value: "x" });
+  fixture.get("entry-9").gossipFact({ key: "a", version: 1, value: "x" });
   run(fixture, 60_000);
   fixture.restart("entry-2", 2);
   run(fixture, 10_000);
@@ -336,7 +336,7 @@
     });
     for (let each = 0; each < 30; each++) {
       const value = "x".repeat(200);
-      fixture.get("entry-1").spreadFact({ key: `f${each}`, version: 1, value });
+      fixture.get("entry-1").gossipFact({ key: `f${each}`, version: 1, value });
     }
     fixture.setCut(true);
     run(fixture, 10_000);
