--- a/src/router/upstream_watch.ts
+++ b/src/router/upstream_reconciliation.ts
@@ -1,6 +1,7 @@
 /**
- * What this host does for the upstreams that it owns, each second: asks for
- * their state, spreads that they leave, and gives the orders that they need.
+ * Periodic work for the upstreams that this host owns, each second: polls their
+ * states, reports whether they are leaving, and sends the orders that they
+ * need.
  *
  * @module
  */
@@ -11,7 +12,7 @@
 import type { Logger } from "../diagnostics/mod.ts";
 import {
   createLeases,
-  createOrders,
+  createOrderReconciler,
   createReservations,
   sendOrder,
 } from "../orders/mod.ts";
@@ -20,32 +21,32 @@
 import type { Upstream } from "../types.ts";
 import { pollUpstreamStates, tryGetUpstreamState } from "../upstreams/mod.ts";
 
-/** What the watch needs of the process. */
-export interface UpstreamWatchHost {
+/** Dependencies of the task, supplied by the process. */
+export interface UpstreamReconciliationHost {
   readonly id: string;
   readonly clock: Clock;
   readonly platform: Platform;
   readonly recorder: Recorder;
   readonly logger: Logger;
   getOwned(): readonly Upstream[];
-  /** A host that is leaving begins no order: it may not see its end. */
-  mayGiveOrders(): boolean;
-  onWord(upstream: string, leaving: boolean): void;
-  /** Tells a failure of the platform and never fails. */
-  watchPlatform<A>(call: Effect.Effect<A, PlatformError>): Effect.Effect<void>;
+  /** False on a host that is leaving: it may exit before an order has ended. */
+  maySendOrders(): boolean;
+  onLeavingReport(upstream: string, leaving: boolean): void;
+  /** Reports a failure of the platform and never fails. */
+  reportFailure<A>(call: Effect.Effect<A, PlatformError>): Effect.Effect<void>;
 }
 
-/** Makes the task of one turn; never fails. */
-export function createUpstreamWatch(
-  host: UpstreamWatchHost,
+/** Creates the effect of one run, which never fails. */
+export function createUpstreamReconciliation(
+  host: UpstreamReconciliationHost,
 ): Effect.Effect<void> {
   const { id, clock, platform } = host;
-  const orders = createOrders({
+  const reconciler = createOrderReconciler({
     leases: createLeases({
       id,
       clock,
       tables: platform.tables,
-      createAttempt: randomUUID,
+      createAttemptId: randomUUID,
     }),
     reservations: createReservations({
       clock,
@@ -54,7 +55,7 @@
     }),
     tryGetState: tryGetUpstreamState,
     sendOrder,
-    onGiven(upstream, { order, token, result }) {
+    onOrderResult(upstream, { order, token, result }) {
       host.logger.write("info", "orderGiven", {
         args: [upstream, order, result],
         fields: { upstream },
@@ -73,9 +74,9 @@
     getOwned: host.getOwned,
     tryGetState: tryGetUpstreamState,
     onState(upstream, state) {
-      host.onWord(upstream.id, state.leaving);
-      if (!host.mayGiveOrders()) return;
-      Effect.runFork(host.watchPlatform(orders.reconcile(upstream, state)));
+      host.onLeavingReport(upstream.id, state.leaving);
+      if (!host.maySendOrders()) return;
+      Effect.runFork(host.reportFailure(reconciler.reconcile(upstream, state)));
     },
   });
 }
