--- a/src/admission/retry_budget.ts
+++ b/src/admission/retry_budget.ts
@@ -1,96 +1,100 @@
 /**
- * Limits retries to a share of a team's successes for a service, and a small
- * reserve of the host.
+ * Limits retries to a share of a team's successes for a service, plus a small
+ * reserve of each host.
  *
  * Load: an upstream or a whole service fails, and every request is retried, at
- * every host at once. Harm prevented: retries multiply the load on what is left
- * until nothing succeeds. No host asks another: each keeps to its share of its
- * own successes, so the fleet does too. Over any time of length t, with N
- * successes in it and in the 10 s before it, a host makes at most
- * `0.1 N + 5 + t / 10 s` retries, whatever the number of teams; and a team's
- * successes pay for no other team's retries.
+ * all hosts at once. Harm prevented: retries multiply the load on the remaining
+ * upstreams until no request succeeds. Hosts need no coordination for this:
+ * each limits its retries to a share of its own successes, and so the fleet
+ * keeps the same share. In any period t, with N successes in it and in the 10 s
+ * before it, a host makes at most `0.1 N + 5 + t / 10 s` retries, whatever the
+ * number of teams; and the successes of one team pay for no retries of another.
  *
  * @module
  */
 
 import { type Clock, getOrCreate } from "../core/mod.ts";
 
-/** Retries earned by one success: one retry for ten successes. */
-const EARNED_PER_SUCCESS = 0.1;
+/** Retries earned by one success: ten successes earn one retry. */
+const CREDIT_PER_SUCCESS = 0.1;
 
 /**
- * What was earned fades over so long: a day of successes must not pay for a
- * flood of retries in the minute of the outage.
+ * Time constant of the exponential decay of earned retries. A day of successes
+ * must not pay for a burst of retries in the minute of an outage.
  */
-const MEMORY_MS = 10_000;
+const CREDIT_DECAY_MS = 10_000;
 
 /**
- * Retries of the host that no success has paid for, so that a team which sends
- * a request an hour can be retried at all. One reserve for the host and not for
- * each team and service: 290 teams and 11 services would make 3,190 of them.
+ * Retries of a host that need no earlier success, so that a team that sends one
+ * request per hour gets retries at all. There is one reserve for the host
+ * rather than one for each team and service: with 290 teams and 11 services
+ * these would be 3,190 reserves.
  */
 const RESERVE = 5;
 
-/** The reserve grows by one in so long; over 390 hosts 39 retries a second. */
+/**
+ * Time in which the reserve is refilled by one retry. Over 390 hosts that
+ * allows 39 retries per second.
+ */
 const RESERVE_REFILL_MS = 10_000;
 
-/** The budgets of one host, by team and service. */
+/** The retry budgets of one host, by team and service. */
 export interface RetryBudget {
   recordSuccess(team: string, service: string): void;
-  /** Takes one retry from the budget; false when there is none. */
+  /** Takes one retry from the budget or the reserve; false if none is left. */
   tryTake(team: string, service: string): boolean;
 }
 
 interface Budget {
-  saved: number;
-  atMs: number;
+  credit: number;
+  updatedMs: number;
 }
 
-/** Sizes of the budgets. */
+/** Limits of the budgets. */
 export interface RetryBudgetOptions {
   /** Retries earned by one success. */
-  readonly earnedPerSuccess: number;
-  /** Retries of this host that no success has paid for. */
+  readonly creditPerSuccess: number;
+  /** Size of this host's reserve, in retries. */
   getReserve(): number;
-  /** The reserve is full again after so long, in ms. */
+  /** Time in which an empty reserve is refilled, in ms. */
   readonly reserveRefillMs: number;
 }
 
 const defaultOptions: RetryBudgetOptions = {
-  earnedPerSuccess: EARNED_PER_SUCCESS,
+  creditPerSuccess: CREDIT_PER_SUCCESS,
   getReserve: () => RESERVE,
   reserveRefillMs: RESERVE * RESERVE_REFILL_MS,
 };
 
-/** Limit on retries over all hosts, of one service. */
+/** Limit on the retries of one service over all hosts. */
 export interface FleetRetryLimit {
-  /** Retries for each request of the window. */
+  /** Retries per request in any period of `windowMs`. */
   readonly share: number;
   readonly windowMs: number;
-  /** Besides the share, over all hosts. */
+  /** Retries in addition to the share, over all hosts. */
   readonly reserve: number;
 }
 
 /**
- * Part of the fleet's limit that is used: hosts count apart, what they earned
- * fades only in the window after it, and a host that starts anew has a full
- * reserve again.
+ * Share of the fleet's limit that the hosts use. The rest is a margin: hosts
+ * count separately, earned retries decay only in the window after the
+ * successes, and a restarted host has a full reserve.
  */
-const FLEET_USE = 0.45;
+const FLEET_LIMIT_SHARE = 0.45;
 
-/** The options of one of so many hosts that together keep to the limit. */
-export function getFleetOptions(
+/** Returns the options with which all hosts together keep the limit. */
+export function getFleetRetryOptions(
   limit: FleetRetryLimit,
   countHosts: () => number,
 ): RetryBudgetOptions {
   return {
-    earnedPerSuccess: limit.share * FLEET_USE,
-    getReserve: () => limit.reserve * FLEET_USE / countHosts(),
+    creditPerSuccess: limit.share * FLEET_LIMIT_SHARE,
+    getReserve: () => limit.reserve * FLEET_LIMIT_SHARE / countHosts(),
     reserveRefillMs: limit.windowMs,
   };
 }
 
-/** Makes budgets with nothing earned and a full reserve. */
+/** Creates budgets without earned retries and with a full reserve. */
 export function createRetryBudget(
   clock: Clock,
   options: RetryBudgetOptions = defaultOptions,
@@ -99,21 +103,25 @@
   let reserve = options.getReserve();
   let reserveAtMs = clock.monotonicMs();
 
-  /** The budget as it stands now, with what has faded taken off. */
+  /** Returns the budget after applying the decay up to now. */
   function getBudget(team: string, service: string): Budget {
     const nowMs = clock.monotonicMs();
     const key = `${team}/${service}`;
-    const budget = getOrCreate(budgets, key, () => ({ saved: 0, atMs: nowMs }));
-    budget.saved *= Math.exp(-(nowMs - budget.atMs) / MEMORY_MS);
-    budget.atMs = nowMs;
+    const budget = getOrCreate(
+      budgets,
+      key,
+      () => ({ credit: 0, updatedMs: nowMs }),
+    );
+    budget.credit *= Math.exp(-(nowMs - budget.updatedMs) / CREDIT_DECAY_MS);
+    budget.updatedMs = nowMs;
     return budget;
   }
 
   function tryTakeReserve(): boolean {
     const nowMs = clock.monotonicMs();
-    const full = options.getReserve();
-    const grown = (nowMs - reserveAtMs) * full / options.reserveRefillMs;
-    reserve = Math.min(full, reserve + grown);
+    const capacity = options.getReserve();
+    const refilled = (nowMs - reserveAtMs) * capacity / options.reserveRefillMs;
+    reserve = Math.min(capacity, reserve + refilled);
     reserveAtMs = nowMs;
     if (reserve < 1) return false;
     reserve--;
@@ -122,12 +130,12 @@
 
   return {
     recordSuccess(team, service) {
-      getBudget(team, service).saved += options.earnedPerSuccess;
+      getBudget(team, service).credit += options.creditPerSuccess;
     },
     tryTake(team, service) {
       const budget = getBudget(team, service);
-      if (budget.saved < 1) return tryTakeReserve();
-      budget.saved--;
+      if (budget.credit < 1) return tryTakeReserve();
+      budget.credit--;
       return true;
     },
   };
--- a/src/commands/apply.ts
+++ b/src/commands/apply.ts
@@ -1,7 +1,7 @@
 /**
- * `azurestile-apply DIR`: checks a whole set of files, shows its difference to
- * the newest accepted version, has it accepted on top of exactly that version,
- * and waits until the hosts have it in force.
+ * `azurestile-apply DIR`: checks a set of files, prints its difference to the
+ * newest accepted version, has it accepted on top of exactly that version, and
+ * waits until all live hosts have it in force.
  *
  * @module
  */
@@ -40,26 +40,26 @@
   ...fleetArgs,
   "dry-run": {
     type: "boolean",
-    description: "Check and show the difference only",
+    description: "Only check the files and print the difference",
   },
   base: {
     type: "string",
     valueHint: "VERSION",
     description: "Apply only on top of this version, as shown by --dry-run " +
-      "(else the newest)",
+      "(default: the newest)",
   },
   wait: {
     type: "string",
     default: "15",
     valueHint: "SECONDS",
-    description: "How long to wait until every host has it in force",
+    description: "How long to wait until every host has the version in force",
   },
 } as const;
 
-/** Times that an attempt is sent when its answer is lost. */
+/** How often an attempt is sent in total if its responses are lost. */
 const MAX_SENDS = 3;
-const RESEND_PAUSE_MS = 1_000;
-const POLL_MS = 250;
+const RESEND_DELAY_MS = 1_000;
+const POLL_PERIOD_MS = 250;
 
 /** The program. */
 export const applyProgram: Program<typeof args> = {
@@ -81,7 +81,7 @@
     const newest = await router.get<ConfigAnswer>("/ops/config");
     const newestVersion = newest.row?.version ?? 0;
     if (newest.row?.digest === getFileSetDigest(files)) {
-      print(`Version ${newestVersion} is this set of files already`);
+      print(`Version ${newestVersion} already has this set of files`);
       return await waitForHosts(host, fleet, {
         version: newestVersion,
         waitMs,
@@ -90,7 +90,7 @@
     print(`Difference to version ${newestVersion}:`);
     printChanges(print, newest.files, files);
     if (options["dry-run"]) {
-      print(`Not applied; go on with --base ${newestVersion}`);
+      print(`Not applied; to apply it, use --base ${newestVersion}`);
       return "ok";
     }
     const baseVersion = options.base === undefined
@@ -118,19 +118,22 @@
   for (const line of changes) print(`  ${line}`);
 }
 
-/** Gives `undefined` for a conflict, which has been told by then. */
+/** Returns `undefined` for a conflict, after printing its details. */
 async function tryApply(
   host: ProgramHost,
   router: OperatorClient,
   body: Omit<ApplyBody, "attempt">,
 ): Promise<VersionRow | undefined> {
   try {
-    return await send(host, router, { ...body, attempt: randomUUID() });
+    return await sendWithRetries(host, router, {
+      ...body,
+      attempt: randomUUID(),
+    });
   } catch (err) {
     const isConflict = err instanceof OperatorCallError && err.status === 409;
     if (!isConflict) throw err;
     host.printError(`azurestile-apply: ${err.reason}`);
-    await explainConflict(host, router, body.baseVersion);
+    await printConflict(host, router, body.baseVersion);
     const { overlapping = [] } = err.answer as Partial<ConflictDetails>;
     for (const each of overlapping) {
       host.printError(`You both changed ${formatEntry(each)}`);
@@ -140,10 +143,10 @@
 }
 
 /**
- * An answer can be lost after the version was accepted. The same attempt is
- * sent again then: the record knows it and answers with the same version.
+ * Sends an attempt again if its response is lost. The version may have been
+ * accepted; the record recognises the attempt id and returns that version.
  */
-async function send(
+async function sendWithRetries(
   host: ProgramHost,
   router: OperatorClient,
   body: ApplyBody,
@@ -152,17 +155,17 @@
     try {
       return await router.post<VersionRow>("/ops/config", body);
     } catch (err) {
-      const mayGoOn = err instanceof OperatorCallError &&
+      const isRetryable = err instanceof OperatorCallError &&
         (err.status === 0 || err.status >= 500);
-      if (!mayGoOn || sends >= MAX_SENDS) throw err;
+      if (!isRetryable || sends >= MAX_SENDS) throw err;
       host.printError(`azurestile-apply: ${err.reason}; sending again`);
-      await host.sleep(RESEND_PAUSE_MS);
+      await host.sleep(RESEND_DELAY_MS);
     }
   }
 }
 
-/** Says who was first, and what of theirs differs from the version seen. */
-async function explainConflict(
+/** Prints who applied the newest version, and how it differs from the base. */
+async function printConflict(
   { printError }: ProgramHost,
   router: OperatorClient,
   baseVersion: number,
@@ -173,19 +176,19 @@
   const time = new Date(row.acceptedMs).toISOString();
   printError(`Version ${row.version} by ${row.author} at ${time} came first.`);
   if (baseVersion === 0 || baseVersion > row.version) return;
-  const seen = await router.get<ConfigAnswer>(
+  const base = await router.get<ConfigAnswer>(
     `/ops/config?version=${baseVersion}`,
   );
-  if (seen.files === undefined) return;
+  if (base.files === undefined) return;
   const changes = formatDifferences(
-    decodeFileSet(seen.files),
+    decodeFileSet(base.files),
     decodeFileSet(files),
   );
   printError(`It differs from version ${baseVersion}, which you saw:`);
   for (const line of changes) printError(`  ${line}`);
 }
 
-/** Waits until every live host has the version, or a later one, in force. */
+/** Waits until every live host has the version or a later one in force. */
 async function waitForHosts(
   host: ProgramHost,
   fleet: FleetClient,
@@ -194,8 +197,8 @@
   const { print, printError } = host;
   const startMs = host.nowMs();
   while (true) {
-    const answers = await fleet.askAll<HostStatus>("/ops/status");
-    const late = answers.flatMap((answer) => {
+    const answers = await fleet.queryAllHosts<HostStatus>("/ops/status");
+    const outdated = answers.flatMap((answer) => {
       if (answer.kind === "silent") {
         return [`${answer.host}: no answer: ${answer.reason}`];
       }
@@ -205,7 +208,7 @@
       return [`${answer.host}: version ${configVersion} is in force${why}`];
     });
     const tookMs = host.nowMs() - startMs;
-    if (late.length === 0) {
+    if (outdated.length === 0) {
       const seconds = (tookMs / 1000).toFixed(1);
       const hosts = answers.map((answer) => answer.host).join(", ");
       print(
@@ -215,11 +218,11 @@
       return "ok";
     }
     if (tookMs >= waitMs) {
-      const count = answers.length - late.length;
+      const count = answers.length - outdated.length;
       printError(`In force at ${count} of ${answers.length} hosts only:`);
-      for (const line of late) printError(`  ${line}`);
+      for (const line of outdated) printError(`  ${line}`);
       return "notInForce";
     }
-    await host.sleep(POLL_MS);
+    await host.sleep(POLL_PERIOD_MS);
   }
 }
--- a/src/commands/events.ts
+++ b/src/commands/events.ts
@@ -1,5 +1,5 @@
 /**
- * Asks all hosts for their events, and says which did not answer.
+ * Fetches the events of all hosts.
  *
  * @module
  */
@@ -14,20 +14,23 @@
 import type { FleetClient, HostAnswer } from "./fleet_client.ts";
 import type { ProgramHost } from "./program.ts";
 
-/** Asks every host, and says which did not answer. */
-export async function askForEvents(
+/** Fetches the events of every host; prints which hosts did not answer. */
+export async function fetchEvents(
   host: ProgramHost,
   fleet: FleetClient,
   filter: EventFilter,
-): Promise<{ events: readonly TimelineEvent[]; isWhole: boolean }> {
-  const answers = await fleet.askAll<TimelineAnswer>(
+): Promise<{ events: readonly TimelineEvent[]; isComplete: boolean }> {
+  const answers = await fleet.queryAllHosts<TimelineAnswer>(
     `/ops/timeline?${toQuery(filter)}`,
   );
-  return { events: takeEvents(answers), isWhole: tellSilent(host, answers) };
+  return {
+    events: mergeAnswers(answers),
+    isComplete: reportSilentHosts(host, answers),
+  };
 }
 
-/** The events of all answers in causal order. */
-export function takeEvents(
+/** Merges the events of all answers in causal order. */
+export function mergeAnswers(
   answers: readonly HostAnswer<TimelineAnswer>[],
 ): readonly TimelineEvent[] {
   return mergeEvents(
@@ -35,14 +38,14 @@
   );
 }
 
-/** Gives true when no host was silent. */
-function tellSilent(
+/** Prints the hosts that did not answer; returns whether all answered. */
+function reportSilentHosts(
   { printError }: ProgramHost,
   answers: readonly HostAnswer<unknown>[],
 ): boolean {
   const silent = answers.flatMap((each) =>
     each.kind === "silent" ? [`${each.host}: ${each.reason}`] : []
   );
-  for (const line of silent) printError(`No answer of ${line}`);
+  for (const line of silent) printError(`No answer from ${line}`);
   return silent.length === 0;
 }
--- a/src/commands/explain.ts
+++ b/src/commands/explain.ts
@@ -1,6 +1,6 @@
 /**
- * `azurestile-explain REQUEST`: why a request was admitted, queued, refused,
- * placed, shifted or retried, in sentences from the time line of all hosts.
+ * `azurestile-explain REQUEST`: explains from the events of all hosts why a
+ * request was admitted, queued, refused, placed, shifted or retried.
  *
  * @module
  */
@@ -8,14 +8,14 @@
 import { explainStory } from "../timeline/mod.ts";
 import { createClientFromOptions, fleetArgs } from "./options.ts";
 import type { Program } from "./program.ts";
-import { askForStory } from "./request_story.ts";
+import { fetchStory } from "./request_story.ts";
 
 const args = {
   request: {
     type: "positional",
     required: true,
-    description: 'The id from the answer\'s header "azurestile-request"; ' +
-      "its start is enough",
+    description: 'The id in the response\'s header "azurestile-request", ' +
+      "or a prefix of it",
   },
   ...fleetArgs,
 } as const;
@@ -23,13 +23,17 @@
 /** The program. */
 export const explainProgram: Program<typeof args> = {
   name: "azurestile-explain",
-  description: "Explains what was decided about a request, and why",
+  description: "Explains the decisions about a request",
   args,
   exits: ["notFound", "partial", "unreachable", "keyRefused"],
   async run(options, host) {
     const fleet = createClientFromOptions(options, host);
-    const { story, isWhole } = await askForStory(host, fleet, options.request);
+    const { story, isComplete } = await fetchStory(
+      host,
+      fleet,
+      options.request,
+    );
     for (const line of explainStory(story)) host.print(line);
-    return isWhole ? "ok" : "partial";
+    return isComplete ? "ok" : "partial";
   },
 };
--- a/src/commands/router.ts
+++ b/src/commands/router.ts
@@ -1,5 +1,6 @@
 /**
- * `azurestile-router`: runs one router until it is told to stop, then drains.
+ * `azurestile-router`: runs one router until it gets a stop signal, then
+ * drains.
  *
  * @module
  */
@@ -22,36 +23,36 @@
   },
 } as const;
 
-/** How the HTTP, UDP and gRPC sockets say that an address can't be had. */
+/** Errors of HTTP, UDP and gRPC sockets for an address that can't be bound. */
 const LISTEN_FAILURE = /EADDR|EACCES|No address added/;
 
 /** The program. */
 export const routerProgram: Program<typeof args> = {
   name: "azurestile-router",
-  description: "Routes requests of teams to upstreams, with fair shares",
+  description: "Routes requests of teams to upstreams, with fair sharing",
   args,
   exits: [],
   async run(options) {
     const settings = readSettings(options.settings);
     const logger = createLogger(settings.host, settings.logLevel);
     const router = await start(settings, logger);
-    await waitForStop(() => stopAtOnce(router, logger));
+    await waitForStopSignal(() => stopImmediately(router, logger));
     const { cut } = await router.drain();
     await router[Symbol.asyncDispose]();
-    // A library's open handle must not keep a drained host alive.
-    process.exit(getStopCode(cut));
+    // An open handle of a library must not keep a drained process running.
+    process.exit(getExitCode(cut));
   },
 };
 
-/** Answers that were cut, by the drain limit or a second signal, are a failure. */
-function getStopCode(cut: number): number {
+/** Responses cut off by the drain limit or a second signal are a failure. */
+function getExitCode(cut: number): number {
   return exitCodes[cut > 0 ? "failed" : "ok"].code;
 }
 
-function stopAtOnce(router: Router, logger: Logger): void {
+function stopImmediately(router: Router, logger: Logger): void {
   const inFlight = router.countInFlight();
   logger.write("warn", "stoppedAtOnce", { args: [inFlight] });
-  process.exit(getStopCode(inFlight));
+  process.exit(getExitCode(inFlight));
 }
 
 async function start(
@@ -72,12 +73,12 @@
   }
 }
 
-/** Succeeds at the first signal; each later one calls `onSecond`. */
-function waitForStop(onSecond: () => void): Promise<void> {
+/** Resolves at the first signal; each later one calls `onSecondSignal`. */
+function waitForStopSignal(onSecondSignal: () => void): Promise<void> {
   let isStopping = false;
   return new Promise((resolve) => {
     const onSignal = () => {
-      if (isStopping) onSecond();
+      if (isStopping) onSecondSignal();
       isStopping = true;
       resolve();
     };
--- a/src/commands/status.ts
+++ b/src/commands/status.ts
@@ -1,6 +1,6 @@
 /**
- * `azurestile-status`: what is in force where, hosts, upstreams, queues and
- * shares, put together from what every host says of itself.
+ * `azurestile-status`: prints configuration versions, hosts, upstreams, queues
+ * and shares of the teams, combined from the status of every host.
  *
  * @module
  */
@@ -16,12 +16,12 @@
 /** The program. */
 export const statusProgram: Program<typeof args> = {
   name: "azurestile-status",
-  description: "Shows what is in force where, upstreams, queues and shares",
+  description: "Shows versions in force, hosts, upstreams, queues and shares",
   args,
   exits: ["partial", "unreachable", "keyRefused"],
   async run(options, host) {
     const fleet = createClientFromOptions(options, host);
-    const answers = await fleet.askAll<HostStatus>("/ops/status");
+    const answers = await fleet.queryAllHosts<HostStatus>("/ops/status");
     const { print } = host;
     if (options.json) print(JSON.stringify({ hosts: answers }, undefined, 2));
     else print(formatStatus(answers));
@@ -29,7 +29,7 @@
   },
 };
 
-/** The whole status as text. */
+/** Formats the status of the fleet as text. */
 export function formatStatus(
   answers: readonly HostAnswer<HostStatus>[],
 ): string {
@@ -53,7 +53,7 @@
   return sections.map(([title, text]) => `${title}\n${text}`).join("\n\n");
 }
 
-/** One line that says whether all hosts agree. */
+/** Formats how many hosts have the newest version in force. */
 function formatInForce(statuses: readonly HostStatus[]): string {
   const versions = new Set(statuses.map((each) => each.configVersion));
   const [version = 0] = [...versions].sort((a, b) => b - a);
@@ -70,13 +70,15 @@
     }
     const { value } = answer;
     const own = value.members.find((each) => each.host === value.host);
-    const seen = value.members.filter((each) => each.state === "alive").length;
+    const aliveCount = value.members.filter((each) =>
+      each.state === "alive"
+    ).length;
     return [
       value.host,
       value.dataCentre,
       value.draining ? "draining" : own?.state ?? "",
       value.configVersion,
-      seen,
+      aliveCount,
       value.notReady ?? "ready",
     ];
   });
@@ -133,7 +135,7 @@
   return formatTable(["service", "team", "host", "waiting"], rows);
 }
 
-/** What each team had of each service, beside its share by weight. */
+/** Formats each team's share of each service beside its share by weight. */
 function formatShares(
   newest: HostStatus,
   statuses: readonly HostStatus[],
--- a/src/commands/timeline.ts
+++ b/src/commands/timeline.ts
@@ -1,6 +1,6 @@
 /**
- * `azurestile-timeline`: the events of all processes in causal order, as lines,
- * as JSON lines or as a picture.
+ * `azurestile-timeline`: prints the events of all processes in causal order, as
+ * text or JSON lines, or draws them as an SVG picture.
  *
  * @module
  */
@@ -17,18 +17,18 @@
   toQuery,
 } from "../timeline/mod.ts";
 import { createUsageError } from "./errors.ts";
-import { askForEvents, takeEvents } from "./events.ts";
+import { fetchEvents, mergeAnswers } from "./events.ts";
 import type { FleetClient } from "./fleet_client.ts";
 import { createClientFromOptions, fleetArgs, jsonArg } from "./options.ts";
 import type { Program, ProgramHost } from "./program.ts";
-import { askForStory } from "./request_story.ts";
+import { fetchStory } from "./request_story.ts";
 
 const args = {
   ...fleetArgs,
   request: {
     type: "string",
     valueHint: "ID",
-    description: "Only this request and what bears on it; the start is enough",
+    description: "Only this request, by its id or a prefix, and related events",
   },
   team: { type: "string", description: "Only this team" },
   upstream: { type: "string", description: "Only this upstream" },
@@ -36,24 +36,29 @@
   kind: {
     type: "string",
     valueHint: "KIND,KIND",
-    description: "Only these kinds, as request-refused",
+    description: "Only these kinds, such as request-refused",
   },
   since: {
     type: "string",
     valueHint: "TIME",
-    description: "From then on: 30s, 10m, 2h ago or 2026-01-31T10:00:00Z",
+    description:
+      "Only from this time: an age (30s, 10m, 2h) or 2026-01-31T10:00:00Z",
   },
-  until: { type: "string", valueHint: "TIME", description: "Until then" },
-  follow: { type: "boolean", description: "Go on with new events" },
+  until: {
+    type: "string",
+    valueHint: "TIME",
+    description: "Only before this time",
+  },
+  follow: { type: "boolean", description: "Keep printing new events" },
   ...jsonArg,
   svg: {
     type: "string",
     valueHint: "FILE",
-    description: "Write a picture: a lane for each process",
+    description: "Write a picture with a lane for each process",
   },
 } as const;
 
-const FOLLOW_MS = 1_000;
+const FOLLOW_PERIOD_MS = 1_000;
 const UNIT_MS: Readonly<Record<string, number>> = {
   s: 1_000,
   m: 60_000,
@@ -82,18 +87,18 @@
     };
     if (options.follow) {
       const followed = { ...filter, request: options.request };
-      return await follow(host, fleet, { filter: followed, print });
+      return await followEvents(host, fleet, { filter: followed, print });
     }
-    const { events, isWhole } = await getEvents(host, fleet, {
+    const { events, isComplete } = await getEvents(host, fleet, {
       request: options.request,
       filter,
     });
     if (options.svg === undefined) print(events);
     else {
-      writePicture(options.svg, events, options.request);
+      writeSvg(options.svg, events, options.request);
       host.print(`Wrote ${events.length} events to ${options.svg}`);
     }
-    return isWhole ? "ok" : "partial";
+    return isComplete ? "ok" : "partial";
   },
 };
 
@@ -102,18 +107,20 @@
   fleet: FleetClient,
   { request, filter }: { request: string | undefined; filter: EventFilter },
 ) {
-  if (request === undefined) return await askForEvents(host, fleet, filter);
-  const { story, isWhole } = await askForStory(host, fleet, request);
-  const events = story.all.filter((event) => matchesFilter(event, filter));
-  return { events, isWhole };
+  if (request === undefined) return await fetchEvents(host, fleet, filter);
+  const { story, isComplete } = await fetchStory(host, fleet, request);
+  const events = story.allEvents.filter((event) =>
+    matchesFilter(event, filter)
+  );
+  return { events, isComplete };
 }
 
 /**
- * Prints events as they come. An event is held back until every host has said
- * that nothing earlier is still to come; else an effect could be printed before
- * its cause, which another host tells a moment later.
+ * Prints new events continuously. An event is held back until every host that
+ * answers has reported all earlier events. Otherwise an effect could be printed
+ * before its cause, which another host reports a moment later.
  */
-async function follow(
+async function followEvents(
   host: ProgramHost,
   fleet: FleetClient,
   { filter, print }: {
@@ -122,24 +129,24 @@
   },
 ): Promise<never> {
   const cursors = new Map<string, number>();
-  let held: readonly TimelineEvent[] = [];
+  let pending: readonly TimelineEvent[] = [];
   while (true) {
     const members = await fleet.getMembers();
     const answers = await Promise.all(members.map((member) => {
       const after = cursors.get(member.host) ?? 0;
       const query = toQuery({ ...filter, after });
-      return fleet.askHost<TimelineAnswer>(member, `/ops/timeline?${query}`);
+      return fleet.queryHost<TimelineAnswer>(member, `/ops/timeline?${query}`);
     }));
-    let complete = Infinity;
+    let completeUntil = Infinity;
     for (const answer of answers) {
       if (answer.kind === "silent") continue;
       cursors.set(answer.host, answer.value.until);
-      complete = Math.min(complete, answer.value.until);
+      completeUntil = Math.min(completeUntil, answer.value.until);
     }
-    const merged = mergeEvents([held, takeEvents(answers)]);
-    print(merged.filter((event) => event.at <= complete));
-    held = merged.filter((event) => event.at > complete);
-    await host.sleep(FOLLOW_MS);
+    const merged = mergeEvents([pending, mergeAnswers(answers)]);
+    print(merged.filter((event) => event.at <= completeUntil));
+    pending = merged.filter((event) => event.at > completeUntil);
+    await host.sleep(FOLLOW_PERIOD_MS);
   }
 }
 
@@ -147,18 +154,18 @@
   return JSON.stringify(event);
 }
 
-function writePicture(
+function writeSvg(
   file: string,
   events: readonly TimelineEvent[],
   request: string | undefined,
 ): void {
   const title = request === undefined
-    ? `Time line, ${events.length} events`
+    ? `Timeline, ${events.length} events`
     : `Request ${request}`;
   writeFileSync(file, createLanesSvg(events, title));
 }
 
-/** A time as wall milliseconds: an age, or a date. */
+/** Reads an age or a date as milliseconds since the epoch. */
 function readTime(name: string, text: string | undefined): number | undefined {
   if (text === undefined) return undefined;
   const age = /^(\d+)([smh])$/.exec(text);
--- a/src/config/load.ts
+++ b/src/config/load.ts
@@ -1,6 +1,6 @@
 /**
- * Reads declarative files and settings: TOML text to checked values. Nothing
- * here touches the network, so `azurestile-check` uses the same code offline.
+ * Reads and checks the declarative TOML files and the settings of a process.
+ * The module does not use the network, so `azurestile-check` runs it offline.
  *
  * @module
  */
@@ -11,7 +11,7 @@
 import type { Deployment } from "../types.ts";
 import { getDeploymentProblems, getSettingsProblems } from "./cross_checks.ts";
 import { decodeFile } from "./decode.ts";
-import { ConfigError, type ConfigProblem, throwIfAny } from "./errors.ts";
+import { ConfigError, type ConfigProblem, throwIfProblems } from "./errors.ts";
 import {
   type DeploymentFile,
   deploymentFiles,
@@ -21,10 +21,10 @@
   tableFields,
 } from "./schema.ts";
 
-/** Texts of the deployment's files by name. */
+/** Texts of a deployment's files, by file name. */
 export type FileSet = Readonly<Record<string, string>>;
 
-/** Reads a deployment's folder; throws `ConfigError` for missing files. */
+/** Reads the files of a folder; throws `ConfigError` for unreadable ones. */
 export function readFileSet(folder: string): FileSet {
   const files: Record<string, string> = {};
   const problems: ConfigProblem[] = [];
@@ -33,16 +33,16 @@
     try {
       files[name] = readFileSync(file, "utf8");
     } catch (err) {
-      problems.push(createUnreadable(file, err));
+      problems.push(createUnreadableProblem(file, err));
     }
   }
-  throwIfAny(problems);
+  throwIfProblems(problems);
   return files;
 }
 
 /**
- * Decodes and cross-checks a set of files; throws `ConfigError` with all that
- * is wrong. What crosses files is checked once each file by itself is right.
+ * Decodes and cross-checks a set of files; throws `ConfigError` with all their
+ * problems. The cross-checks run only if each file is valid by itself.
  */
 export function decodeFileSet(files: FileSet): Deployment {
   const problems: ConfigProblem[] = [];
@@ -52,13 +52,13 @@
     if (decoded.kind === "wrong") problems.push(...decoded.problems);
     else Object.assign(merged, decoded.value);
   }
-  throwIfAny(problems);
+  throwIfProblems(problems);
   const deployment = merged as unknown as Deployment;
-  throwIfAny(getDeploymentProblems(deployment));
+  throwIfProblems(getDeploymentProblems(deployment));
   return deployment;
 }
 
-/** The digest that names a set of files, whatever the order of its names. */
+/** The digest that identifies a set of files; their order does not matter. */
 export function getFileSetDigest(files: FileSet): string {
   const ordered = deploymentFiles.map((name) => [name, files[name] ?? ""]);
   return getDigest(JSON.stringify(ordered));
@@ -70,7 +70,7 @@
     return decodeSettings(file, readFileSync(file, "utf8"));
   } catch (err) {
     if (err instanceof ConfigError) throw err;
-    throw new ConfigError({ problems: [createUnreadable(file, err)] });
+    throw new ConfigError({ problems: [createUnreadableProblem(file, err)] });
   }
 }
 
@@ -85,13 +85,16 @@
   if (decoded.kind === "wrong") {
     throw new ConfigError({ problems: decoded.problems });
   }
-  throwIfAny(getSettingsProblems(file, decoded.value));
+  throwIfProblems(getSettingsProblems(file, decoded.value));
   return decoded.value;
 }
 
 function decodeDeploymentFile(name: DeploymentFile, text: string | undefined) {
   if (text === undefined) {
-    const problem = createUnreadable(name, "it is not in the set");
+    const problem = createUnreadableProblem(
+      name,
+      "the set of files does not contain it",
+    );
     return { kind: "wrong" as const, problems: [problem] };
   }
   return decodeFile<typeof fileSchemas[DeploymentFile]>({
@@ -102,7 +105,7 @@
   });
 }
 
-function createUnreadable(file: string, err: unknown): ConfigProblem {
+function createUnreadableProblem(file: string, err: unknown): ConfigProblem {
   const reason = err instanceof Error ? err.message : String(err);
   return { file, message: "configFileUnreadable", args: [reason] };
 }
--- a/src/config/reference.ts
+++ b/src/config/reference.ts
@@ -1,6 +1,6 @@
 /**
- * The reference of all keys as Markdown tables, made from the schemas, so that
- * docs/CONFIGURATION.md can't differ from what is checked.
+ * Generates the reference of all keys in docs/CONFIGURATION.md as Markdown
+ * tables from the schemas, so that the page agrees with the checks.
  *
  * @module
  */
@@ -9,7 +9,7 @@
 import type { Field } from "./fields.ts";
 import { tableFields } from "./schema.ts";
 
-/** All tables, each under a heading with its file and its name. */
+/** Formats all tables, each under a heading with its file and its name. */
 export function createReference(): string {
   return Object.entries(tableFields).flatMap(([file, tables]) =>
     Object.entries(tables).map(([path, fields]) => {
@@ -29,16 +29,16 @@
 }
 
 function createHeading(file: string, path: string): string {
-  const where = file === "settings" ? "Settings of a router" : `\`${file}\``;
-  if (path === "") return `${where}, top`;
+  const title = file === "settings" ? "Settings of a router" : `\`${file}\``;
+  if (path === "") return `${title}, top`;
   const table = path.split(".").map(toSnakeCase).join(".");
-  return `${where}, \`[[${table}]]\``;
+  return `${title}, \`[[${table}]]\``;
 }
 
 function createRow(key: string, field: Field): string {
-  const { about, allowed, unit, defaultValue } = field.doc;
+  const { description, allowed, unit, defaultValue } = field.doc;
   const fallback = defaultValue === undefined
     ? "needed"
     : `\`${defaultValue}\``;
-  return `| \`${key}\` | ${about} | ${allowed} | ${unit} | ${fallback} |`;
+  return `| \`${key}\` | ${description} | ${allowed} | ${unit} | ${fallback} |`;
 }
--- a/src/config/watcher.ts
+++ b/src/config/watcher.ts
@@ -1,19 +1,21 @@
 /**
- * Which configuration is in force at this host. The version only rises, and the
- * first one is put in force only when this host may believe that callers have
- * not seen a newer one:
+ * Determines which configuration is in force at this host. The version never
+ * decreases. The first version is put in force only after it is confirmed that
+ * callers have not seen a newer one. It is confirmed when either:
  *
- * - it read the head from the store since its start, or
- * - the store can't be reached, and a majority of the hosts that it and its
- *   peers know of, three at least, told it their versions. A version that a
- *   majority had in force is then among them.
+ * - this host read the head from the store since its start, or
+ * - the store can't be reached, and a majority of the hosts that this host and
+ *   its peers know of, at least three, announced their versions. Any version
+ *   that a majority had in force is then among the announced ones.
  *
- * Failure: a host restarts empty while the store is down and reaches only a
- * host that was cut off for an hour; callers would get decisions of an old
- * configuration again. Such a host stays not ready.
+ * Failure prevented: a host restarts without state while the store is down and
+ * reaches only a host that was partitioned for an hour. Callers would get
+ * decisions of an old configuration again. Instead, such a host stays not
+ * ready.
  *
- * Versions are learned from other hosts' datagrams and from the store; files
- * are fetched by digest, from the hosts that told of them first.
+ * Other hosts announce versions in datagrams; the store has them too. Files are
+ * fetched by digest, first from the hosts that announced the version and then
+ * from the store.
  *
  * @module
  */
@@ -25,7 +27,7 @@
 import { decodeFileSet, type FileSet, getFileSetDigest } from "./load.ts";
 import type { VersionRow } from "./store.ts";
 
-/** What the watcher needs of the process. */
+/** Dependencies of the watcher that the process provides. */
 export interface ConfigWatcherHost {
   getHead(): Effect.Effect<VersionRow | undefined, PlatformError>;
   tryGetVersion(
@@ -34,12 +36,12 @@
   tryGetFiles(
     digest: string,
   ): Effect.Effect<FileSet | undefined, PlatformError>;
-  /** A verified copy from one peer; `undefined` when it has or sends none. */
+  /** Fetches a verified copy from a peer; `undefined` if it provides none. */
   tryFetch(
     peer: string,
-    asked: VersionClaim,
+    requested: AnnouncedVersion,
   ): Effect.Effect<PeerCopy | undefined>;
-  /** The peers in the order in which to ask them. */
+  /** Sorts peers in the order in which a copy is requested from them. */
   sortPeers(peers: readonly string[]): readonly string[];
   /** Hosts known besides this one, reachable or not. */
   countKnownPeers(): number;
@@ -54,70 +56,74 @@
   readonly knownHosts: number;
 }
 
-/** A version as a datagram names it. */
-export interface VersionClaim {
+/** A version that a host announces in a datagram. */
+export interface AnnouncedVersion {
   readonly version: number;
   readonly digest: string;
 }
 
-/** Follows the record of configurations. */
+/** Follows the accepted versions and puts the newest one in force. */
 export interface ConfigWatcher {
-  /** The configuration in force; `undefined` until the first one is. */
+  /** The configuration in force; `undefined` before the first one. */
   getCurrent(): ConfigVersion | undefined;
-  /** The copy in force when it has the digest. */
+  /** The copy of the configuration in force, if it has the digest. */
   tryGetCopy(digest: string): ConfigCopy | undefined;
-  /** Takes in what a peer has in force; version 0 for none. */
-  learn(claim: VersionClaim, peer: string): void;
-  /** Puts a version that this host itself saw accepted in force. */
-  offer(copy: ConfigCopy): void;
-  /** Reads the head from the store and fetches what is newer. */
+  /** Records the version that a peer has in force; 0 for none. */
+  recordPeerVersion(claim: AnnouncedVersion, peer: string): void;
+  /** Puts in force a version that the store accepted from this host. */
+  putAcceptedInForce(copy: ConfigCopy): void;
+  /** Reads the head from the store and fetches newer versions. */
   poll(): Effect.Effect<void, PlatformError>;
-  /** Fetches the newest version that was learned; one call at a time works. */
+  /**
+   * Fetches the newest announced version. A call during another one returns at
+   * once.
+   */
   catchUp(): Effect.Effect<void>;
-  /** Whether a newer version than the one in force was learned. */
-  isBehind(): boolean;
+  /** Whether a version newer than the one in force was announced. */
+  isOutdated(): boolean;
 }
 
-interface Candidate extends VersionClaim {
+interface Candidate extends AnnouncedVersion {
   readonly peers: Set<string>;
 }
 
 /**
- * A datagram may name a version that nobody can give; the newest few are tried
- * from the top, so that such a one does not hide the real one below it.
+ * A damaged datagram can announce a version that does not exist. The newest
+ * candidates are tried in descending order, so that such a version does not
+ * prevent the fetch of the real one.
  */
 const MAX_CANDIDATES = 8;
 
-/** Peers asked for one version before the object store is. */
+/** Peers tried for one version before its files are read from the store. */
 const MAX_FETCHES = 3;
 
-/** Fewer hosts than these can't vouch for a version without the store. */
+/** Peers that must announce their versions to confirm one without the store. */
 const MIN_AGREEING_PEERS = 3;
 
-/** Makes a watcher that has seen nothing yet. */
+/** Makes a watcher without a configuration. */
 export function createConfigWatcher(host: ConfigWatcherHost): ConfigWatcher {
   const candidates = new Map<string, Candidate>();
   const refused = new Set<string>();
-  const heard = new Map<string, number>();
+  const peerVersions = new Map<string, number>();
   let current: ConfigVersion | undefined;
   let copy: ConfigCopy | undefined;
-  /** Fetched, but not yet known to be what callers saw last. */
+  /** Fetched, but callers may have seen a newer version. */
   let unconfirmed: { copy: ConfigCopy; deployment: Deployment } | undefined;
   let headVersion: number | undefined;
-  let peersByWord = 0;
+  let reportedPeerCount = 0;
   let isFetching = false;
 
   function getNewestVersion(): number {
     return current?.version ?? unconfirmed?.copy.row.version ?? 0;
   }
 
-  function addCandidate(claim: VersionClaim): Candidate | undefined {
-    if (claim.version <= getNewestVersion()) return undefined;
-    if (refused.has(claim.digest)) return undefined;
-    const key = `${claim.version}/${claim.digest}`;
+  function addCandidate(announced: AnnouncedVersion): Candidate | undefined {
+    if (announced.version <= getNewestVersion()) return undefined;
+    if (refused.has(announced.digest)) return undefined;
+    const key = `${announced.version}/${announced.digest}`;
     const known = candidates.get(key);
     if (known !== undefined) return known;
-    const added = { ...claim, peers: new Set<string>() };
+    const added = { ...announced, peers: new Set<string>() };
     candidates.set(key, added);
     if (candidates.size > MAX_CANDIDATES) {
       candidates.delete(candidates.keys().next().value!);
@@ -125,14 +131,14 @@
     return added;
   }
 
-  function take(next: ConfigCopy): void {
+  function receiveCopy(next: ConfigCopy): void {
     if (next.row.version <= getNewestVersion()) return;
     let deployment: Deployment;
     try {
       deployment = decodeFileSet(next.files);
     } catch (err) {
-      // An older program may not know a key of a newer version. It keeps what
-      // it has, and the versions after this one are still taken.
+      // An older program may not know a key of a newer version. It keeps the
+      // configuration in force and still accepts later versions.
       refused.add(next.row.digest);
       host.onRefused(next.row.version, String(err));
       return;
@@ -146,7 +152,7 @@
     const { copy: next, deployment } = unconfirmed;
     if (current === undefined && !isConfirmed(next.row.version)) return;
     unconfirmed = undefined;
-    heard.clear();
+    peerVersions.clear();
     current = { ...next.row, deployment };
     copy = next;
     for (const [key, candidate] of candidates) {
@@ -157,13 +163,15 @@
 
   function isConfirmed(version: number): boolean {
     if (headVersion !== undefined) return version >= headVersion;
-    const peers = Math.max(host.countKnownPeers(), peersByWord);
-    return [...heard.values()].every((each) => each <= version) &&
-      heard.size >= MIN_AGREEING_PEERS &&
-      heard.size > peers / 2;
+    const peers = Math.max(host.countKnownPeers(), reportedPeerCount);
+    return [...peerVersions.values()].every((each) => each <= version) &&
+      peerVersions.size >= MIN_AGREEING_PEERS &&
+      peerVersions.size > peers / 2;
   }
 
-  /** From the peers that named it, nearest first, then from the store. */
+  /**
+   * Fetches a version from the peers that announced it, then from the store.
+   */
   function fetch(
     candidate: Candidate,
   ): Effect.Effect<ConfigCopy | undefined> {
@@ -172,8 +180,8 @@
       for (const peer of peers.slice(0, MAX_FETCHES)) {
         const fetched = yield* host.tryFetch(peer, candidate);
         if (fetched === undefined) continue;
-        // A host that just started knows few others itself.
-        peersByWord = Math.max(peersByWord, fetched.knownHosts - 1);
+        // This host may have just started and know of few others.
+        reportedPeerCount = Math.max(reportedPeerCount, fetched.knownHosts - 1);
         return fetched.copy;
       }
       return yield* fetchFromStore(candidate).pipe(
@@ -205,14 +213,14 @@
       if (candidate.version <= getNewestVersion()) continue;
       const fetched = yield* fetch(candidate);
       if (fetched === undefined) continue;
-      take(fetched);
+      receiveCopy(fetched);
       if (refused.has(candidate.digest)) {
         candidates.delete(`${candidate.version}/${candidate.digest}`);
       }
     }
   });
 
-  function isBehind(): boolean {
+  function isOutdated(): boolean {
     return [...candidates.values()].some((each) =>
       each.version > getNewestVersion()
     );
@@ -220,7 +228,7 @@
 
   function catchUp(): Effect.Effect<void> {
     return Effect.suspend(() => {
-      if (isFetching || !isBehind()) return Effect.void;
+      if (isFetching || !isOutdated()) return Effect.void;
       isFetching = true;
       return fetchNewest.pipe(
         Effect.ensuring(Effect.sync(() => isFetching = false)),
@@ -231,17 +239,21 @@
   return {
     getCurrent: () => current,
     tryGetCopy: (digest) => copy?.row.digest === digest ? copy : undefined,
-    learn(claim, peer) {
-      // An empty host vouches for nothing: it may have forgotten a version.
+    recordPeerVersion(claim, peer) {
+      // Version 0 confirms nothing: the peer may have lost its state in a
+      // restart.
       if (current === undefined && claim.version > 0) {
-        heard.set(peer, Math.max(claim.version, heard.get(peer) ?? 0));
+        peerVersions.set(
+          peer,
+          Math.max(claim.version, peerVersions.get(peer) ?? 0),
+        );
       }
       addCandidate(claim)?.peers.add(peer);
       putInForceIfConfirmed();
     },
-    offer(accepted) {
+    putAcceptedInForce(accepted) {
       headVersion = Math.max(headVersion ?? 0, accepted.row.version);
-      take(accepted);
+      receiveCopy(accepted);
     },
     poll: () =>
       Effect.gen(function* () {
@@ -252,6 +264,6 @@
         yield* catchUp();
       }),
     catchUp,
-    isBehind,
+    isOutdated,
   };
 }
--- a/src/entry/load_exchange.ts
+++ b/src/entry/load_exchange.ts
@@ -8,7 +8,7 @@
 
 import * as Effect from "effect/Effect";
 import {
-  createLoadSums,
+  createLoadReporter,
   type LoadPeer,
   type LoadReport,
   type LoadView,
@@ -42,16 +42,16 @@
   host: LoadExchangeHost,
 ): Promise<LoadExchange> {
   const { view, self } = host;
-  const reporter = createLoadSums({
+  const reporter = createLoadReporter({
     clock: host.clock,
     self,
     getHosts: host.getHosts,
     getDigest: getNameDigest,
-    createOwn: view.createUse,
+    createOwnContent: view.createOwnContent,
     // Received reports do not trigger a scheduling pass; the timer does. A pass
     // over a long queue takes milliseconds, and reports arrive a hundred times
     // per second.
-    onOthers: view.receive,
+    onOthersLoad: view.receive,
   });
   const socket = await openDatagrams<LoadReport>(
     getLoadAddress(self.peerAddress),
--- a/src/fairness/children.ts
+++ b/src/fairness/children.ts
@@ -1,41 +1,46 @@
 /**
- * What a node of the tree of counters remembers of each child.
+ * State that a node of the tree of service counters keeps of each child.
  *
  * @module
  */
 
-/** One child. */
-export interface Child {
+/** State of one child. */
+export interface ChildState {
   session: number;
-  /** Sessions that are over; a report of theirs that comes late adds nothing. */
+  /** Sessions that have ended; late reports of them are ignored. */
   endedSessions: readonly number[];
   sequence: number;
-  heardMs: number;
-  /** Sums of the session, by team. */
+  lastReportMs: number;
+  /** Service reported in the session, by team. */
   readonly amounts: Map<string, number>;
   readonly backlogged: Set<string>;
 }
 
 /**
- * A child that was silent for so long has no backlog any more: it found another
- * parent, or it is dead and the membership will say so. Children report at
- * least every two seconds.
+ * A child without a report for this long is taken to have no backlog: it has
+ * another parent, or it is dead and membership will report so. Children report
+ * at least every two seconds.
  */
-export const CHILD_SILENCE_MS = 6_000;
+export const CHILD_TIMEOUT_MS = 6_000;
 
-/** Makes a child that was never heard. */
-export function createChild(): Child {
+/** Creates the state of a child without any report. */
+export function createChildState(): ChildState {
   return {
     session: 0,
     endedSessions: [],
     sequence: 0,
-    heardMs: 0,
+    lastReportMs: 0,
     amounts: new Map(),
     backlogged: new Set(),
   };
 }
 
-/** Whether the child has told that the team is backlogged there. */
-export function isFlagged(child: Child, team: string, nowMs: number): boolean {
-  return nowMs - child.heardMs < CHILD_SILENCE_MS && child.backlogged.has(team);
+/** Whether the child's last report says that the team is backlogged there. */
+export function isBackloggedAtChild(
+  child: ChildState,
+  team: string,
+  nowMs: number,
+): boolean {
+  return nowMs - child.lastReportMs < CHILD_TIMEOUT_MS &&
+    child.backlogged.has(team);
 }
--- a/src/fairness/counters.ts
+++ b/src/fairness/counters.ts
@@ -1,86 +1,106 @@
 /**
  * One node in the tree of service counters of one service. A team's counter is
- * the service it has had over the fleet, divided by its weight; the next slot
- * goes to the waiting team with the lowest.
+ * the service that it has received over the fleet, divided by its weight. The
+ * next slot goes to the waiting team with the lowest counter.
  *
- * The tree: slot owner, data centre, region, root. A node adds what its children
- * report, reports its own sum to its parent and takes the parent's sums as its
- * view. Every message may be lost or come twice: a report carries the sum since
- * its session began, of which the parent adds only what is new, and a raise is
- * a floor, which two nodes may set without adding up.
+ * The levels of the tree are slot owner, data centre, region and root. A node
+ * adds up its children's reports, reports its own sum to its parent, and takes
+ * over the parent's sums (its view). Any message may be lost or duplicated. A
+ * report therefore carries the sum since its session began, of which the parent
+ * adds only the increase. A raise of a counter is sent as a floor, so that two
+ * nodes that raise the same counter do not raise it twice.
  *
- * Load: every team backlogged at once, spread unevenly over hosts. Harm
- * prevented: a team that is served by many hosts gets a share at each of them.
+ * Load: all teams are backlogged at once and spread unevenly over the hosts.
+ * Harm prevented: a team that is served by many hosts gets a full share at each
+ * of them.
  *
  * @module
  */
 
 import { getOrCreate } from "../core/mod.ts";
-import { type Child, createChild, isFlagged } from "./children.ts";
+import {
+  type ChildState,
+  createChildState,
+  isBackloggedAtChild,
+} from "./children.ts";
 import type { CounterReport, CounterView, TeamService } from "./types.ts";
 
-/** What a node needs of the process. */
+/** Dependencies of a node, supplied by the process. */
 export interface CountersHost {
   nowMs(): number;
-  /** A session number that no earlier session of this node had. */
+  /** Returns a session number that no earlier session of this node had. */
   createSession(): number;
 }
 
 /** The counters of one service at one node. */
 export interface ServiceCounters {
-  /** The counter by which the team competes now. */
+  /** Returns the team's present counter. */
   get(team: string): number;
-  /** Adds service that the team got here, already divided by its weight. */
+  /**
+   * Adds service that the team received at this node, divided by its weight.
+   */
   charge(team: string, amount: number): void;
-  /** Takes in the whole service of one request, divided by the weight. */
-  observeLargest(amount: number): void;
+  /** Records the total service of one request, divided by the team's weight. */
+  recordLargest(amount: number): void;
+  /** Returns the largest service of one request, divided by the weight. */
   getLargest(): number;
-  /** Says whether the team has requests waiting at this node. */
+  /** Sets whether the team has requests waiting at this node. */
   setWaiting(team: string, isWaiting: boolean): void;
   isBacklogged(team: string): boolean;
-  /** Whether any other team waits anywhere, as far as known here. */
+  /** Whether any other team waits anywhere, as far as this node knows. */
   isContended(team: string): boolean;
-  /** Changes the parent; a node without one is the root of its tree. */
+  /** Sets the parent; a node without a parent is the root of its tree. */
   setParent(parent: string | undefined): void;
-  /** Takes in a child's report and gives the view to send back. */
+  /** Applies a child's report and returns the view to send back. */
   receiveReport(child: string, report: CounterReport): CounterView;
-  /** A dead child has nothing waiting; its service stays in the sums. */
-  forgetChild(child: string): void;
-  /** The report for the parent; `undefined` when there is nothing to say. */
+  /**
+   * Clears the backlog of a child that is dead. Its service remains in the
+   * sums.
+   */
+  clearChildBacklog(child: string): void;
+  /** Returns the report for the parent; `undefined` if none is due. */
   tryGetReport(): CounterReport | undefined;
   receiveView(view: CounterView): void;
 }
 
 /**
- * A backlogged team is at most so many of the largest requests behind the one
- * furthest ahead. Without this cap a region that was cut off for an hour would
- * bring an hour's difference into the fleet, and the teams ahead would starve
- * until it is worked off. Eight keeps clear of the spread in normal use, which
- * the scenario `fairness` shows at below four.
+ * Largest difference between the counters of two backlogged teams, in units of
+ * the largest request. Without this cap a region that was partitioned for an
+ * hour would bring an hour's difference into the fleet, and the teams with the
+ * higher counters would starve until the others have caught up. Eight is well
+ * above the spread in normal operation, which the scenario `fairness` shows to
+ * be below four.
  */
 export const MAX_SPREAD_REQUESTS = 8;
 
-/** A node without news still reports so often, to hear of others' backlog. */
-const IDLE_REPORT_MS = 2_000;
+/**
+ * Longest time between two reports. A node without changes reports as well,
+ * since the reply tells it the backlog at other nodes.
+ */
+const MAX_REPORT_GAP_MS = 2_000;
 
-/** Reports in flight that a late view may still acknowledge. */
-const MAX_SNAPSHOTS = 8;
+/** Reports that a late view may still acknowledge. */
+const MAX_UNACKED_SNAPSHOTS = 8;
 
-interface Entry {
-  /** Fleet-wide sum as the parent told it, with this node's sum up to `acked`. */
-  known: number;
-  /** Service added at this node and below since the node's start. */
+/** State of one team at this node. Sums are of service divided by weight. */
+interface TeamEntry {
+  /**
+   * Fleet-wide sum known from the parent, with this node's sum up to
+   * `ackedSum`.
+   */
+  knownSum: number;
+  /** Service added at this node and its descendants since the node's start. */
   sum: number;
-  /** Part of `sum` that `known` contains. */
-  acked: number;
-  /** `acked` as the session began. */
-  base: number;
-  /** A raise that the parent has not acknowledged; zero for none. */
-  floor: number;
+  /** Part of `sum` that `knownSum` contains. */
+  ackedSum: number;
+  /** Value of `ackedSum` when the session began. */
+  sessionBaseSum: number;
+  /** Floor that the parent has not acknowledged yet; zero for none. */
+  pendingFloor: number;
   isWaiting: boolean;
-  /** Backlogged anywhere, by the parent's last view. */
-  isBackloggedAbove: boolean;
-  /** What the parent knows of this node's own backlog. */
+  /** Whether the team is backlogged anywhere, by the parent's last view. */
+  isBackloggedAtParent: boolean;
+  /** Backlog of this node's subtree that the parent has acknowledged. */
   ackedBacklogged: boolean;
 }
 
@@ -89,106 +109,112 @@
   { readonly sum: number; readonly floor: number; readonly backlogged: boolean }
 >;
 
-/** Makes a node that is a root and stands at zero. */
+/** Creates a root node with all counters at zero. */
 export function createServiceCounters(host: CountersHost): ServiceCounters {
-  const entries = new Map<string, Entry>();
-  const children = new Map<string, Child>();
-  const snapshots = new Map<number, Snapshot>();
+  const entries = new Map<string, TeamEntry>();
+  const children = new Map<string, ChildState>();
+  const unackedSnapshots = new Map<number, Snapshot>();
   let parent: string | undefined;
   let session = 0;
   let sequence = 0;
-  let isFirst = true;
+  let isSessionUnanswered = true;
   let virtualTime = 0;
   let largest = 0;
   let lastReportMs = -Infinity;
 
-  function getEntry(team: string): Entry {
+  function getEntry(team: string): TeamEntry {
     return getOrCreate(entries, team, () => ({
-      known: 0,
+      knownSum: 0,
       sum: 0,
-      acked: 0,
-      base: 0,
-      floor: 0,
+      ackedSum: 0,
+      sessionBaseSum: 0,
+      pendingFloor: 0,
       isWaiting: false,
-      isBackloggedAbove: false,
+      isBackloggedAtParent: false,
       ackedBacklogged: false,
     }));
   }
 
-  function getCounter(entry: Entry): number {
-    return entry.known + entry.sum - entry.acked;
+  function getCounter(entry: TeamEntry): number {
+    return entry.knownSum + entry.sum - entry.ackedSum;
   }
 
-  /** Lifts the sum as the parent would know it; never lowers it. */
-  function raiseKnown(entry: Entry, floor: number): void {
-    if (entry.known >= floor) return;
-    entry.known = floor;
-    entry.floor = floor;
+  /** Raises the sum known from the parent to a floor; never lowers it. */
+  function raiseKnownSum(entry: TeamEntry, floor: number): void {
+    if (entry.knownSum >= floor) return;
+    entry.knownSum = floor;
+    entry.pendingFloor = floor;
   }
 
-  /** Lifts the counter, with what is not yet acknowledged, to the level. */
-  function raise(entry: Entry, level: number): void {
-    raiseKnown(entry, level - (entry.sum - entry.acked));
+  /**
+   * Raises the counter, which includes unacknowledged service, to the level.
+   */
+  function raise(entry: TeamEntry, level: number): void {
+    raiseKnownSum(entry, level - (entry.sum - entry.ackedSum));
   }
 
-  function isBackloggedBelow(team: string, entry: Entry): boolean {
+  function isBackloggedInSubtree(team: string, entry: TeamEntry): boolean {
     if (entry.isWaiting) return true;
     const nowMs = host.nowMs();
     for (const child of children.values()) {
-      if (isFlagged(child, team, nowMs)) return true;
+      if (isBackloggedAtChild(child, team, nowMs)) return true;
     }
     return false;
   }
 
-  function isBackloggedEntry(team: string, entry: Entry): boolean {
-    return entry.isBackloggedAbove || isBackloggedBelow(team, entry);
+  function isBackloggedAnywhere(team: string, entry: TeamEntry): boolean {
+    return entry.isBackloggedAtParent || isBackloggedInSubtree(team, entry);
   }
 
-  function getBacklogged(): readonly Entry[] {
-    const found: Entry[] = [];
+  function getBackloggedEntries(): readonly TeamEntry[] {
+    const found: TeamEntry[] = [];
     for (const [team, entry] of entries) {
-      if (isBackloggedEntry(team, entry)) found.push(entry);
+      if (isBackloggedAnywhere(team, entry)) found.push(entry);
     }
     return found;
   }
 
-  function getLowest(backlogged: readonly Entry[]): number {
+  function getLowestCounter(backlogged: readonly TeamEntry[]): number {
     return backlogged.reduce(
       (lowest, entry) => Math.min(lowest, getCounter(entry)),
       Infinity,
     );
   }
 
-  /** The root alone moves virtual time: only it sees every backlogged team. */
-  function advanceAsRoot(): void {
-    const backlogged = getBacklogged();
+  /**
+   * Applies the cap on the spread and advances virtual time. Called at the root
+   * only, which alone knows of all backlogged teams.
+   */
+  function advanceVirtualTime(): void {
+    const backlogged = getBackloggedEntries();
     if (backlogged.length === 0) return;
     const counters = backlogged.map(getCounter);
-    const top = counters.reduce((most, each) => Math.max(most, each));
+    const highest = counters.reduce((most, each) => Math.max(most, each));
     if (largest > 0) {
-      const lowestAllowed = top - MAX_SPREAD_REQUESTS * largest;
+      const lowestAllowed = highest - MAX_SPREAD_REQUESTS * largest;
       for (const entry of backlogged) raise(entry, lowestAllowed);
     }
-    virtualTime = Math.max(virtualTime, getLowest(backlogged));
+    virtualTime = Math.max(virtualTime, getLowestCounter(backlogged));
   }
 
   function startSession(): void {
     session = host.createSession();
     sequence = 0;
-    isFirst = true;
-    snapshots.clear();
+    isSessionUnanswered = true;
+    unackedSnapshots.clear();
     for (const entry of entries.values()) {
-      entry.base = entry.acked;
+      entry.sessionBaseSum = entry.ackedSum;
       entry.ackedBacklogged = false;
     }
   }
 
-  function applyReport(child: Child, report: CounterReport): void {
+  function applyReport(child: ChildState, report: CounterReport): void {
     child.sequence = report.sequence;
     largest = Math.max(largest, report.largest);
     for (const each of report.teams) {
       const entry = getEntry(each.team);
-      // The floor leaves out what the child has yet to report, so it goes first.
+      // The floor does not contain service that the child has not reported yet,
+      // so it is applied before the amount.
       if (each.floor > 0) raise(entry, each.floor);
       entry.sum += each.amount - (child.amounts.get(each.team) ?? 0);
       child.amounts.set(each.team, each.amount);
@@ -201,8 +227,8 @@
     const reported = new Set(report.teams.map((each) => each.team));
     const teams: TeamService[] = [];
     for (const [team, entry] of entries) {
-      const backlogged = isBackloggedEntry(team, entry);
-      if (!backlogged && !reported.has(team) && !entry.isBackloggedAbove) {
+      const backlogged = isBackloggedAnywhere(team, entry);
+      if (!backlogged && !reported.has(team) && !entry.isBackloggedAtParent) {
         continue;
       }
       teams.push({ team, amount: getCounter(entry), backlogged, floor: 0 });
@@ -215,48 +241,50 @@
     return new Map(
       [...entries].map(([team, entry]) => [team, {
         sum: entry.sum,
-        floor: entry.floor,
-        backlogged: isBackloggedBelow(team, entry),
+        floor: entry.pendingFloor,
+        backlogged: isBackloggedInSubtree(team, entry),
       }]),
     );
   }
 
   /**
-   * Service of a team that waits nowhere is not urgent: once it waits it is told
-   * at once, and until then at most one largest request is kept back.
+   * Whether the state of a team has to be reported to the parent. The service
+   * of a team that waits nowhere is not urgent: it is reported as soon as the
+   * team waits, and until then the unreported service is at most that of the
+   * largest request.
    */
-  function isNews(entry: Entry, backlogged: boolean): boolean {
+  function hasUnreportedChange(entry: TeamEntry, backlogged: boolean): boolean {
     if (backlogged !== entry.ackedBacklogged) return true;
-    if (isFirst && backlogged) return true;
-    const pending = Math.abs(entry.sum - entry.acked);
-    if (backlogged || entry.isBackloggedAbove) {
-      return pending > 0 || entry.floor > 0;
+    if (isSessionUnanswered && backlogged) return true;
+    const unreported = Math.abs(entry.sum - entry.ackedSum);
+    if (backlogged || entry.isBackloggedAtParent) {
+      return unreported > 0 || entry.pendingFloor > 0;
     }
-    return pending > largest;
+    return unreported > largest;
   }
 
   function acknowledge(snapshot: Snapshot): void {
     for (const [team, { sum, floor, backlogged }] of snapshot) {
       const entry = getEntry(team);
-      entry.known += sum - entry.acked;
-      entry.acked = sum;
+      entry.knownSum += sum - entry.ackedSum;
+      entry.ackedSum = sum;
       entry.ackedBacklogged = backlogged;
-      if (entry.floor === floor) entry.floor = 0;
+      if (entry.pendingFloor === floor) entry.pendingFloor = 0;
     }
   }
 
-  function adopt(view: CounterView): void {
+  function applyView(view: CounterView): void {
     const backlogged = new Set<string>();
     for (const each of view.teams) {
       const entry = getEntry(each.team);
-      // A new parent may know less than this node does: it starts from the
-      // floors of its children, which arrive one by one.
-      const least = isFirst ? entry.known : entry.floor;
-      entry.known = Math.max(each.amount, least);
+      // A new parent may know less than this node: it starts with the floors
+      // that its children report one after another.
+      const least = isSessionUnanswered ? entry.knownSum : entry.pendingFloor;
+      entry.knownSum = Math.max(each.amount, least);
       if (each.backlogged) backlogged.add(each.team);
     }
     for (const [team, entry] of entries) {
-      entry.isBackloggedAbove = backlogged.has(team);
+      entry.isBackloggedAtParent = backlogged.has(team);
     }
   }
 
@@ -265,24 +293,24 @@
     charge(team, amount) {
       getEntry(team).sum += amount;
     },
-    observeLargest(amount) {
+    recordLargest(amount) {
       largest = Math.max(largest, amount);
     },
     getLargest: () => largest,
     setWaiting(team, isWaiting) {
       const entry = getEntry(team);
-      // A team that was idle earns no credit: it starts level with the lowest
-      // backlogged team instead of collecting for the time it was away.
-      if (isWaiting && !isBackloggedEntry(team, entry)) {
-        const lowest = getLowest(getBacklogged());
+      // An idle team earns no credit: it starts at the counter of the lowest
+      // backlogged team and gets no service for the time in which it was idle.
+      if (isWaiting && !isBackloggedAnywhere(team, entry)) {
+        const lowest = getLowestCounter(getBackloggedEntries());
         raise(entry, Math.max(virtualTime, lowest === Infinity ? 0 : lowest));
       }
       entry.isWaiting = isWaiting;
     },
-    isBacklogged: (team) => isBackloggedEntry(team, getEntry(team)),
+    isBacklogged: (team) => isBackloggedAnywhere(team, getEntry(team)),
     isContended(team) {
       for (const [other, entry] of entries) {
-        if (other !== team && isBackloggedEntry(other, entry)) return true;
+        if (other !== team && isBackloggedAnywhere(other, entry)) return true;
       }
       return false;
     },
@@ -292,8 +320,8 @@
       startSession();
     },
     receiveReport(name, report) {
-      const child = getOrCreate(children, name, createChild);
-      child.heardMs = host.nowMs();
+      const child = getOrCreate(children, name, createChildState);
+      child.lastReportMs = host.nowMs();
       if (child.session !== report.session) {
         const isOver = child.endedSessions.includes(report.session);
         if (!report.first || isOver) {
@@ -302,36 +330,38 @@
         beginSession(child, report.session);
       }
       if (report.sequence > child.sequence) applyReport(child, report);
-      if (parent === undefined) advanceAsRoot();
+      if (parent === undefined) advanceVirtualTime();
       return createView(report, child.sequence);
     },
-    forgetChild(name) {
+    clearChildBacklog(name) {
       children.get(name)?.backlogged.clear();
     },
     tryGetReport() {
       if (parent === undefined) {
-        advanceAsRoot();
+        advanceVirtualTime();
         return undefined;
       }
       const teams: TeamService[] = [];
       for (const [team, entry] of entries) {
-        const backlogged = isBackloggedBelow(team, entry);
-        if (!isNews(entry, backlogged)) continue;
-        const amount = entry.sum - entry.base;
-        const floor = isFirst && backlogged ? entry.known : entry.floor;
+        const backlogged = isBackloggedInSubtree(team, entry);
+        if (!hasUnreportedChange(entry, backlogged)) continue;
+        const amount = entry.sum - entry.sessionBaseSum;
+        const floor = isSessionUnanswered && backlogged
+          ? entry.knownSum
+          : entry.pendingFloor;
         teams.push({ team, amount, backlogged, floor });
       }
       const nowMs = host.nowMs();
-      if (teams.length === 0 && nowMs - lastReportMs < IDLE_REPORT_MS) {
+      if (teams.length === 0 && nowMs - lastReportMs < MAX_REPORT_GAP_MS) {
         return undefined;
       }
       lastReportMs = nowMs;
       sequence++;
-      snapshots.set(sequence, takeSnapshot());
-      if (snapshots.size > MAX_SNAPSHOTS) {
-        snapshots.delete(snapshots.keys().next().value!);
+      unackedSnapshots.set(sequence, takeSnapshot());
+      if (unackedSnapshots.size > MAX_UNACKED_SNAPSHOTS) {
+        unackedSnapshots.delete(unackedSnapshots.keys().next().value!);
       }
-      return { sequence, session, first: isFirst, largest, teams };
+      return { sequence, session, first: isSessionUnanswered, largest, teams };
     },
     receiveView(view) {
       if (view.session !== session) return;
@@ -339,21 +369,21 @@
         startSession();
         return;
       }
-      const snapshot = snapshots.get(view.acked);
+      const snapshot = unackedSnapshots.get(view.acked);
       if (snapshot === undefined) return;
-      for (const each of [...snapshots.keys()]) {
-        if (each <= view.acked) snapshots.delete(each);
+      for (const each of [...unackedSnapshots.keys()]) {
+        if (each <= view.acked) unackedSnapshots.delete(each);
       }
       acknowledge(snapshot);
-      adopt(view);
-      isFirst = false;
+      applyView(view);
+      isSessionUnanswered = false;
       virtualTime = Math.max(virtualTime, view.virtualTime);
       largest = Math.max(largest, view.largest);
     },
   };
 }
 
-function beginSession(child: Child, session: number): void {
+function beginSession(child: ChildState, session: number): void {
   child.endedSessions = [child.session, ...child.endedSessions].slice(0, 4);
   child.session = session;
   child.sequence = 0;
--- a/src/load/load_view.ts
+++ b/src/load/load_view.ts
@@ -1,11 +1,13 @@
 /**
- * What all hosts together use of the upstreams, and which teams take more than
- * their share: this host's own counts and the newest report of each other host.
+ * The use of the upstreams over all hosts, and which teams exceed their share.
+ * It is computed from this host's own counts and the newest report of each
+ * other host.
  *
- * Load: all hosts send to the same upstreams, each seeing its own requests
- * alone. Harm prevented: together they send an upstream more than it works on
- * at once, and the rest waits inside it, in no order and for up to 1.3 s; and a
- * team that floods one data centre gets there what others lack elsewhere.
+ * Load: all hosts send to the same upstreams, but each observes only its own
+ * requests. Harm prevented: together they send an upstream more than it can run
+ * concurrently, and the remaining requests wait inside it, in no fair order and
+ * for up to 1.3 s. And a team that sends far more than its share in one data
+ * centre gets capacity there that other teams lack elsewhere.
  *
  * @module
  */
@@ -16,10 +18,15 @@
   EMPTY_PACING_STATS,
   type PacingStats,
 } from "../pacing/mod.ts";
-import { REPORT_KEEP_MS } from "./load_sums.ts";
-import { createRate, type Rate } from "./rate.ts";
+import { REPORT_TTL_MS } from "./load_reporter.ts";
+import { createDecayingRate, type DecayingRate } from "./decaying_rate.ts";
 import { getFairLevel } from "./team_shares.ts";
-import { addUse, createUse, isUsed, type Use } from "./use.ts";
+import {
+  addUse,
+  createUseTotals,
+  isUsed,
+  type UseTotals,
+} from "./use_totals.ts";
 import type {
   LearnedOfService,
   LoadContent,
@@ -28,158 +35,182 @@
   UpstreamUse,
 } from "./types.ts";
 
-/** What the view needs of the process. */
+/** Dependencies of the load view, supplied by the process. */
 export interface LoadViewHost {
   readonly clock: Clock;
-  /** Digest by which a name travels. */
+  /** Digest that stands for a name in reports. */
   getDigest(name: string): number;
-  /** Whether the host is alive, as far as is known. */
+  /** Whether the host is alive, as far as this host knows. */
   isAlive(host: string): boolean;
-  /** Tokens that the upstreams do in a second, as operators state it. */
+  /** Capacity of the upstreams as stated by operators, in tokens per second. */
   getStatedCapacity(): number;
-  /** What this host has learned of upstreams, by service. */
+  /** What this host has learned about the upstreams, by service. */
   getLearned(): readonly LearnedOfService[];
 }
 
-/** The load of the fleet, as this host sees it. */
+/** The load of the fleet, as known to this host. */
 export interface LoadView {
-  begin(upstream: string): void;
-  end(upstream: string): void;
-  /** A prompt of so many tokens, attention counted, is being read. */
-  beginReading(upstream: string, readingTokens: number): void;
-  endReading(upstream: string, readingTokens: number): void;
-  noteAsked(team: string, tokens: number): void;
-  /** A prompt of so much service and work, both in tokens, is asked for. */
-  noteWork(size: number, workTokens: number): void;
-  /** Service for a token of work, of what this host was asked of late. */
-  getMeanYield(): number;
-  noteBegun(team: string, tokens: number): void;
-  /** Requests of all hosts in flight at the upstream. */
+  beginRequest(upstream: string): void;
+  endRequest(upstream: string): void;
+  /**
+   * Counts a prompt whose prefill begins, with its tokens weighted by the cost
+   * of attention.
+   */
+  beginPrefill(upstream: string, readingTokens: number): void;
+  endPrefill(upstream: string, readingTokens: number): void;
+  recordAsked(team: string, tokens: number): void;
+  /**
+   * Records the service and the upstream work of a requested prompt, in tokens.
+   */
+  recordWork(serviceTokens: number, workTokens: number): void;
+  /**
+   * Recent mean of requested service tokens per token of work, at this host.
+   */
+  getMeanEfficiency(): number;
+  recordBegun(team: string, tokens: number): void;
+  /** Requests in flight at the upstream, of all hosts. */
   getInFlight(upstream: string): number;
-  /** What is being read there for all hosts, in tokens. */
+  /** Tokens being prefilled at the upstream, for all hosts. */
   getReadingTokens(upstream: string): number;
-  /** What the other hosts have learned of the service's upstreams. */
+  /** What the other hosts have learned about the service's upstreams. */
   getOthersLearned(service: string): PacingStats;
-  /** What the team was given over its share, as a ratio; 1 is the share. */
+  /** Recent service of the team, relative to its share; 1 is the full share. */
   getShareUsed(team: string): number;
-  /** Whether the team is given more than an even part of what is short. */
-  isAhead(team: string): boolean;
-  /** Whether the team is given far less than others, and asks for more. */
+  /**
+   * Whether upstream capacity is short and the team gets more than an even part
+   * of it.
+   */
+  isOverserved(team: string): boolean;
+  /** Whether the team gets far less than others although it asks for more. */
   isUnderserved(team: string): boolean;
-  /** Prompts of underserved teams that wait at this host, by upstream. */
+  /**
+   * Sets the waiting prompts of underserved teams at this host, by upstream.
+   */
   setUnderserved(waiting: ReadonlyMap<string, number>): void;
-  /** Those that wait at other hosts for the upstream. */
+  /** Prompts of underserved teams that wait for the upstream at other hosts. */
   getUnderservedElsewhere(upstream: string): number;
-  /** Takes in the use of another host, or of all others together. */
+  /** Applies the report of another host, or the aggregate of all others. */
   receive(report: LoadReport): void;
-  /** This host's own use, to be told to others. */
-  createUse(): LoadContent;
+  /** Returns this host's own use, to be reported to other hosts. */
+  createOwnContent(): LoadContent;
 }
 
-/** Rates fade to a half in so long, in ms: shares are owed by four seconds. */
+/**
+ * Half-life of the rates, in ms: shares are due over a period of four seconds.
+ */
 const HALF_LIFE_MS = 1_400;
 
-/** Old reports are looked for so often, in ms. */
-const FORGET_PERIOD_MS = 50;
+/** Least time between two searches for stale reports. */
+const EVICT_PERIOD_MS = 50;
 
-/** The level is worked out anew after so long, in ms. */
-const LEVEL_KEEP_MS = 50;
+/** Time after which the fair levels are computed again. */
+const LEVEL_TTL_MS = 50;
 
 /**
- * A team is underserved that is given less than this share of what the best
- * served one is given, though it asks for more.
+ * A team is underserved if it gets less than this share of what the best served
+ * team gets, although it asks for more.
  */
 const UNDERSERVED_SHARE = 0.75;
 
 /**
- * What upstreams give is short when more than so many times as much is asked:
- * what waits for a moment is asked and not begun.
+ * Capacity is short when the service asked for exceeds the service begun by
+ * this factor. A smaller difference is due to prompts that wait only briefly.
  */
-const SHORT_FACTOR = 1.15;
+const SHORTAGE_FACTOR = 1.15;
 
-const NO_USE: Readonly<Use> = createUse();
+const NO_USE: Readonly<UseTotals> = createUseTotals();
 
-interface HeardReport {
+interface ReceivedReport {
   readonly report: LoadReport;
-  readonly atMs: number;
+  readonly receivedMs: number;
 }
 
 interface TeamRates {
-  readonly asked: Rate;
-  readonly begun: Rate;
+  readonly asked: DecayingRate;
+  readonly begun: DecayingRate;
 }
 
-/** Makes the view of a host that knows of no load. */
+/** Creates the view of a host that has received no reports. */
 export function createLoadView(host: LoadViewHost): LoadView {
   const { clock, getDigest } = host;
-  const uses = new Map<number, Use>();
+  const uses = new Map<number, UseTotals>();
   const teams = new Map<number, TeamRates>();
-  const reports = new Map<string, HeardReport>();
-  const othersUse = new Map<number, Use>();
+  const reports = new Map<string, ReceivedReport>();
+  const othersUse = new Map<number, UseTotals>();
   const othersLearned = new Map<number, PacingStats>();
-  const sizes = createRate(HALF_LIFE_MS);
-  const works = createRate(HALF_LIFE_MS);
-  let forgotAtMs = -Infinity;
-  let level = Infinity;
-  /** The level of what is really given, which may be far below what is stated. */
-  let givenLevel = Infinity;
+  const serviceRate = createDecayingRate(HALF_LIFE_MS);
+  const workRate = createDecayingRate(HALF_LIFE_MS);
+  let lastEvictionMs = -Infinity;
+  let statedFairLevel = Infinity;
+  /**
+   * Fair level of the service that is really begun, which may be far below the
+   * stated capacity.
+   */
+  let servedFairLevel = Infinity;
   let askedByTeam: ReadonlyMap<number, number> = new Map();
   let begunByTeam: ReadonlyMap<number, number> = new Map();
   let mostBegun = 0;
-  let levelAtMs = -Infinity;
+  let levelsUpdatedMs = -Infinity;
 
-  function getUse(upstream: string): Use {
-    return getOrCreate(uses, getDigest(upstream), createUse);
+  function getUse(upstream: string): UseTotals {
+    return getOrCreate(uses, getDigest(upstream), createUseTotals);
   }
 
-  function getTeam(team: string): TeamRates {
+  function getTeamRates(team: string): TeamRates {
     return getOrCreate(teams, getDigest(team), () => ({
-      asked: createRate(HALF_LIFE_MS),
-      begun: createRate(HALF_LIFE_MS),
+      asked: createDecayingRate(HALF_LIFE_MS),
+      begun: createDecayingRate(HALF_LIFE_MS),
     }));
   }
 
-  /** Adds a report to the sums over all other hosts, or takes it out again. */
-  function count(report: LoadReport, sign: 1 | -1): void {
+  /** Adds a report to the totals over all other hosts, or subtracts it. */
+  function applyReport(report: LoadReport, sign: 1 | -1): void {
     for (const each of report.upstreams) {
-      addUse(getOrCreate(othersUse, each.upstream, createUse), each, sign);
+      addUse(
+        getOrCreate(othersUse, each.upstream, createUseTotals),
+        each,
+        sign,
+      );
     }
     for (const learned of report.learned) {
       const known = othersLearned.get(learned.service) ?? EMPTY_PACING_STATS;
       const sum = addPacingStats(known, learned, sign);
-      // Without hosts only errors of rounding are left.
+      // Without contributing hosts only rounding errors remain.
       if (sum.hosts > 0) othersLearned.set(learned.service, sum);
       else othersLearned.delete(learned.service);
     }
   }
 
-  function forget(from: string): void {
-    const heard = reports.get(from);
-    if (heard === undefined) return;
+  function evict(from: string): void {
+    const received = reports.get(from);
+    if (received === undefined) return;
     reports.delete(from);
-    count(heard.report, -1);
+    applyReport(received.report, -1);
   }
 
-  /** A host that was killed, or cut off, uses nothing any more. */
-  function forgetOld(): void {
+  /** Drops reports of hosts that have stopped or cannot be reached. */
+  function evictStale(): void {
     const nowMs = clock.monotonicMs();
-    if (nowMs - forgotAtMs < FORGET_PERIOD_MS) return;
-    forgotAtMs = nowMs;
-    for (const [from, { report, atMs }] of reports) {
+    if (nowMs - lastEvictionMs < EVICT_PERIOD_MS) return;
+    lastEvictionMs = nowMs;
+    for (const [from, { report, receivedMs }] of reports) {
       const isGone = report.scope === "host" && !host.isAlive(from);
-      if (isGone || nowMs - atMs > REPORT_KEEP_MS) forget(from);
+      if (isGone || nowMs - receivedMs > REPORT_TTL_MS) evict(from);
     }
   }
 
-  /** A sum replaces the reports that it is made of, and these replace a sum. */
-  function forgetOtherScopes({ scope }: LoadReport): void {
+  /**
+   * Drops reports of another scope: an aggregate replaces the reports of single
+   * hosts, and these replace an aggregate.
+   */
+  function evictOtherScopes({ scope }: LoadReport): void {
     for (const [from, { report }] of reports) {
-      if (report.scope !== scope) forget(from);
+      if (report.scope !== scope) evict(from);
     }
   }
 
-  function getOthers(upstream: string): Readonly<Use> {
-    forgetOld();
+  function getOthersUse(upstream: string): Readonly<UseTotals> {
+    evictStale();
     return othersUse.get(getDigest(upstream)) ?? NO_USE;
   }
 
@@ -192,71 +223,71 @@
     }));
   }
 
-  function updateLevel(): void {
+  function updateFairLevels(): void {
     const nowMs = clock.monotonicMs();
-    if (nowMs - levelAtMs < LEVEL_KEEP_MS) return;
-    levelAtMs = nowMs;
+    if (nowMs - levelsUpdatedMs < LEVEL_TTL_MS) return;
+    levelsUpdatedMs = nowMs;
     const asked = new Map<number, number>();
     const begun = new Map<number, number>();
-    forgetOld();
-    const heard = [...reports.values()].map((each) => each.report.teams);
-    const all = [getOwnTeams(), ...heard];
+    evictStale();
+    const otherTeams = [...reports.values()].map((each) => each.report.teams);
+    const all = [getOwnTeams(), ...otherTeams];
     for (const use of all.flat()) {
       asked.set(use.team, (asked.get(use.team) ?? 0) + use.asked);
       begun.set(use.team, (begun.get(use.team) ?? 0) + use.begun);
     }
     const total = sumOf(begun.values());
-    // What upstreams keep need not be read, so that they do more than stated.
+    // Cached prefixes need no prefill, so upstreams may do more than stated.
     const capacity = Math.max(total, host.getStatedCapacity());
     const demands = [...asked.values()];
-    level = getFairLevel(demands, capacity);
-    const isShort = sumOf(demands) > total * SHORT_FACTOR;
-    givenLevel = isShort ? getFairLevel(demands, total) : Infinity;
+    statedFairLevel = getFairLevel(demands, capacity);
+    const hasShortage = sumOf(demands) > total * SHORTAGE_FACTOR;
+    servedFairLevel = hasShortage ? getFairLevel(demands, total) : Infinity;
     askedByTeam = asked;
     begunByTeam = begun;
     mostBegun = Math.max(0, ...begun.values());
   }
 
   return {
-    begin: (upstream) => void getUse(upstream).inFlight++,
-    end: (upstream) => void getUse(upstream).inFlight--,
-    beginReading(upstream, readingTokens) {
+    beginRequest: (upstream) => void getUse(upstream).inFlight++,
+    endRequest: (upstream) => void getUse(upstream).inFlight--,
+    beginPrefill(upstream, readingTokens) {
       getUse(upstream).readingTokens += readingTokens;
     },
-    endReading(upstream, readingTokens) {
+    endPrefill(upstream, readingTokens) {
       getUse(upstream).readingTokens -= readingTokens;
     },
-    noteAsked: (team, tokens) =>
-      getTeam(team).asked.add(tokens, clock.monotonicMs()),
-    noteWork(size, workTokens) {
+    recordAsked: (team, tokens) =>
+      getTeamRates(team).asked.add(tokens, clock.monotonicMs()),
+    recordWork(serviceTokens, workTokens) {
       const nowMs = clock.monotonicMs();
-      sizes.add(size, nowMs);
-      works.add(workTokens, nowMs);
+      serviceRate.add(serviceTokens, nowMs);
+      workRate.add(workTokens, nowMs);
     },
-    getMeanYield() {
+    getMeanEfficiency() {
       const nowMs = clock.monotonicMs();
-      return sizes.get(nowMs) / Math.max(1, works.get(nowMs));
+      return serviceRate.get(nowMs) / Math.max(1, workRate.get(nowMs));
     },
-    noteBegun: (team, tokens) =>
-      getTeam(team).begun.add(tokens, clock.monotonicMs()),
+    recordBegun: (team, tokens) =>
+      getTeamRates(team).begun.add(tokens, clock.monotonicMs()),
     getInFlight: (upstream) =>
-      getUse(upstream).inFlight + getOthers(upstream).inFlight,
+      getUse(upstream).inFlight + getOthersUse(upstream).inFlight,
     getReadingTokens: (upstream) =>
-      getUse(upstream).readingTokens + getOthers(upstream).readingTokens,
+      getUse(upstream).readingTokens + getOthersUse(upstream).readingTokens,
     getOthersLearned(service) {
-      forgetOld();
+      evictStale();
       return othersLearned.get(getDigest(service)) ?? EMPTY_PACING_STATS;
     },
     getShareUsed(team) {
-      updateLevel();
-      return (begunByTeam.get(getDigest(team)) ?? 0) / level;
+      updateFairLevels();
+      return (begunByTeam.get(getDigest(team)) ?? 0) / statedFairLevel;
     },
-    isAhead(team) {
-      updateLevel();
-      return (begunByTeam.get(getDigest(team)) ?? 0) > givenLevel;
+    isOverserved(team) {
+      updateFairLevels();
+      return (begunByTeam.get(getDigest(team)) ?? 0) > servedFairLevel;
     },
     isUnderserved(team) {
-      updateLevel();
+      updateFairLevels();
       const digest = getDigest(team);
       const begun = begunByTeam.get(digest) ?? 0;
       const due = Math.min(askedByTeam.get(digest) ?? 0, mostBegun);
@@ -268,27 +299,27 @@
         getUse(upstream).underserved = prompts;
       }
     },
-    getUnderservedElsewhere: (upstream) => getOthers(upstream).underserved,
+    getUnderservedElsewhere: (upstream) => getOthersUse(upstream).underserved,
     receive(report) {
       const known = reports.get(report.from);
       const isOlder = known !== undefined &&
         report.sequence < known.report.sequence &&
-        // A restarted host counts from the start again.
-        clock.monotonicMs() - known.atMs < REPORT_KEEP_MS;
+        // A restarted host begins its sequence again.
+        clock.monotonicMs() - known.receivedMs < REPORT_TTL_MS;
       if (isOlder) return;
-      forget(report.from);
-      forgetOtherScopes(report);
-      reports.set(report.from, { report, atMs: clock.monotonicMs() });
-      count(report, 1);
+      evict(report.from);
+      evictOtherScopes(report);
+      reports.set(report.from, { report, receivedMs: clock.monotonicMs() });
+      applyReport(report, 1);
     },
-    createUse() {
+    createOwnContent() {
       const upstreams: UpstreamUse[] = [];
       for (const [upstream, use] of uses) {
         if (isUsed(use)) upstreams.push({ upstream, ...use });
         else uses.delete(upstream);
       }
-      const used = getOwnTeams().filter((each) => each.asked > 0);
-      return { upstreams, teams: used, learned: host.getLearned() };
+      const activeTeams = getOwnTeams().filter((each) => each.asked > 0);
+      return { upstreams, teams: activeTeams, learned: host.getLearned() };
     },
   };
 }
--- a/src/measure/baselines.ts
+++ b/src/measure/baselines.ts
@@ -174,8 +174,8 @@
       getLeaf(service).receiveReport(peer, message);
     },
     receiveView() {},
-    forgetHost(peer) {
-      for (const counters of leaves.values()) counters.forgetChild(peer);
+    removeHost(peer) {
+      for (const counters of leaves.values()) counters.clearChildBacklog(peer);
     },
   };
 }
--- a/src/membership/member_table.ts
+++ b/src/membership/member_table.ts
@@ -1,6 +1,6 @@
 /**
- * What one host knows of the others: who is there, in which state, since when.
- * Which of two claims about a member is newer is decided here alone.
+ * Table of the fleet's members as one host knows them, with their states.
+ * Decides which of two updates about a member is newer.
  *
  * @module
  */
@@ -8,45 +8,55 @@
 import type { Clock } from "../core/mod.ts";
 import type { Member, MemberState, Seed } from "./types.ts";
 
-/** The members as one host sees them. */
+/** The members that one host knows. */
 export interface MemberTable {
   getSelf(): Member;
   tryGet(host: string): Member | undefined;
-  /** Number of members, dead ones too. */
+  /** Number of members, dead ones included. */
   getCount(): number;
-  /** A member other than this host that is not dead. */
-  tryGetOther(host: string): Member | undefined;
-  /** All members, dead ones too, this host included. */
+  /** The member, if it is another host and not dead. */
+  tryGetPeer(host: string): Member | undefined;
+  /** All members, including dead ones and this host. */
   getAll(): readonly Member[];
-  /** Members other than this host that are not dead. */
-  getOthers(): readonly Member[];
-  /** Hosts that can't be reached now but may come back. */
-  getLost(): readonly Seed[];
-  /** Takes a claim in; false when it is not newer than what is known. */
-  add(claim: Member): boolean;
-  /** Sets what this host has found out by itself. */
+  /** All members that are other hosts and not dead. */
+  getPeers(): readonly Member[];
+  /**
+   * Hosts that may come back: dead members, and listed hosts that have never
+   * answered.
+   */
+  getUnreachable(): readonly Seed[];
+  /**
+   * Merges an update that another host sent; returns false when it is not newer
+   * than the known entry.
+   */
+  merge(update: Member): boolean;
+  /** Sets an entry that this host has changed itself. */
   set(member: Member): void;
-  /** Replaces what the platform lists. */
+  /** Replaces the hosts that the platform's list or the settings name. */
   setSeeds(seeds: readonly Seed[]): void;
-  /** Forgets members that are long dead and no longer listed. */
-  forgetDead(): void;
+  /**
+   * Removes members that have been dead for `DEAD_RETENTION_MS` and are no
+   * longer listed.
+   */
+  removeExpiredDead(): void;
 }
 
 /**
- * A dead member that the platform lists no more is forgotten after so long. By
- * then no datagram with its old entry is on its way, so nothing can bring it
- * back; and 88 hosts replaced a day leave one entry or two and not thousands.
+ * Time after which a dead member that the platform no longer lists is removed,
+ * in ms. By then no datagram with its old entry is in flight that could bring
+ * it back. With 88 hosts replaced a day, one or two such entries remain at a
+ * time, instead of thousands.
  */
-export const DEAD_KEEP_MS = 600_000;
+export const DEAD_RETENTION_MS = 600_000;
 
-const STATE_RANK: Readonly<Record<MemberState, number>> = {
+const STATE_PRECEDENCE: Readonly<Record<MemberState, number>> = {
   alive: 0,
   suspect: 1,
   leaving: 2,
   dead: 3,
 };
 
-/** Makes a table that knows this host alone. */
+/** Creates a table that contains only this host. */
 export function createMemberTable(self: Member, clock: Clock): MemberTable {
   const members = new Map<string, Member>([[self.host, self]]);
   const deadSinceMs = new Map<string, number>();
@@ -60,7 +70,7 @@
     }
   }
 
-  function isLost(host: string): boolean {
+  function isUnreachable(host: string): boolean {
     const member = members.get(host);
     return member === undefined || member.state === "dead";
   }
@@ -69,29 +79,29 @@
     getSelf: () => members.get(self.host)!,
     tryGet: (host) => members.get(host),
     getCount: () => members.size,
-    tryGetOther(host) {
+    tryGetPeer(host) {
       const member = members.get(host);
       const isOther = host !== self.host && member?.state !== "dead";
       return isOther ? member : undefined;
     },
     getAll: () => [...members.values()],
-    getOthers: () =>
+    getPeers: () =>
       [...members.values()].filter((member) =>
         member.host !== self.host && member.state !== "dead"
       ),
-    getLost() {
+    getUnreachable() {
       const dead = [...deadSinceMs.keys()].map((host) => members.get(host)!);
-      const unmet = [...seeds.values()].filter((seed) =>
+      const neverSeen = [...seeds.values()].filter((seed) =>
         !members.has(seed.host)
       );
-      return [...dead, ...unmet];
+      return [...dead, ...neverSeen];
     },
-    add(claim) {
-      const known = members.get(claim.host);
-      // News of the death of a host that is not known, or no more.
-      if (known === undefined && claim.state === "dead") return false;
-      if (known !== undefined && !isNewer(claim, known)) return false;
-      set(claim);
+    merge(update) {
+      const known = members.get(update.host);
+      // An unknown or already removed host is not added as dead.
+      if (known === undefined && update.state === "dead") return false;
+      if (known !== undefined && !isNewer(update, known)) return false;
+      set(update);
       return true;
     },
     set,
@@ -99,11 +109,11 @@
       const others = listed.filter((seed) => seed.host !== self.host);
       seeds = new Map(others.map((seed) => [seed.host, seed]));
     },
-    forgetDead() {
+    removeExpiredDead() {
       const nowMs = clock.monotonicMs();
       for (const [host, sinceMs] of deadSinceMs) {
-        if (seeds.has(host) || nowMs - sinceMs < DEAD_KEEP_MS) continue;
-        if (!isLost(host)) continue;
+        if (seeds.has(host) || nowMs - sinceMs < DEAD_RETENTION_MS) continue;
+        if (!isUnreachable(host)) continue;
         deadSinceMs.delete(host);
         members.delete(host);
       }
@@ -111,16 +121,19 @@
   };
 }
 
-/** Whether a claim about a member overrides what is known of it. */
-export function isNewer(claim: Member, known: Member): boolean {
-  if (claim.incarnation !== known.incarnation) {
-    return claim.incarnation > known.incarnation;
+/** Whether the new entry overrides the known one. */
+export function isNewer(entry: Member, known: Member): boolean {
+  if (entry.incarnation !== known.incarnation) {
+    return entry.incarnation > known.incarnation;
   }
-  if (claim.revision !== known.revision) return claim.revision > known.revision;
-  return STATE_RANK[claim.state] > STATE_RANK[known.state];
+  if (entry.revision !== known.revision) return entry.revision > known.revision;
+  return STATE_PRECEDENCE[entry.state] > STATE_PRECEDENCE[known.state];
 }
 
-/** Whether a member may get new work. */
+/**
+ * Whether the member may get new work. A suspect may, since most suspects turn
+ * out to be alive.
+ */
 export function isUsableMember(member: Member): boolean {
   return member.state === "alive" || member.state === "suspect";
 }
--- a/src/membership/sync.ts
+++ b/src/membership/sync.ts
@@ -1,56 +1,69 @@
 /**
- * Gives a host that has just started, or was stopped for a while, all that
- * another host knows: gossip only carries changes, and those are over.
+ * Full synchronisation of a host that has just started or was stopped for a
+ * while. Gossip carries only recent changes, so such a host asks others for
+ * their complete state.
  *
  * @module
  */
 
-/** Who asks for all, and who is being told. */
+/**
+ * Tracks whether this host still needs a full sync, and which hosts it sends
+ * one to.
+ */
 export interface Sync {
-  /** This host asks the next hosts that it meets. */
-  want(): void;
-  isWanted(): boolean;
-  /** A host has answered a probe. */
-  countContact(host: string): void;
-  /** The host at the address gets everything under these keys. */
-  add(address: string, keys: readonly string[]): void;
-  /** What to send in this period, each chunk in one datagram. */
+  /** Makes this host ask the next hosts that it contacts for a full sync. */
+  restart(): void;
+  isNeeded(): boolean;
+  /**
+   * Records that a host has answered a probe, and so was asked for a full sync.
+   */
+  recordContact(host: string): void;
+  /** Queues all keys for the host at this address. */
+  enqueue(address: string, keys: readonly string[]): void;
+  /** Takes the chunks to send in this period, one datagram each. */
   takeChunks(
     options: { readonly maxPayloadBytes: number },
     getBytes: (key: string) => number,
   ): readonly { readonly address: string; readonly keys: readonly string[] }[];
 }
 
-/** Two hosts are asked, in case one has just started itself. */
-const ASKED_HOSTS = 2;
+/**
+ * Number of hosts asked for a full sync; two, in case one of them has just
+ * started itself.
+ */
+const SYNC_SOURCES = 2;
 
 /**
- * Datagrams to one asking host in a period. 390 entries take about 30 of them,
- * so a new host knows all within 8 s and no one sends it more than 5 KB/s.
+ * Datagrams sent to one receiver in a period. 390 entries take about 30
+ * datagrams, so a new host knows all within 8 s, and no host sends it more than
+ * 5 KB/s.
  */
 const CHUNKS_PER_PERIOD = 2;
 
-/** Hosts that are told at the same time; others ask again or ask another. */
-const MAX_TOLD = 4;
+/**
+ * Maximum number of receivers at a time. Further hosts repeat their request or
+ * are answered by another host.
+ */
+const MAX_RECEIVERS = 4;
 
-/** Makes the state of a host that has just started: it asks. */
+/** Creates the state of a host that has just started and needs a full sync. */
 export function createSync(): Sync {
-  const told = new Map<string, string[]>();
-  const asked = new Set<string>();
+  const receivers = new Map<string, string[]>();
+  const contacted = new Set<string>();
 
   return {
-    want: () => asked.clear(),
-    isWanted: () => asked.size < ASKED_HOSTS,
-    countContact: (host) => {
-      if (asked.size < ASKED_HOSTS) asked.add(host);
+    restart: () => contacted.clear(),
+    isNeeded: () => contacted.size < SYNC_SOURCES,
+    recordContact: (host) => {
+      if (contacted.size < SYNC_SOURCES) contacted.add(host);
     },
-    add(address, keys) {
-      if (told.size >= MAX_TOLD || told.has(address)) return;
-      told.set(address, [...keys]);
+    enqueue(address, keys) {
+      if (receivers.size >= MAX_RECEIVERS || receivers.has(address)) return;
+      receivers.set(address, [...keys]);
     },
     takeChunks({ maxPayloadBytes }, getBytes) {
       const chunks: { address: string; keys: string[] }[] = [];
-      for (const [address, keys] of told) {
+      for (const [address, keys] of receivers) {
         for (let each = 0; each < CHUNKS_PER_PERIOD; each++) {
           const chunk: string[] = [];
           let leftBytes = maxPayloadBytes;
@@ -60,7 +73,7 @@
           }
           if (chunk.length > 0) chunks.push({ address, keys: chunk });
         }
-        if (keys.length === 0) told.delete(address);
+        if (keys.length === 0) receivers.delete(address);
       }
       return chunks;
     },
--- a/src/platform/http_platform.ts
+++ b/src/platform/http_platform.ts
@@ -1,7 +1,8 @@
 /**
- * The platform over HTTP with JSON bodies. Every call has a deadline, since a
- * connection can go silent for good; a call whose reply is lost says that it
- * may have run, and its caller reads back.
+ * Client of the platform over HTTP with JSON bodies. Every call has a time-out,
+ * since a connection can stop answering for good. When the reply of a call is
+ * lost, the error says that the call may have run, and the caller reads the
+ * state back.
  *
  * @module
  */
@@ -20,28 +21,35 @@
 interface Reply {
   readonly status: number;
   readonly text: string;
-  /** Names the content, for a later conditional read; empty for none. */
+  /** ETag of the content, for a later conditional read; empty for none. */
   readonly etag: string;
 }
 
-interface Call {
+interface CallOptions {
   readonly method: string;
   readonly body?: string;
-  /** Reads only what differs from the content of this name. */
+  /**
+   * ETag of the content that is already known; the body is sent only if it has
+   * changed.
+   */
   readonly knownEtag?: string;
 }
 
 const NOT_MODIFIED = 304;
 
-/** Makes the client of the platform at the address, an IP and a port. */
+/**
+ * Creates the client of the platform at the address, an IP address and a port.
+ */
 export function createHttpPlatform(address: string): Platform {
-  let list: { etag: string; machines: readonly ListedMachine[] } | undefined;
+  let cachedList:
+    | { etag: string; machines: readonly ListedMachine[] }
+    | undefined;
 
-  function call(path: string, init: Call) {
+  function call(path: string, options: CallOptions) {
     return Effect.tryPromise({
-      try: () => send(`http://${address}${path}`, init),
+      try: () => send(`http://${address}${path}`, options),
       catch: toPlatformError,
-    }).pipe(Effect.flatMap(requireUsable));
+    }).pipe(Effect.flatMap(rejectServerError));
   }
 
   function callJson<T>(path: string, body: unknown) {
@@ -51,20 +59,22 @@
   }
 
   /**
-   * The list of a thousand machines is read every few seconds and changes a few
-   * times an hour: unchanged, it costs a head and no body.
+   * Reads the machine list, by a conditional request. A list of a thousand
+   * machines is read every few seconds but changes only a few times an hour;
+   * unchanged, it costs only headers.
    */
   function getMachines() {
-    // Suspended: the effect is made once and run each few seconds.
+    // Suspended, since the effect is created once and run every few seconds,
+    // and must use the newest ETag.
     const read = Effect.suspend(() =>
-      call("/machines", { method: "GET", knownEtag: list?.etag ?? "" })
+      call("/machines", { method: "GET", knownEtag: cachedList?.etag ?? "" })
     );
     return read.pipe(Effect.map((reply) => {
-      if (reply.status === NOT_MODIFIED && list !== undefined) {
-        return list.machines;
+      if (reply.status === NOT_MODIFIED && cachedList !== undefined) {
+        return cachedList.machines;
       }
       const machines = JSON.parse(reply.text) as readonly ListedMachine[];
-      list = { etag: reply.etag, machines };
+      cachedList = { etag: reply.etag, machines };
       return machines;
     }));
   }
@@ -97,8 +107,8 @@
   };
 }
 
-async function send(url: string, init: Call): Promise<Reply> {
-  const { method, body, knownEtag = "" } = init;
+async function send(url: string, options: CallOptions): Promise<Reply> {
+  const { method, body, knownEtag = "" } = options;
   const res = await fetch(url, {
     method,
     body: body ?? null,
@@ -109,11 +119,11 @@
   return { status: res.status, text: await res.text(), etag };
 }
 
-function requireUsable(reply: Reply): Effect.Effect<Reply, PlatformError> {
+function rejectServerError(reply: Reply): Effect.Effect<Reply, PlatformError> {
   if (reply.status < 500) return Effect.succeed(reply);
-  // A 503 is the platform's word that it did nothing.
+  // With status 503 the platform guarantees that it did nothing.
   const mayHaveRun = reply.status !== 503;
-  const reason = `Status ${reply.status}`;
+  const reason = `The platform answered with status ${reply.status}`;
   return Effect.fail(new PlatformError({ reason, mayHaveRun }));
 }
 
@@ -122,7 +132,7 @@
     ? err.cause
     : err;
   const reason = cause instanceof Error ? cause.message : String(cause);
-  // Only a refused connection proves that the call never left this host.
+  // Only a refused connection proves that the request was never sent.
   const mayHaveRun = !reason.includes("ECONNREFUSED");
   return new PlatformError({ reason, mayHaveRun });
 }
--- a/src/proof/check_requests.ts
+++ b/src/proof/check_requests.ts
@@ -1,5 +1,6 @@
 /**
- * Checks of what callers were told against what upstreams ran.
+ * Checks of the promises about requests: compares the outcomes that callers got
+ * with the runs that upstreams observed.
  *
  * @module
  */
@@ -13,24 +14,24 @@
 >;
 
 /** The observations of one kind, in the order of the history. */
-export function getOfKind<K extends Observation["kind"]>(
+export function getByKind<K extends Observation["kind"]>(
   history: readonly Observation[],
   kind: K,
 ): readonly Kind<K>[] {
   return history.filter((each): each is Kind<K> => each.kind === kind);
 }
 
-/** Work that may not be repeated ran at most once, over all its sendings. */
+/** Work that is not idempotent ran at most once, across all its sendings. */
 export function checkAtMostOnce(
   history: readonly Observation[],
 ): readonly Violation[] {
-  const once = new Set(
-    getOfKind(history, "request-sent").filter((each) => !each.idempotent)
+  const nonIdempotentWork = new Set(
+    getByKind(history, "request-sent").filter((each) => !each.idempotent)
       .map((each) => each.work),
   );
   const runs = new Map<string, Kind<"upstream-ran">[]>();
-  for (const run of getOfKind(history, "upstream-ran")) {
-    if (!once.has(run.work)) continue;
+  for (const run of getByKind(history, "upstream-ran")) {
+    if (!nonIdempotentWork.has(run.work)) continue;
     getOrCreate(runs, run.work, () => []).push(run);
   }
   return [...runs].filter(([, all]) => all.length > 1).map(([work, all]) => ({
@@ -42,14 +43,14 @@
   }));
 }
 
-/** What a caller was told did not run did not run. */
+/** A request whose outcome is "not-run" did not run. */
 export function checkNotRun(
   history: readonly Observation[],
 ): readonly Violation[] {
   const ran = new Map(
-    getOfKind(history, "upstream-ran").map((run) => [run.request, run]),
+    getByKind(history, "upstream-ran").map((run) => [run.request, run]),
   );
-  return getOfKind(history, "request-ended").flatMap((end) => {
+  return getByKind(history, "request-ended").flatMap((end) => {
     const run = ran.get(end.request);
     if (end.outcome !== "not-run" || end.request === "" || run === undefined) {
       return [];
@@ -57,16 +58,16 @@
     return [{
       promise: "not-run-did-not-run" as const,
       atMs: end.atMs,
-      what: `"${end.request}" was told "not run" and ran at ${run.upstream}`,
+      what: `"${end.request}" ended as "not-run" but ran at ${run.upstream}`,
     }];
   });
 }
 
-/** An answer is whole and the caller's own. */
-export function checkWholeAnswers(
+/** An answer is complete and belongs to the caller's request. */
+export function checkCompleteAnswers(
   history: readonly Observation[],
 ): readonly Violation[] {
-  return getOfKind(history, "request-ended")
+  return getByKind(history, "request-ended")
     .filter((end) => end.outcome === "answered" && end.fault !== "")
     .map((end) => ({
       promise: "whole-answer" as const,
@@ -75,16 +76,16 @@
     }));
 }
 
-/** Every sending ended, if only by the loss of its connection. */
+/** Every sending ended, by an answer or by the loss of its connection. */
 export function checkAlwaysEnded(
   history: readonly Observation[],
 ): readonly Violation[] {
   const ended = new Set(
-    getOfKind(history, "request-ended")
+    getByKind(history, "request-ended")
       .filter((end) => end.outcome !== "silent")
       .map((end) => end.sending),
   );
-  return getOfKind(history, "request-sent")
+  return getByKind(history, "request-sent")
     .filter((sent) => !ended.has(sent.sending))
     .map((sent) => ({
       promise: "always-ended" as const,
@@ -93,19 +94,19 @@
     }));
 }
 
-/** A host that drains ends the requests that it has. */
+/** A draining host completes its requests and cuts no connection. */
 export function checkDrains(
   history: readonly Observation[],
 ): readonly Violation[] {
   const sentMs = new Map(
-    getOfKind(history, "request-sent").map((each) => [each.sending, each.atMs]),
+    getByKind(history, "request-sent").map((each) => [each.sending, each.atMs]),
   );
-  const cuts = getOfKind(history, "request-ended")
+  const cutConnections = getByKind(history, "request-ended")
     .filter((end) => end.outcome === "cut");
-  return getOfKind(history, "host-asked-to-drain").flatMap((asked) => {
-    const { host, atMs: fromMs } = asked;
+  return getByKind(history, "host-asked-to-drain").flatMap((drain) => {
+    const { host, atMs: fromMs } = drain;
     const untilMs = getNextStartMs(history, host, fromMs);
-    return cuts
+    return cutConnections
       .filter((end) =>
         end.host === host && end.atMs >= fromMs &&
         (sentMs.get(end.sending) ?? Infinity) < untilMs
@@ -118,29 +119,31 @@
   });
 }
 
-/** When the host is up again after the time given. */
+/** The time at which the host is next reachable again after `afterMs`. */
 function getNextStartMs(
   history: readonly Observation[],
   host: string,
   afterMs: number,
 ): number {
-  const next = getOfKind(history, "host-reachable").find((each) =>
+  const next = getByKind(history, "host-reachable").find((each) =>
     each.host === host && each.reachable && each.atMs > afterMs
   );
   return next?.atMs ?? Infinity;
 }
 
-/** One piece of work crashes upstreams so many times, resends included. */
+/**
+ * One piece of work, with its resends, crashes a limited number of upstreams.
+ */
 export function checkCrashes(
   history: readonly Observation[],
   limits: PromiseLimits,
 ): readonly Violation[] {
   const byWork = new Map<string, number[]>();
-  for (const crash of getOfKind(history, "upstream-crashed")) {
+  for (const crash of getByKind(history, "upstream-crashed")) {
     getOrCreate(byWork, crash.work, () => []).push(crash.atMs);
   }
   return [...byWork].flatMap(([work, crashesMs]) => {
-    const timesMs = getTimes(crashesMs, limits.crashKnownMs);
+    const timesMs = mergeUnknownCrashes(crashesMs, limits.crashKnownMs);
     const atMs = timesMs[getAllowedCrashes(history, timesMs, limits)];
     if (atMs === undefined) return [];
     return [{
@@ -151,60 +154,67 @@
   });
 }
 
-/** Crashes so close that none could be known at the other are one time. */
-function getTimes(
+/**
+ * Merges crashes that are so close in time that the hosts could not know of one
+ * before the next: they count as one.
+ */
+function mergeUnknownCrashes(
   crashesMs: readonly number[],
-  knownMs: number,
+  propagationMs: number,
 ): readonly number[] {
   const times: number[] = [];
   for (const atMs of crashesMs) {
     const last = times.at(-1);
-    if (last === undefined || atMs > last + knownMs) times.push(atMs);
+    if (last === undefined || atMs > last + propagationMs) times.push(atMs);
   }
   return times;
 }
 
-/** Regions that can't hear each other may each reach the limit. */
+/** Regions that are partitioned from each other may each reach the limit. */
 function getAllowedCrashes(
   history: readonly Observation[],
   timesMs: readonly number[],
   limits: PromiseLimits,
 ): number {
-  const wereCut = wereRegionsCut(history, timesMs[0]!, timesMs.at(-1)!);
-  return wereCut ? limits.crashes * 2 : limits.crashes;
+  const werePartitioned = wereRegionsPartitioned(
+    history,
+    timesMs[0]!,
+    timesMs.at(-1)!,
+  );
+  return werePartitioned ? limits.crashes * 2 : limits.crashes;
 }
 
-function wereRegionsCut(
+function wereRegionsPartitioned(
   history: readonly Observation[],
   fromMs: number,
   toMs: number,
 ): boolean {
-  let isCut = false;
-  for (const each of getOfKind(history, "regions-cut")) {
+  let isPartitioned = false;
+  for (const each of getByKind(history, "regions-cut")) {
     if (each.atMs > toMs) break;
-    if (each.atMs >= fromMs && isCut) return true;
-    isCut = each.cut;
+    if (each.atMs >= fromMs && isPartitioned) return true;
+    isPartitioned = each.cut;
   }
-  return isCut;
+  return isPartitioned;
 }
 
-/** The gap between backlogged teams, and waits, keep their bounds. */
+/** The service gap between backlogged teams and the waits are within bounds. */
 export function checkFairness(
   history: readonly Observation[],
 ): readonly Violation[] {
-  const gaps = getOfKind(history, "gap-seen")
+  const gaps = getByKind(history, "gap-seen")
     .filter((seen) => seen.gap > seen.bound)
     .map((seen) => ({
       promise: "gap-is-bounded" as const,
       atMs: seen.atMs,
       what: `Gap ${seen.gap} at "${seen.service}", bound ${seen.bound}`,
     }));
-  const waits = getOfKind(history, "wait-seen")
+  const waits = getByKind(history, "wait-seen")
     .filter((seen) => seen.waitedMs > seen.boundMs)
     .map((seen) => ({
       promise: "no-team-starves" as const,
       atMs: seen.atMs,
-      what: `"${seen.team}" waited ${seen.waitedMs} of ${seen.boundMs} ms`,
+      what: `"${seen.team}" waited ${seen.waitedMs}, bound ${seen.boundMs} ms`,
     }));
   return [...gaps, ...waits];
 }
--- a/src/queue/common_room_test.ts
+++ b/src/queue/shared_capacity_test.ts
@@ -1,6 +1,6 @@
 import { ok } from "node:assert";
 import { test } from "node:test";
-import { createLoadSums, createLoadView } from "../load/mod.ts";
+import { createLoadReporter, createLoadView } from "../load/mod.ts";
 import { createAgenda } from "../measure/agenda.ts";
 import { createPacing } from "../pacing/mod.ts";
 import { createRandom } from "../measure/random.ts";
@@ -14,41 +14,41 @@
 const LINK_MS = 8;
 const REPORT_MS = 100;
 const TICK_MS = 10;
-const PLAYED_MS = 20_000;
+const SIMULATED_MS = 20_000;
 
-/** A team; without a weight it asks for as many tokens as each other. */
-interface PlayedTeam {
-  /** Hosts that its callers use in turn. */
+/** A team of the simulation. */
+interface SimulatedTeam {
+  /** Indices of the hosts that its callers use in turn. */
   readonly hosts: readonly number[];
-  /** What it asks for, over an even part of the demand. */
+  /** Its demand relative to an even part of the whole; 1 by default. */
   readonly weight?: number;
 }
 
-interface PlayOptions {
-  /** Tokens that the teams ask for together, over what upstreams read. */
-  readonly demand: number;
-  /** Of each prompt; nothing of it is shared. */
+interface SimulationOptions {
+  /** Prompt tokens of all teams, relative to what the upstreams can prefill. */
+  readonly demandFactor: number;
+  /** Tokens of each prompt, which has no shared prefix. */
   readonly promptTokens: number;
-  readonly teams: readonly PlayedTeam[];
-  /** Of each host's answers, those that pause past their target. */
+  readonly teams: readonly SimulatedTeam[];
+  /** By host: share of its answers that pause for longer than their target. */
   readonly lateShares: readonly number[];
-  /** What operators state that upstreams do, over what they read. */
-  readonly statedFactor?: number;
+  /** Capacity stated by operators, relative to the real one; 1 by default. */
+  readonly statedCapacityFactor?: number;
 }
 
-/** What a team asked for and got, in prompts. */
-interface Served {
+/** Prompts of one team that were submitted and started. */
+interface PromptCounts {
   readonly asked: number;
   readonly begun: number;
-  /** The part of what it asked for that it got. */
+  /** Started prompts as a share of those submitted. */
   readonly share: number;
 }
 
 /**
- * Hosts before two upstreams that read one prompt after the other; gives what
- * each team got.
+ * Simulates hosts that share two upstreams, each of which prefills one prompt
+ * after another. Returns the counts of each team.
  */
-function play(options: PlayOptions): readonly Served[] {
+function simulate(options: SimulationOptions): readonly PromptCounts[] {
   const { promptTokens } = options;
   const agenda = createAgenda();
   const { clock } = agenda;
@@ -68,7 +68,8 @@
       getDigest: getNameDigest,
       isAlive: () => true,
       getStatedCapacity: () =>
-        TOKENS_PER_MS * UPSTREAMS.length * 1_000 * (options.statedFactor ?? 1),
+        TOKENS_PER_MS * UPSTREAMS.length * 1_000 *
+        (options.statedCapacityFactor ?? 1),
       getLearned: () => [{
         ...pacing.getStats(),
         service: getNameDigest(SERVICE),
@@ -79,13 +80,13 @@
       getRemoteStats: () => view.getOthersLearned(SERVICE),
       onChanged: () => {},
     });
-    const sums = createLoadSums({
+    const reporter = createLoadReporter({
       clock,
       self,
       getHosts: () => peers,
       getDigest: getNameDigest,
-      createOwn: view.createUse,
-      onOthers: view.receive,
+      createOwnContent: view.createOwnContent,
+      onOthersLoad: view.receive,
     });
     const queue = createPromptQueue({
       nowMs: clock.monotonicMs,
@@ -96,15 +97,15 @@
         underservedElsewhere: view.getUnderservedElsewhere(upstream),
       }),
       getShareUsed: view.getShareUsed,
-      isAhead: view.isAhead,
+      isOverserved: view.isOverserved,
       isUnderserved: view.isUnderserved,
       onUnderservedWaiting: view.setUnderserved,
-      getMeanYield: view.getMeanYield,
+      getMeanEfficiency: view.getMeanEfficiency,
       getLimitTokens: () => pacing.getLimitTokens(TARGET_MS),
       random,
       onStart(prompt, upstream, readingTokens) {
-        view.beginReading(upstream, readingTokens);
-        view.noteBegun(prompt.team, prompt.size);
+        view.beginPrefill(upstream, readingTokens);
+        view.recordBegun(prompt.team, prompt.serviceTokens);
       },
     });
 
@@ -116,18 +117,18 @@
       answers++;
       const isLate = answers % 100 < options.lateShares[hostAt]! * 100;
       agenda.after(endMs - startedMs + LINK_MS, () => {
-        view.endReading(upstream, promptTokens);
+        view.endPrefill(upstream, promptTokens);
         pacing.recordFirstEvent(queuedTokens, clock.monotonicMs() - startedMs);
         pacing.recordPause(isLate);
       });
     }
 
-    function ask(teamAt: number): void {
+    function submit(teamAt: number): void {
       const first = Math.floor(random() * UPSTREAMS.length);
       const team = `team-${teamAt}`;
       asked[teamAt]!++;
-      view.noteAsked(team, promptTokens);
-      view.noteWork(promptTokens, promptTokens);
+      view.recordAsked(team, promptTokens);
+      view.recordWork(promptTokens, promptTokens);
       queue.add({
         request: `${team}-${asked[teamAt]}`,
         team,
@@ -135,10 +136,10 @@
         route: "drafts",
         arrivedMs: clock.monotonicMs(),
         targetMs: TARGET_MS,
-        size: promptTokens,
+        serviceTokens: promptTokens,
         workTokens: promptTokens,
-        isWanted: () => true,
-        getChoices: () => [{
+        isCallerConnected: () => true,
+        getUpstreams: () => [{
           upstream: UPSTREAMS[first]!,
           readingTokens: promptTokens,
         }],
@@ -150,31 +151,31 @@
       });
     }
 
-    return { sums, queue, ask };
+    return { reporter, queue, submit };
   });
 
-  const perMs = options.demand * TOKENS_PER_MS * UPSTREAMS.length;
+  const perMs = options.demandFactor * TOKENS_PER_MS * UPSTREAMS.length;
   const periodMs = promptTokens * options.teams.length / perMs;
   options.teams.forEach(({ hosts: used, weight = 1 }, at) => {
     agenda.every(periodMs / weight, () => {
-      hosts[used[asked[at]! % used.length]!]!.ask(at);
+      hosts[used[asked[at]! % used.length]!]!.submit(at);
     });
   });
   hosts.forEach((host, at) => {
     agenda.after(at, () => agenda.every(TICK_MS, host.queue.tick));
   });
   agenda.every(REPORT_MS, () => {
-    for (const { sums } of hosts) {
-      for (const { to, report } of sums.createReports()) {
+    for (const { reporter } of hosts) {
+      for (const { to, report } of reporter.createReports()) {
         const receivers = hosts
           .filter((_, at) => to.includes(peers[at]!.peerAddress));
         agenda.after(LINK_MS, () => {
-          for (const each of receivers) each.sums.receive(report);
+          for (const each of receivers) each.reporter.receive(report);
         });
       }
     }
   });
-  agenda.runUntil(PLAYED_MS);
+  agenda.runUntil(SIMULATED_MS);
   return options.teams.map((_, at) => ({
     asked: asked[at]!,
     begun: begun[at]!,
@@ -182,7 +183,7 @@
   }));
 }
 
-function getShares(teams: readonly Served[]): readonly number[] {
+function getShares(teams: readonly PromptCounts[]): readonly number[] {
   return teams.map((each) => each.share);
 }
 
@@ -190,57 +191,63 @@
   return Math.min(...shares) / Math.max(...shares);
 }
 
-test("a team whose one host sees its answers pause gets what the others get", () => {
-  // Hosts that learn the limit of reading alone differ by far; the room at an
-  // upstream is common, and the widest takes all of it.
-  for (const demand of [1.2, 2]) {
-    const shares = getShares(play({
-      demand,
+test("a team whose only host sees answers pause gets as much as the others", () => {
+  // Guards against hosts that each learn a prefill limit from their own answers
+  // only. Such limits differ widely, and the host with the highest one takes
+  // all of an upstream's capacity, which the hosts share.
+  for (const demandFactor of [1.2, 2]) {
+    const shares = getShares(simulate({
+      demandFactor,
       promptTokens: 2_800,
       teams: [{ hosts: [0] }, { hosts: [1] }],
       lateShares: [0.2, 0],
     }));
-    ok(getRatio(shares) >= 0.8, `${shares} at ${demand}`);
+    ok(getRatio(shares) >= 0.8, `${shares} at ${demandFactor}`);
   }
 });
 
-test("a team at one host gets more than half of what one at six hosts gets", () => {
-  // Where hardly more than one prompt may be read at once, hosts race for each
-  // upstream that has read all; six win six times of seven, whoever their team is.
+test("a team with one host gets over half of what a team with six hosts gets", () => {
+  // Where an upstream prefills hardly more than one prompt at a time, hosts
+  // race for each upstream that becomes free. Six hosts win six races of seven,
+  // whatever teams they serve.
   for (const promptTokens of [2_800, 8_000, 17_000]) {
-    for (const demand of [2, 4]) {
-      const shares = getShares(play({
-        demand,
+    for (const demandFactor of [2, 4]) {
+      const shares = getShares(simulate({
+        demandFactor,
         promptTokens,
         teams: [{ hosts: [0] }, { hosts: [1, 2, 3, 4, 5, 6] }],
         lateShares: Array.from({ length: 7 }, () => 0.3),
       }));
-      const what = `${shares} of ${promptTokens} tokens at ${demand}`;
+      const what = `${shares} of ${promptTokens} tokens at ${demandFactor}`;
       ok(getRatio(shares) > 0.5, what);
     }
   }
 });
 
-test("a calm team gets half of what it asks for beside a flood, whatever is stated", () => {
-  // Guards against shares of a capacity that upstreams do not have: nobody is over
-  // such a share, so the team with the most hosts takes what there is.
+test("a team with small demand gets half of it whatever capacity is stated", () => {
+  // Guards against shares computed from more capacity than the upstreams have.
+  // No team exceeds such a share, so the team with the most hosts takes all real
+  // capacity.
   for (const promptTokens of [2_800, 8_000, 17_000]) {
-    for (const statedFactor of [1, 3, 10]) {
-      const [calm, flood] = play({
-        demand: 3,
+    for (const statedCapacityFactor of [1, 3, 10]) {
+      const [steady, overloading] = simulate({
+        demandFactor: 3,
         promptTokens,
         teams: [
           { hosts: [0, 1], weight: 0.3 },
           { hosts: [0, 1, 2, 3, 4, 5, 6], weight: 1.7 },
         ],
         lateShares: Array.from({ length: 7 }, () => 0.3),
-        statedFactor,
+        statedCapacityFactor,
       });
-      const due = Math.min(calm!.asked, flood!.begun) / 2;
-      const what = `${calm!.begun} of ${due} due, ${
-        flood!.begun
-      } for the flood`;
-      ok(calm!.begun >= due, `${what}; ${promptTokens}, ${statedFactor}`);
+      const due = Math.min(steady!.asked, overloading!.begun) / 2;
+      const what = `${steady!.begun} of ${due} due, ${
+        overloading!.begun
+      } for the overloading team`;
+      ok(
+        steady!.begun >= due,
+        `${what}; ${promptTokens}, ${statedCapacityFactor}`,
+      );
     }
   }
 });
--- a/src/router/operator_handlers.ts
+++ b/src/router/operator_handlers.ts
@@ -18,7 +18,7 @@
   ConfigError,
   decodeFileSet,
   getSharedKeyProblems,
-  throwIfAny,
+  throwIfProblems,
 } from "../config/mod.ts";
 import type { Clock, HybridClock } from "../core/mod.ts";
 import {
@@ -125,7 +125,7 @@
   const until = host.hybridClock.tick();
   const events = host.recorder.getSince(filter.after ?? 0)
     .filter((event) => matchesFilter(event, filter));
-  return { events, until, lost: host.recorder.getLost() };
+  return { events, until, lost: host.recorder.getNewestLostStamp() };
 }
 
 function getLimit(url: URL): number {
@@ -170,7 +170,7 @@
   const { files, baseVersion, attempt } = parsed;
   try {
     const deployment = decodeFileSet(files);
-    throwIfAny(getSharedKeyProblems(deployment, host.operators));
+    throwIfProblems(getSharedKeyProblems(deployment, host.operators));
   } catch (err) {
     if (!(err instanceof ConfigError)) throw err;
     return fail(400, "configInvalid", [err.message]);
--- a/src/router/router.ts
+++ b/src/router/router.ts
@@ -85,7 +85,7 @@
     getOwned: () => fleet.getOwned(),
     getQueued: (service) => fleet.slots.getQueues(service).getCounts(),
     tryGetOldestMs: (service) =>
-      fleet.slots.getQueues(service).tryGetOldestMs(),
+      fleet.slots.getQueues(service).tryGetOldestArrivalMs(),
     getCounter: (service, team) =>
       fleet.getCounters().get(service)?.get(team) ?? 0,
     getMembers: () => membership.getMembers(),
@@ -273,7 +273,7 @@
       recorder,
       operators: settings.operators,
       getCurrent: configuration.getCurrent,
-      onAccepted: configuration.offer,
+      onAccepted: configuration.putAcceptedInForce,
       isDraining: () => drain.getPhase() !== "serving",
       isUpstreamLeaving: leavingUpstreams.isLeaving,
       tryGetNotReadyReason,
--- a/src/upstreams/http_upstreams.ts
+++ b/src/upstreams/http_upstreams.ts
@@ -9,7 +9,7 @@
 import { type IncomingMessage, request as sendRequest } from "node:http";
 import * as Effect from "effect/Effect";
 import { createParser } from "eventsource-parser";
-import { startTimeLimit } from "../core/mod.ts";
+import { startTimeout } from "../core/mod.ts";
 import {
   type CancelResult,
   type EventStream,
@@ -121,7 +121,7 @@
       },
     });
     // A connection can stay silent forever without an error.
-    const timeout = startTimeLimit(
+    const timeout = startTimeout(
       call.timeoutMs,
       () => req.destroy(createSilentError(call.timeoutMs)),
     );
@@ -200,7 +200,7 @@
   res: IncomingMessage,
   chunks: AsyncIterator<string>,
 ): Promise<IteratorResult<string>> {
-  using _timeout = startTimeLimit(
+  using _timeout = startTimeout(
     STREAM_IDLE_TIMEOUT_MS,
     () => res.destroy(createSilentError(STREAM_IDLE_TIMEOUT_MS)),
   );
