--- a/src/forwarding/pick_upstream.ts
+++ b/src/forwarding/pick_upstream.ts
@@ -115,7 +115,7 @@
   call: Call,
   prompt: Prompt,
 ): Effect.Effect<PickedUpstream, Rejected> {
-  const size = getServiceTokens(prompt);
+  const serviceTokens = getServiceTokens(prompt);
   const workTokens = getWorkTokens(prompt);
   recordDemand(host, call.team ?? "", prompt);
   return Effect.callback<PickedUpstream, Rejected>((resume) => {
@@ -128,7 +128,7 @@
       targetMs: Math.min(call.route.targetMs, getRemainingMs(host, call)),
       service: call.service,
       route: call.route.name,
-      serviceTokens: size,
+      serviceTokens: serviceTokens,
       workTokens,
       getUpstreams: createRankingCache(host, call, prompt),
       isCallerConnected: () => !hasDisconnected(call.res),
@@ -158,9 +158,9 @@
   team: string,
   prompt: Prompt,
 ): void {
-  const size = getServiceTokens(prompt);
-  host.load.recordAsked(team, size);
-  host.load.recordWork(size, getWorkTokens(prompt));
+  const serviceTokens = getServiceTokens(prompt);
+  host.load.recordAsked(team, serviceTokens);
+  host.load.recordWork(serviceTokens, getWorkTokens(prompt));
 }
 
 /**
@@ -172,18 +172,18 @@
   call: Call,
   prompt: Prompt,
 ): () => readonly RankedUpstream[] {
-  let choices: readonly RankedUpstream[] = [];
+  let ranking: readonly RankedUpstream[] = [];
   let ready: readonly UpstreamEntry[] | undefined;
   let rankedAtMs = -Infinity;
   return () => {
     const nowMs = host.clock.monotonicMs();
     const nowReady = host.directory.getReady(call.service);
     if (nowReady !== ready || nowMs - rankedAtMs > RANKING_TTL_MS) {
-      choices = rankUpstreams(host, call, prompt);
+      ranking = rankUpstreams(host, call, prompt);
       ready = nowReady;
       rankedAtMs = nowMs;
     }
-    return choices;
+    return ranking;
   };
 }
 
