--- a/src/forwarding/pick_upstream.ts
+++ b/src/forwarding/pick_upstream.ts
@@ -128,7 +128,7 @@
       targetMs: Math.min(call.route.targetMs, getRemainingMs(host, call)),
       service: call.service,
       route: call.route.name,
-      serviceTokens: serviceTokens,
+      serviceTokens,
       workTokens,
       getUpstreams: createRankingCache(host, call, prompt),
       isCallerConnected: () => !hasDisconnected(call.res),
