--- a/src/fleet/fleet_faults_test.ts
+++ b/src/fleet/fleet_faults_test.ts
@@ -82,10 +82,10 @@
   each: Fault,
   restarted: Set<string>,
 ): void {
-  const { agenda } = fixture;
+  const { scheduler } = fixture;
   if (each.kind === "cut") {
     fixture.setCut(true);
-    agenda.after(each.forMs, () => fixture.setCut(false));
+    scheduler.after(each.forMs, () => fixture.setCut(false));
     return;
   }
   const id = fixture.hosts[each.host]!.id;
@@ -96,11 +96,11 @@
   if (each.kind === "kill-restart") {
     restarted.add(id);
     fixture.kill(id, SEEN_MS);
-    agenda.after(5_000, () => fixture.restart(id, 500));
+    scheduler.after(5_000, () => fixture.restart(id, 500));
   } else if (each.kind === "quick-restart") {
     restarted.add(id);
     fixture.kill(id, SEEN_MS);
-    agenda.after(100, () => fixture.restart(id, 500));
+    scheduler.after(100, () => fixture.restart(id, 500));
   } else if (each.kind === "pause") {
     fixture.pause(id, { forMs: 30_000, seenMs: SEEN_MS });
   } else if (each.kind === "break-links") {
@@ -130,17 +130,17 @@
       }),
       (seed, faults) => {
         const fixture = createFixture(seed);
-        const { agenda } = fixture;
+        const { scheduler } = fixture;
         const restarted = new Set<string>();
         let nowMs = 1_000;
-        agenda.runUntil(nowMs);
+        scheduler.runUntil(nowMs);
         for (const [each, pauseMs] of faults) {
           apply(fixture, each, restarted);
           nowMs += pauseMs;
-          agenda.runUntil(nowMs);
+          scheduler.runUntil(nowMs);
         }
         nowMs += 35_000 + QUIET_MS;
-        agenda.runUntil(nowMs);
+        scheduler.runUntil(nowMs);
         const lost = fixture.getRequests().filter((req) =>
           isOpen(req) && !restarted.has(req.host)
         );
@@ -155,7 +155,7 @@
         for (let at = 0; at < HOSTS; at++) {
           submit(fixture, at, { count: 20, cost: 200 });
         }
-        agenda.runUntil(nowMs + 2_000);
+        scheduler.runUntil(nowMs + 2_000);
         assert.deepEqual(getInFlight(fixture), [SLOTS, SLOTS, SLOTS, SLOTS]);
       },
     ),
--- a/src/measure/admitted_load.ts
+++ b/src/measure/admitted_load.ts
@@ -62,8 +62,8 @@
   fixture: FleetFixture,
   { random, bodyBytes, refuses }: AdmittedLoadOptions,
 ): AdmittedLoad {
-  const { agenda } = fixture;
-  const { clock } = agenda;
+  const { scheduler } = fixture;
+  const { clock } = scheduler;
   const ends: CallEnd[] = [];
   const most = { requests: 0, bytes: 0 };
   const backlogs = new Map<string, Backlog>();
@@ -72,7 +72,7 @@
     const backlog = createBacklog({ clock, random });
     backlogs.set(id, backlog);
     budgets.set(id, createRetryBudget(clock));
-    if (refuses) agenda.every(SWEEP_MS, backlog.sweep);
+    if (refuses) scheduler.every(SWEEP_MS, backlog.sweep);
   }
 
   function end(call: Call, deadlineMs: number, result: CallEnd["result"]) {
@@ -193,7 +193,7 @@
   options: { perSecond: number; timeoutMs: number; random: Random },
 ): void {
   const { random, timeoutMs } = options;
-  const { agenda, hosts } = fixture;
+  const { scheduler, hosts } = fixture;
   const { teams } = fixture.deployment;
   const totalWeight = teams.reduce((sum, team) => sum + team.weight, 0);
   for (const team of teams) {
@@ -201,7 +201,7 @@
     const perSecond = options.perSecond * team.weight / totalWeight;
     const sendNext = () => {
       const gapMs = -Math.log(1 - random()) * 1000 / perSecond;
-      agenda.after(gapMs, () => {
+      scheduler.after(gapMs, () => {
         const home = homes[Math.floor(random() * homes.length)]!;
         load.send({
           team: team.id,
--- a/src/measure/config_spread.ts
+++ b/src/measure/config_spread.ts
@@ -33,7 +33,10 @@
   tryGetOwner,
 } from "../membership/mod.ts";
 import { createFileSet } from "../testing/file_sets.ts";
-import { type Agenda, createAgenda } from "./agenda.ts";
+import {
+  createVirtualScheduler,
+  type VirtualScheduler,
+} from "./virtual_scheduler.ts";
 import type { ScenarioOptions } from "./main.ts";
 import type { Report } from "./report.ts";
 
@@ -59,7 +62,7 @@
 }
 
 interface SpreadWorld {
-  readonly agenda: Agenda;
+  readonly scheduler: VirtualScheduler;
   readonly hosts: SpreadHost[];
   readonly inForceMs: Map<string, number>;
   readonly record: Map<number, ConfigCopy>;
@@ -75,8 +78,8 @@
   const died: number[] = [];
   for (let change = 1; change <= CHANGES; change++) {
     const idleMs = -Math.log(1 - random()) * DAY_MS / CHANGES_A_DAY;
-    const nowMs = world.agenda.clock.monotonicMs();
-    world.agenda.runUntil(nowMs + Math.min(idleMs, IDLE_LIMIT_MS) + 1_000);
+    const nowMs = world.scheduler.clock.monotonicMs();
+    world.scheduler.runUntil(nowMs + Math.min(idleMs, IDLE_LIMIT_MS) + 1_000);
     const isLost = change % 2 === 0;
     const times = spreadOne(world, { version: change, isLost, random });
     (isLost ? died : alive).push(...times);
@@ -89,9 +92,9 @@
   world: SpreadWorld,
   change: { version: number; isLost: boolean; random: () => number },
 ): readonly number[] {
-  const { agenda, hosts } = world;
+  const { scheduler, hosts } = world;
   const copy = createCopy(change.version);
-  const startMs = agenda.clock.monotonicMs();
+  const startMs = scheduler.clock.monotonicMs();
   world.inForceMs.clear();
   world.record.set(change.version, copy);
   const acceptor = hosts[Math.floor(change.random() * hosts.length)]!;
@@ -99,7 +102,7 @@
   else acceptor.watcher.putAcceptedInForce(copy);
   const others = hosts.filter((host) => !host.isDead);
   for (let waitedMs = 0; waitedMs < 60_000; waitedMs += 500) {
-    agenda.runUntil(startMs + waitedMs);
+    scheduler.runUntil(startMs + waitedMs);
     if (world.inForceMs.size >= others.length) break;
   }
   acceptor.isDead = false;
@@ -110,7 +113,7 @@
 
 function createWorld(size: number, random: () => number): SpreadWorld {
   const world: SpreadWorld = {
-    agenda: createAgenda(),
+    scheduler: createVirtualScheduler(),
     hosts: [],
     inForceMs: new Map(),
     record: new Map(),
@@ -150,7 +153,7 @@
   self: Member,
   random: () => number,
 ): SpreadHost {
-  const { agenda } = world;
+  const { scheduler } = world;
   const getHost = (address: string) => world.hosts[Number(address)]!;
   const watcher = createConfigWatcher({
     getHead: () =>
@@ -175,11 +178,12 @@
       }),
     sortPeers: (peers) => peers,
     countKnownPeers: () => world.hosts.length - 1,
-    onInForce: () => world.inForceMs.set(self.host, agenda.clock.monotonicMs()),
+    onInForce: () =>
+      world.inForceMs.set(self.host, scheduler.clock.monotonicMs()),
     onRefused() {},
   });
   const membership: Membership = createMembership(self, {
-    clock: agenda.clock,
+    clock: scheduler.clock,
     random,
     onChange() {},
     onFact() {},
@@ -188,18 +192,18 @@
       digest: watcher.getCurrent()?.digest ?? "",
     }),
     onConfigVersion(version, digest, from) {
-      host.heardMs = agenda.clock.monotonicMs();
+      host.heardMs = scheduler.clock.monotonicMs();
       watcher.recordPeerVersion({ version, digest }, from);
       if (!watcher.isOutdated()) return;
       // Dial, ask and receive: three trips to the peer that named it.
       const peer = world.hosts.find((each) => each.self.host === from)!;
       const fetchMs = 3 * getLatencyMs(self, peer.self);
-      agenda.after(fetchMs, () => Effect.runSync(watcher.catchUp()));
+      scheduler.after(fetchMs, () => Effect.runSync(watcher.catchUp()));
     },
     send(address, message) {
       const to = getHost(address);
       if (host.isDead || random() < LOSS) return;
-      agenda.after(getLatencyMs(self, to.self), () => {
+      scheduler.after(getLatencyMs(self, to.self), () => {
         if (!to.isDead) to.membership.receive(message, self.peerAddress);
       });
     },
@@ -213,7 +217,7 @@
   host: SpreadHost,
   random: () => number,
 ): void {
-  const { agenda } = world;
+  const { scheduler } = world;
   const { periodMs } = defaultMembershipOptions;
   const near = world.hosts.filter((each) =>
     each.self.dataCentre === host.self.dataCentre
@@ -225,18 +229,18 @@
     const waitMs = getPollMs({
       hasVersion: host.watcher.getCurrent() !== undefined,
       isDesignatedPoller: isPicked,
-      sinceLastPeerMs: agenda.clock.monotonicMs() - host.heardMs,
+      sinceLastPeerMs: scheduler.clock.monotonicMs() - host.heardMs,
       random: random(),
     });
-    agenda.after(waitMs, poll);
+    scheduler.after(waitMs, poll);
   }
 
-  agenda.after(random() * periodMs, () => {
-    agenda.every(periodMs, () => {
+  scheduler.after(random() * periodMs, () => {
+    scheduler.every(periodMs, () => {
       if (!host.isDead) host.membership.tick();
     });
   });
-  agenda.after(random() * 1_000, poll);
+  scheduler.after(random() * 1_000, poll);
 }
 
 function createCopy(version: number): ConfigCopy {
@@ -288,7 +292,7 @@
     gzipSync(JSON.stringify({ row: { ...row, digest }, files })),
     { version: 1, digest },
   );
-  const seconds = world.agenda.clock.monotonicMs() / 1_000;
+  const seconds = world.scheduler.clock.monotonicMs() / 1_000;
   const figure = (name: string, value: number) => ({
     name,
     value,
--- a/src/measure/control_traffic.ts
+++ b/src/measure/control_traffic.ts
@@ -160,9 +160,9 @@
     createPolicy,
   });
   sendLoad(fixture, sizes, random);
-  fixture.agenda.runUntil(sizes.warmUpMs);
+  fixture.scheduler.runUntil(sizes.warmUpMs);
   const before = count(fixture);
-  fixture.agenda.runUntil(sizes.endMs);
+  fixture.scheduler.runUntil(sizes.endMs);
   const after = count(fixture);
   const requests = after.answered - before.answered;
   const seconds = (sizes.endMs - sizes.warmUpMs) / 1_000;
--- a/src/measure/fairness.ts
+++ b/src/measure/fairness.ts
@@ -79,7 +79,7 @@
   });
   const meter = createGapMeter(fixture.deployment.teams);
   for (let ms = WARM_UP_MS; ms <= END_MS; ms += SAMPLE_MS) {
-    fixture.agenda.runUntil(ms);
+    fixture.scheduler.runUntil(ms);
     meter.sample(fixture.getService(SERVICE));
   }
   const answered = fixture.getRequests()
--- a/src/measure/fairness_test.ts
+++ b/src/measure/fairness_test.ts
@@ -54,7 +54,7 @@
 ): number {
   const meter = createGapMeter(fixture.deployment.teams);
   for (let ms = fromMs; ms <= toMs; ms += 500) {
-    fixture.agenda.runUntil(ms);
+    fixture.scheduler.runUntil(ms);
     meter.sample(fixture.getService(SERVICE));
   }
   return meter.getGap();
@@ -86,9 +86,9 @@
         const healMs = 15_000 + cutMs;
         const fromMs = healMs + HEALED_MS;
         const fixture = createFixture(seed, fromMs + 20_000);
-        fixture.agenda.runUntil(15_000);
+        fixture.scheduler.runUntil(15_000);
         fixture.setCut(true);
-        fixture.agenda.runUntil(healMs);
+        fixture.scheduler.runUntil(healMs);
         fixture.setCut(false);
         const gap = measureGap(fixture, { fromMs, toMs: fromMs + 20_000 });
         assert.ok(gap <= BOUND, `gap ${gap} over ${BOUND}`);
@@ -111,7 +111,7 @@
           hosts: HOSTS,
           createPolicy: createOurs,
         });
-        fixture.agenda.runUntil(1_000);
+        fixture.scheduler.runUntil(1_000);
         const region = (dataCentre: string) =>
           fixture.deployment.dataCentres
             .find((each) => each.id === dataCentre)!.region;
@@ -123,9 +123,9 @@
           const from = inRegion[made % inRegion.length]!;
           from.submit({ team: "team-1", service: SERVICE, cost: 1_000 });
         }
-        fixture.agenda.runUntil(3_000);
+        fixture.scheduler.runUntil(3_000);
         const req = host.submit({ team: "team-2", service: SERVICE, cost: 1 });
-        fixture.agenda.runUntil(3_250);
+        fixture.scheduler.runUntil(3_250);
         assert.notEqual(req.state, "waiting");
         const used = fixture.deployment.upstreams
           .find((each) => each.id === req.upstream)!;
--- a/src/measure/fake_upstream.ts
+++ b/src/measure/fake_upstream.ts
@@ -6,11 +6,11 @@
  * @module
  */
 
-import type { Agenda } from "./agenda.ts";
+import type { VirtualScheduler } from "./virtual_scheduler.ts";
 
 /** Times of a fake upstream in milliseconds. */
 export interface FakeUpstreamOptions {
-  readonly agenda: Agenda;
+  readonly scheduler: VirtualScheduler;
   readonly firstTokenMs: number;
   readonly tokenMs: number;
   /** A request held by a stalled upstream fails after so long; never if absent. */
@@ -58,7 +58,7 @@
   id: string,
   options: FakeUpstreamOptions,
 ): FakeUpstream {
-  const { agenda } = options;
+  const { scheduler } = options;
   const running = new Set<Running>();
   const served = new Map<string, number>();
   let stalled: (() => void)[] = [];
@@ -80,7 +80,7 @@
     done: (result: "answered" | "failed", firstByteMs: number) => void,
     heldMs: number,
   ): void {
-    const startMs = agenda.clock.monotonicMs();
+    const startMs = scheduler.clock.monotonicMs();
     const ownFirstMs = options.firstTokenMs * slowFactor;
     const firstByteMs = heldMs + ownFirstMs;
     const streamMs = isFailing ? 0 : req.cost * options.tokenMs * slowFactor;
@@ -93,9 +93,9 @@
     const result = isFailing ? "failed" : "answered";
     running.add(each);
     peak = Math.max(peak, running.size + stalled.length);
-    agenda.after(ownFirstMs + streamMs, () => {
+    scheduler.after(ownFirstMs + streamMs, () => {
       running.delete(each);
-      busyMs += agenda.clock.monotonicMs() - startMs;
+      busyMs += scheduler.clock.monotonicMs() - startMs;
       if (result === "answered") {
         served.set(req.team, (served.get(req.team) ?? 0) + req.cost);
       }
@@ -110,12 +110,12 @@
         run(req, done, 0);
         return;
       }
-      const heldFromMs = agenda.clock.monotonicMs();
+      const heldFromMs = scheduler.clock.monotonicMs();
       const start = () =>
-        run(req, done, agenda.clock.monotonicMs() - heldFromMs);
+        run(req, done, scheduler.clock.monotonicMs() - heldFromMs);
       stalled.push(start);
       if (options.silenceMs !== undefined) {
-        agenda.after(options.silenceMs, () => {
+        scheduler.after(options.silenceMs, () => {
           if (!stalled.includes(start)) return;
           stalled = stalled.filter((each) => each !== start);
           done("failed", 0);
@@ -126,7 +126,7 @@
     getInFlight: () => running.size + stalled.length,
     getPeak: () => peak,
     getBusyMs() {
-      const nowMs = agenda.clock.monotonicMs();
+      const nowMs = scheduler.clock.monotonicMs();
       let sum = busyMs;
       for (const each of running) sum += nowMs - each.startMs;
       return sum;
@@ -145,7 +145,7 @@
       isFailing = value;
     },
     addService(sums) {
-      const nowMs = agenda.clock.monotonicMs();
+      const nowMs = scheduler.clock.monotonicMs();
       for (const [team, cost] of served) {
         sums.set(team, (sums.get(team) ?? 0) + cost);
       }
--- a/src/measure/fleet_fixture.ts
+++ b/src/measure/fleet_fixture.ts
@@ -1,6 +1,6 @@
 /**
  * A fleet in virtual time for measurements and tests: the real fleet part of
- * each host (slot client, slot owners, counters, queues) over an agenda, with
+ * each host (slot client, slot owners, counters, queues) over an scheduler, with
  * frames delivered in memory after a fixed delay. Upstreams are fakes that
  * serve each slot at a token rate; membership is a view set by hand.
  *
@@ -20,7 +20,7 @@
 import type { SlotHandle } from "../slots/mod.ts";
 
 import { createOurs } from "./baselines.ts";
-import { createAgenda } from "./agenda.ts";
+import { createVirtualScheduler } from "./virtual_scheduler.ts";
 import { createRandom } from "./random.ts";
 import { createFakeUpstream } from "./fake_upstream.ts";
 import {
@@ -60,7 +60,7 @@
 /** Makes the fleet; every host knows all others from the start. */
 export function createFleetFixture(options: FleetFixtureOptions): FleetFixture {
   const { deployment } = options;
-  const agenda = createAgenda();
+  const scheduler = createVirtualScheduler();
   const random = createRandom(options.seed ?? 1);
   const queued = new Map<string, FixtureRequest[]>();
   const hostService = new Map<string, number>();
@@ -99,7 +99,7 @@
   const upstreams = new Map(
     deployment.upstreams.map((each) => [
       each.id,
-      createFakeUpstream(each.id, { ...options, agenda }),
+      createFakeUpstream(each.id, { ...options, scheduler }),
     ]),
   );
 
@@ -138,7 +138,7 @@
     const countBreaks = () => (breaks.get(from) ?? 0) + (breaks.get(to) ?? 0);
     const breaksBefore = countBreaks();
     const delayMs = isFar(from, to) ? options.farMs : options.nearMs;
-    agenda.after(delayMs, () => {
+    scheduler.after(delayMs, () => {
       if (!canReach(from, to) || live.get(to) !== target) return;
       if (countBreaks() !== breaksBefore) return;
       options2.receive(fromBinary(FrameSchema, bytes));
@@ -148,7 +148,7 @@
   function createLink(from: string, to: string, linkHost: PeerLinkHost) {
     live.get(from)?.dialed.set(to, linkHost);
     let isOpen = false;
-    agenda.after(
+    scheduler.after(
       isFar(from, to) ? options.farMs * 2 : options.nearMs * 2,
       () => {
         isOpen = true;
@@ -189,7 +189,7 @@
 
   function startHost(id: string, dataCentre: string): void {
     const incarnation = (live.get(id)?.incarnation ?? 0) + 1;
-    const { clock } = agenda;
+    const { clock } = scheduler;
     const fleet = createFleet({
       id,
       incarnation,
@@ -207,7 +207,7 @@
       policy,
       random,
       createLink: (address, linkHost) => createLink(id, address, linkHost),
-      defer: (run) => agenda.after(0, run),
+      defer: (run) => scheduler.after(0, run),
       isDialedBy: (peer) =>
         live.get(peer)?.dialed.has(id) === true && canReach(id, peer),
       trySendBack: (peer, frame) => trySendBack(id, peer, frame),
@@ -225,8 +225,8 @@
     const whileUp = (run: () => void) => () => {
       if (host.isUp && live.get(id) === host && !paused.has(id)) run();
     };
-    agenda.every(options.flushMs, whileUp(fleet.flush));
-    agenda.every(options.exchangeMs, whileUp(fleet.exchangeCounters));
+    scheduler.every(options.flushMs, whileUp(fleet.flush));
+    scheduler.every(options.exchangeMs, whileUp(fleet.exchangeCounters));
   }
 
   function setMember(id: string, state: Member["state"]): void {
@@ -269,7 +269,7 @@
   }
 
   function submit(host: string, call: FixtureCall): FixtureRequest {
-    const nowMs = agenda.clock.monotonicMs();
+    const nowMs = scheduler.clock.monotonicMs();
     const service = deployment.services.find((each) =>
       each.id === call.service
     )!;
@@ -291,7 +291,7 @@
     getOrCreate(queued, `${host}/${req.team}`, () => []).push(req);
     const entry = live.get(host)!;
     entry.fleet.slots.acquire(req, (slot) => start(entry, req, { slot, call }));
-    agenda.after(timeoutMs, () => {
+    scheduler.after(timeoutMs, () => {
       if (req.state !== "waiting" || !entry.isUp) return;
       entry.fleet.slots.cancel(req);
       leaveQueue(req);
@@ -319,7 +319,7 @@
     const share = req.cost / getWeight(req.team);
     hostService.set(key, (hostService.get(key) ?? 0) + share);
     req.state = "running";
-    req.startedMs = agenda.clock.monotonicMs();
+    req.startedMs = scheduler.clock.monotonicMs();
     req.upstream = slot.upstream.id;
     call.onStart?.(req);
     upstreams.get(slot.upstream.id)!.serve(req, (result, firstByteMs) => {
@@ -338,7 +338,7 @@
     call: FixtureCall,
   ): void {
     req.state = state;
-    req.endedMs = agenda.clock.monotonicMs();
+    req.endedMs = scheduler.clock.monotonicMs();
     call.onEnd?.(req);
   }
 
@@ -371,7 +371,7 @@
   }));
 
   return {
-    agenda,
+    scheduler,
     deployment,
     hosts,
     getHost: (id) => hosts.find((each) => each.id === id)!,
@@ -393,7 +393,7 @@
     },
     kill(id, seenMs) {
       live.get(id)!.isUp = false;
-      agenda.after(seenMs, () => {
+      scheduler.after(seenMs, () => {
         if (live.get(id)!.isUp) return;
         setMember(id, "dead");
         reconcileAll();
@@ -402,27 +402,27 @@
     restart(id, seenMs) {
       startHost(id, members.get(id)!.dataCentre);
       live.get(id)!.fleet.reconcile();
-      agenda.after(REDIAL_MS, () => reopenLinks(id));
-      agenda.after(seenMs, () => {
+      scheduler.after(REDIAL_MS, () => reopenLinks(id));
+      scheduler.after(seenMs, () => {
         setMember(id, "alive");
         reconcileAll();
       });
     },
     breakLinks(id) {
       breakLinks(id);
-      agenda.after(REDIAL_MS, () => {
+      scheduler.after(REDIAL_MS, () => {
         if (!paused.has(id)) reopenLinks(id);
       });
     },
     pause(id, { forMs, seenMs }) {
       paused.set(id, []);
       breakLinks(id);
-      agenda.after(seenMs, () => {
+      scheduler.after(seenMs, () => {
         if (!paused.has(id)) return;
         setMember(id, "dead");
         reconcileAll();
       });
-      agenda.after(forMs, () => {
+      scheduler.after(forMs, () => {
         const held = paused.get(id)!;
         paused.delete(id);
         for (const run of held) run();
--- a/src/measure/fleet_fixture_test.ts
+++ b/src/measure/fleet_fixture_test.ts
@@ -23,11 +23,11 @@
     deployment,
     hosts: 4,
   });
-  fixture.agenda.runUntil(1_000);
+  fixture.scheduler.runUntil(1_000);
   for (const host of fixture.hosts) {
     host.submit({ team: "team-1", service: SERVICE, cost: 10 });
   }
-  fixture.agenda.runUntil(10_000);
+  fixture.scheduler.runUntil(10_000);
   const states = fixture.getRequests().map((each) => each.state);
   assert.deepEqual(states, Array(4).fill("answered"));
   assert.equal(fixture.getService(SERVICE).get("team-1"), 40);
--- a/src/measure/fleet_fixture_types.ts
+++ b/src/measure/fleet_fixture_types.ts
@@ -6,7 +6,7 @@
 
 import type { Fleet } from "../fleet/mod.ts";
 import type { AdmittedRequest, Deployment } from "../types.ts";
-import type { Agenda } from "./agenda.ts";
+import type { VirtualScheduler } from "./virtual_scheduler.ts";
 import type { CreatePolicy } from "./baselines.ts";
 import type { FakeUpstream } from "./fake_upstream.ts";
 
@@ -91,7 +91,7 @@
 
 /** The fleet of the fixture. */
 export interface FleetFixture {
-  readonly agenda: Agenda;
+  readonly scheduler: VirtualScheduler;
   readonly deployment: Deployment;
   readonly hosts: readonly FixtureHost[];
   getHost(id: string): FixtureHost;
--- a/src/measure/flood.ts
+++ b/src/measure/flood.ts
@@ -100,7 +100,7 @@
   const fixture = createTodaysFleet({ seed, hosts, createPolicy });
   sendOthers(fixture, random);
   if (isFlooded) sendFlood(fixture, random);
-  fixture.agenda.runUntil(END_MS + 30_000);
+  fixture.scheduler.runUntil(END_MS + 30_000);
   const small = fixture.getRequests().filter((each) => each.team !== "team-1");
   const waits = small.flatMap((each) =>
     each.startedMs === undefined ? [] : [each.startedMs - each.arrivedMs]
--- a/src/measure/membership_fixture.ts
+++ b/src/measure/membership_fixture.ts
@@ -16,7 +16,10 @@
   type Seed,
 } from "../membership/mod.ts";
 import { createDatagramCodec } from "../peers/mod.ts";
-import { type Agenda, createAgenda } from "./agenda.ts";
+import {
+  createVirtualScheduler,
+  type VirtualScheduler,
+} from "./virtual_scheduler.ts";
 import { createRandom } from "./random.ts";
 
 /** What a fixture is made from. */
@@ -41,7 +44,7 @@
 
 /** The hosts and their network. */
 export interface MembershipFixture {
-  readonly agenda: Agenda;
+  readonly scheduler: VirtualScheduler;
   readonly names: readonly string[];
   /** All changes noted so far, in order. */
   readonly changes: NotedChange[];
@@ -90,8 +93,8 @@
   { hosts, seed, loss = 0, options, encodes = false, areJoined = true }:
     MembershipFixtureOptions,
 ): MembershipFixture {
-  const agenda = createAgenda();
-  const { clock } = agenda;
+  const scheduler = createVirtualScheduler();
+  const { clock } = scheduler;
   const random = createRandom(seed);
   const codec = createDatagramCodec(SECRET);
   const periodMs = (options ?? defaultMembershipOptions).periodMs;
@@ -148,7 +151,7 @@
     const decode = encode(message);
     const to = nameOf.get(address)!;
     const isLost = random() < loss;
-    agenda.after(isFar(from, to) ? FAR_MS : NEAR_MS, () => {
+    scheduler.after(isFar(from, to) ? FAR_MS : NEAR_MS, () => {
       const node = nodes.get(to);
       if (isLost || !node?.isUp || (isCut && isFar(from, to))) return;
       const receive = () =>
@@ -183,14 +186,14 @@
       if (!node.isUp) return;
       const pausedMs = node.pausedUntilMs - clock.monotonicMs();
       if (pausedMs > 0) {
-        agenda.after(pausedMs, tick);
+        scheduler.after(pausedMs, tick);
         return;
       }
       membership.tick();
       for (const receive of node.held.splice(0)) receive();
-      agenda.after(periodMs, tick);
+      scheduler.after(periodMs, tick);
     };
-    agenda.after(random() * periodMs, tick);
+    scheduler.after(random() * periodMs, tick);
   }
 
   for (const name of names) start(name, 1);
@@ -212,13 +215,13 @@
       }, "");
     }
     // The news of this is over before anything is measured.
-    agenda.runUntil(60_000 + hosts * 100);
+    scheduler.runUntil(60_000 + hosts * 100);
     changes.length = 0;
     Object.assign(traffic, { datagrams: 0, bytes: 0, largestBytes: 0 });
   }
 
   return {
-    agenda,
+    scheduler,
     names,
     changes,
     get: (name) => nodes.get(name)!.membership,
--- a/src/measure/prompt_world.ts
+++ b/src/measure/prompt_world.ts
@@ -33,7 +33,7 @@
   type EmulatedEngine,
   type EngineFigures,
 } from "../testing/emulated_engine.ts";
-import { createAgenda } from "./agenda.ts";
+import { createVirtualScheduler } from "./virtual_scheduler.ts";
 import { type DrawnPrompt, drawPrompt, promptKinds } from "./prompt_kinds.ts";
 import {
   FLOOD,
@@ -112,8 +112,8 @@
 export function playPrompts(options: PromptWorldOptions): PromptResult {
   const { getReading = getPrefillTokens } = options;
   const random = createRandom(options.seed);
-  const agenda = createAgenda();
-  const { clock } = agenda;
+  const scheduler = createVirtualScheduler();
+  const { clock } = scheduler;
   const nowMs = clock.monotonicMs;
   const engines = new Map<string, EmulatedEngine>();
   for (let at = 0; at < ENGINES; at++) {
@@ -151,7 +151,7 @@
 
   /** The world moves by whole milliseconds. */
   function runAt(atMs: number, run: () => void): void {
-    agenda.after(Math.ceil(atMs) - nowMs(), run);
+    scheduler.after(Math.ceil(atMs) - nowMs(), run);
   }
 
   function createQueue(view: LoadView, pacing: Pacing): PromptQueue {
@@ -302,7 +302,7 @@
       const isDue = random() * 1_000 < kind.perSecond * options.factor;
       if (isDue) arrive(drawPrompt(kind, random));
     }
-    agenda.runUntil(nowMs());
+    scheduler.runUntil(nowMs());
     hosts.forEach((host, at) => {
       const isReportDue = (nowMs() + at * 13) % REPORT_MS === 0;
       if (options.isLoadShared && isReportDue) report(host);
--- a/src/measure/saturation.ts
+++ b/src/measure/saturation.ts
@@ -93,7 +93,7 @@
     timeoutMs: TIMEOUT_MS,
     random,
   });
-  fixture.agenda.runUntil(WINDOW.toMs);
+  fixture.scheduler.runUntil(WINDOW.toMs);
   return load;
 }
 
--- a/src/measure/scale.ts
+++ b/src/measure/scale.ts
@@ -114,10 +114,10 @@
 
 /** Half a minute in which nothing happens but loss. */
 function measureQuiet(fixture: MembershipFixture): Cost {
-  const { agenda, names } = fixture;
+  const { scheduler, names } = fixture;
   const before = fixture.getTraffic();
   const cpu = process.cpuUsage();
-  agenda.runUntil(agenda.clock.monotonicMs() + QUIET_MS);
+  scheduler.runUntil(scheduler.clock.monotonicMs() + QUIET_MS);
   const { user, system } = process.cpuUsage(cpu);
   const sent = fixture.getTraffic().bytes - before.bytes;
   const hostSeconds = names.length * QUIET_MS / 1000;
@@ -199,33 +199,33 @@
 
 /** Longest of three deaths, until every other host knows. */
 function measureDetection(fixture: MembershipFixture): number {
-  const { agenda, names } = fixture;
+  const { scheduler, names } = fixture;
   let longestMs = 0;
   for (const name of names.slice(0, 3)) {
-    const startMs = agenda.clock.monotonicMs();
+    const startMs = scheduler.clock.monotonicMs();
     fixture.kill(name);
     const live = () => fixture.countViews(name, ["alive", "suspect"]);
-    while (live() > 0 && agenda.clock.monotonicMs() - startMs < 60_000) {
-      agenda.runUntil(agenda.clock.monotonicMs() + 100);
+    while (live() > 0 && scheduler.clock.monotonicMs() - startMs < 60_000) {
+      scheduler.runUntil(scheduler.clock.monotonicMs() + 100);
     }
-    longestMs = Math.max(longestMs, agenda.clock.monotonicMs() - startMs);
+    longestMs = Math.max(longestMs, scheduler.clock.monotonicMs() - startMs);
   }
   return longestMs;
 }
 
 /** Until every live host has a fact that one host spreads. */
 function measureFact(fixture: MembershipFixture): number {
-  const { agenda, names } = fixture;
-  const startMs = agenda.clock.monotonicMs();
+  const { scheduler, names } = fixture;
+  const startMs = scheduler.clock.monotonicMs();
   fixture.get(names.at(-1)!).spreadFact({ key: "a", version: 1, value: "x" });
   const others = names.length - 3 - 1;
   while (
     fixture.countFacts("a") < others &&
-    agenda.clock.monotonicMs() - startMs < 60_000
+    scheduler.clock.monotonicMs() - startMs < 60_000
   ) {
-    agenda.runUntil(agenda.clock.monotonicMs() + 100);
+    scheduler.runUntil(scheduler.clock.monotonicMs() + 100);
   }
-  return agenda.clock.monotonicMs() - startMs;
+  return scheduler.clock.monotonicMs() - startMs;
 }
 
 /** Time to pick the owner of every upstream anew, after a change of member. */
--- a/src/measure/slow_upstream.ts
+++ b/src/measure/slow_upstream.ts
@@ -127,24 +127,24 @@
     bodyBytes: 20_000,
     refuses: true,
   });
-  const { agenda } = fixture;
+  const { scheduler } = fixture;
   sendByWeight(load, fixture, {
     perSecond: PER_SECOND,
     timeoutMs: TIMEOUT_MS,
     random,
   });
   const engine = fixture.getUpstream(SLOW_ENGINE);
-  agenda.runUntil(SLOW_MS);
+  scheduler.runUntil(SLOW_MS);
   engine.setSlowFactor(10);
-  agenda.runUntil(STALL_MS);
+  scheduler.runUntil(STALL_MS);
   engine.setStalled(true);
-  agenda.runUntil(RECOVER_MS);
+  scheduler.runUntil(RECOVER_MS);
   const takenByStalled = countStarts(fixture, STALL_MS, RECOVER_MS);
   engine.setSlowFactor(1);
   engine.setStalled(false);
-  agenda.runUntil(RECOVERED_MS);
+  scheduler.runUntil(RECOVERED_MS);
   const busyMs = engine.getBusyMs();
-  agenda.runUntil(END_MS);
+  scheduler.runUntil(END_MS);
   const slots = fixture.deployment.upstreams[0]!.maxSlots;
   const usedMs = engine.getBusyMs() - busyMs;
   const useAfterRecovery = usedMs / slots / (END_MS - RECOVERED_MS);
--- a/src/measure/utilisation.ts
+++ b/src/measure/utilisation.ts
@@ -76,9 +76,9 @@
     createPolicy,
     untilMs: END_MS,
   });
-  fixture.agenda.runUntil(WARM_UP_MS);
+  fixture.scheduler.runUntil(WARM_UP_MS);
   const beforeMs = getBusyMs(fixture);
-  fixture.agenda.runUntil(END_MS);
+  fixture.scheduler.runUntil(END_MS);
   const busyMs = getBusyMs(fixture) - beforeMs;
   return busyMs / (FLEET_SLOTS * (END_MS - WARM_UP_MS));
 }
@@ -101,8 +101,8 @@
       random,
     });
   }
-  fixture.agenda.runUntil(WARM_UP_MS);
-  fixture.agenda.runUntil(END_MS + 10_000);
+  fixture.scheduler.runUntil(WARM_UP_MS);
+  fixture.scheduler.runUntil(END_MS + 10_000);
   return fixture.getRequests().reduce(
     (longest, each) => Math.max(longest, each.startedMs! - each.arrivedMs),
     0,
--- a/src/measure/agenda.ts
+++ b/src/measure/virtual_scheduler.ts
@@ -7,14 +7,14 @@
 
 import { createManualClock, type ManualClock } from "../core/mod.ts";
 
-interface Entry {
+interface ScheduledTask {
   readonly atMs: number;
   readonly order: number;
   readonly run: () => void;
 }
 
 /** Runs callbacks in virtual time. */
-export interface Agenda {
+export interface VirtualScheduler {
   readonly clock: ManualClock;
   /** Runs the callback after so many virtual milliseconds. */
   after(ms: number, run: () => void): void;
@@ -24,18 +24,18 @@
   runUntil(endMs: number): void;
 }
 
-/** Makes an agenda that starts at zero. */
-export function createAgenda(): Agenda {
+/** Makes an scheduler that starts at zero. */
+export function createVirtualScheduler(): VirtualScheduler {
   const clock = createManualClock();
   // A binary heap by time, then by order of entry.
-  const heap: Entry[] = [];
+  const heap: ScheduledTask[] = [];
   let order = 0;
 
-  function isBefore(a: Entry, b: Entry): boolean {
+  function isBefore(a: ScheduledTask, b: ScheduledTask): boolean {
     return a.atMs < b.atMs || (a.atMs === b.atMs && a.order < b.order);
   }
 
-  function push(entry: Entry): void {
+  function push(entry: ScheduledTask): void {
     heap.push(entry);
     let at = heap.length - 1;
     while (at > 0) {
@@ -46,7 +46,7 @@
     }
   }
 
-  function pop(): Entry {
+  function pop(): ScheduledTask {
     const first = heap[0]!;
     const last = heap.pop()!;
     if (heap.length === 0) return first;
--- a/src/measure/workload.ts
+++ b/src/measure/workload.ts
@@ -90,10 +90,10 @@
   { depth, untilMs }: { depth: number; untilMs: number },
 ): void {
   const sendOne = () => {
-    if (fixture.agenda.clock.monotonicMs() >= untilMs) return;
+    if (fixture.scheduler.clock.monotonicMs() >= untilMs) return;
     const host = sender.pickHost();
     if (!host.isUp()) {
-      fixture.agenda.after(10, sendOne);
+      fixture.scheduler.after(10, sendOne);
       return;
     }
     const cost = sender.pickCost();
@@ -102,7 +102,7 @@
       service: SERVICE,
       cost,
       hint: sender.getHint?.(cost),
-      onEnd: () => fixture.agenda.after(0, sendOne),
+      onEnd: () => fixture.scheduler.after(0, sendOne),
     });
   };
   for (let sent = 0; sent < depth; sent++) sendOne();
@@ -117,8 +117,8 @@
   const { perSecond, untilMs, random } = options;
   const sendNext = () => {
     const gapMs = -Math.log(1 - random()) * 1000 / perSecond;
-    fixture.agenda.after(gapMs, () => {
-      if (fixture.agenda.clock.monotonicMs() >= untilMs) return;
+    fixture.scheduler.after(gapMs, () => {
+      if (fixture.scheduler.clock.monotonicMs() >= untilMs) return;
       const host = sender.pickHost();
       if (host.isUp()) {
         const cost = sender.pickCost();
--- a/src/membership/membership_test.ts
+++ b/src/membership/membership_test.ts
@@ -44,7 +44,7 @@
 }
 
 function run(fixture: MembershipFixture, ms: number): void {
-  fixture.agenda.runUntil(fixture.agenda.clock.monotonicMs() + ms);
+  fixture.scheduler.runUntil(fixture.scheduler.clock.monotonicMs() + ms);
 }
 
 /** Changes of live hosts to a state in which they get no new work. */
@@ -98,7 +98,7 @@
     });
     fixture.setListed(fixture.names.slice(0, 3));
     let version = 0;
-    fixture.agenda.every(700, () => {
+    fixture.scheduler.every(700, () => {
       version++;
       for (const name of fixture.names.slice(0, 10)) {
         const fact = { key: `report/${name}`, version, value: "r".repeat(150) };
--- a/src/queue/common_room_test.ts
+++ b/src/queue/common_room_test.ts
@@ -1,7 +1,7 @@
 import { ok } from "node:assert";
 import { test } from "node:test";
 import { createLoadSums, createLoadView } from "../load/mod.ts";
-import { createAgenda } from "../measure/agenda.ts";
+import { createVirtualScheduler } from "../measure/virtual_scheduler.ts";
 import { createPacing } from "../pacing/mod.ts";
 import { createRandom } from "../measure/random.ts";
 import { getNameDigest } from "../peers/mod.ts";
@@ -50,7 +50,7 @@
  */
 function play(options: PlayOptions): readonly Served[] {
   const { promptTokens } = options;
-  const agenda = createAgenda();
+  const agenda = createVirtualScheduler();
   const { clock } = agenda;
   const random = createRandom(1);
   const readUntilMs = new Map<string, number>();
--- a/src/testing/knowledge_fleet.ts
+++ b/src/testing/knowledge_fleet.ts
@@ -16,7 +16,7 @@
   type FetchOutcome,
   type PlatformView,
 } from "../entry/platform_view.ts";
-import { createAgenda } from "../measure/agenda.ts";
+import { createVirtualScheduler } from "../measure/virtual_scheduler.ts";
 import { createRandom } from "../measure/random.ts";
 import type { Fact } from "../membership/mod.ts";
 import {
@@ -85,7 +85,7 @@
 /** Makes the fleet, no host started; give effects that use it to `runFleet`. */
 export function createKnowledgeFleet(options: FleetOptions): KnowledgeFleet {
   const { seed = 1, isPassingOn = true } = options;
-  const agenda = createAgenda();
+  const agenda = createVirtualScheduler();
   const { clock } = agenda;
   const nowMs = clock.monotonicMs;
   const tables = createFakeTables(clock);
