--- a/src/measure/baselines.ts
+++ b/src/measure/baselines.ts
@@ -20,7 +20,7 @@
 import type { GrantTarget, PickInput } from "../slots/mod.ts";
 
 /** What a policy may know of the whole fixture. */
-export interface PolicyWorld {
+export interface FleetState {
   /** Arrival of the oldest request of the team that waits at the host. */
   tryGetOldestMs(host: string, team: string): number | undefined;
   /** Service that the team got by way of the host, divided by its weight. */
@@ -28,53 +28,53 @@
 }
 
 /** Makes a policy for the fixture's world. */
-export type CreatePolicy = (world: PolicyWorld) => FleetPolicy;
+export type CreatePolicy = (fleetState: FleetState) => FleetPolicy;
 
 /** The baselines by the names that reports use. */
 export const baselines: Readonly<Record<string, CreatePolicy>> = {
-  firstCome: createFirstCome,
-  hostAlone: createHostAlone,
+  firstCome: createFirstComeFirstServed,
+  hostAlone: createRoundRobinOverHosts,
   broadcast: createBroadcast,
 };
 
 /** The decisions as the router runs them. */
-export function createOurs(): FleetPolicy {
+export function createRouterPolicy(): FleetPolicy {
   return defaultFleetPolicy;
 }
 
 /** First come, first served, over all hosts and teams. */
-function createFirstCome(world: PolicyWorld): FleetPolicy {
+function createFirstComeFirstServed(fleetState: FleetState): FleetPolicy {
   return {
     ...defaultFleetPolicy,
     createExchange: createNoExchange,
     tryPick: (input) =>
-      tryPickLeast(
+      tryPickMinimum(
         input,
         ({ entryHost, team }) =>
-          world.tryGetOldestMs(entryHost, team) ?? Infinity,
+          fleetState.tryGetOldestMs(entryHost, team) ?? Infinity,
       ),
   };
 }
 
 /** Hosts take turns, and each is fair among its own teams alone. */
-function createHostAlone(world: PolicyWorld): FleetPolicy {
-  const lastTurn = new Map<string, number>();
-  let turn = 0;
+function createRoundRobinOverHosts(fleetState: FleetState): FleetPolicy {
+  const lastGrant = new Map<string, number>();
+  let grants = 0;
   return {
     ...defaultFleetPolicy,
     createExchange: createNoExchange,
     tryPick(input) {
-      const next = tryPickLeast(
+      const next = tryPickMinimum(
         input,
-        ({ entryHost }) => lastTurn.get(entryHost) ?? 0,
+        ({ entryHost }) => lastGrant.get(entryHost) ?? 0,
       );
       if (next === undefined) return undefined;
-      lastTurn.set(next.entryHost, ++turn);
-      return tryPickLeast(
+      lastGrant.set(next.entryHost, ++grants);
+      return tryPickMinimum(
         input,
         ({ entryHost, team }) =>
           entryHost === next.entryHost
-            ? world.getHostService(entryHost, team)
+            ? fleetState.getHostService(entryHost, team)
             : Infinity,
       );
     },
@@ -86,7 +86,7 @@
   return { ...defaultFleetPolicy, createExchange: createBroadcastExchange };
 }
 
-function tryPickLeast(
+function tryPickMinimum(
   input: PickInput,
   getKey: (pick: GrantTarget) => number,
 ): GrantTarget | undefined {
--- a/src/measure/control_traffic.ts
+++ b/src/measure/control_traffic.ts
@@ -7,7 +7,11 @@
  */
 
 import { defaultPeerLinkOptions } from "../peers/mod.ts";
-import { baselines, createOurs, type CreatePolicy } from "./baselines.ts";
+import {
+  baselines,
+  type CreatePolicy,
+  createRouterPolicy,
+} from "./baselines.ts";
 import { FLEET_SLOTS, pickHomes, TEAM_WEIGHTS } from "./contended.ts";
 import {
   createFleetFixture,
@@ -64,7 +68,7 @@
 /** Runs the scenario, and counters broadcast to all hosts beside it. */
 export function measureControlTraffic(options: ScenarioOptions): Report {
   const sizes = getSizes(options.hosts);
-  const ours = run(options, { sizes, createPolicy: createOurs });
+  const ours = run(options, { sizes, createPolicy: createRouterPolicy });
   const broadcast = run(options, {
     sizes,
     createPolicy: baselines.broadcast!,
--- a/src/measure/fairness.ts
+++ b/src/measure/fairness.ts
@@ -6,7 +6,11 @@
  */
 
 import { FAR_PENALTY_REQUESTS } from "../fleet/mod.ts";
-import { baselines, createOurs, type CreatePolicy } from "./baselines.ts";
+import {
+  baselines,
+  type CreatePolicy,
+  createRouterPolicy,
+} from "./baselines.ts";
 import {
   createContendedFleet,
   FLEET_SLOTS,
@@ -33,7 +37,7 @@
 
 /** Runs the scenario with the router's decisions and with each baseline. */
 export function measureFairness(options: ScenarioOptions): Report {
-  const ours = run(options, createOurs);
+  const ours = run(options, createRouterPolicy);
   const others = mapValues(baselines, (policy) => run(options, policy));
   const gaps = mapValues(others, (result) => result.gap);
   const derived = getGapBound({
--- a/src/measure/fairness_test.ts
+++ b/src/measure/fairness_test.ts
@@ -10,7 +10,7 @@
 import { test } from "node:test";
 import fc from "fast-check";
 import { FAR_PENALTY_REQUESTS } from "../fleet/mod.ts";
-import { createOurs } from "./baselines.ts";
+import { createRouterPolicy } from "./baselines.ts";
 import {
   createContendedFleet,
   createTodaysFleet,
@@ -43,7 +43,7 @@
   return createContendedFleet({
     seed,
     hosts: HOSTS,
-    createPolicy: createOurs,
+    createPolicy: createRouterPolicy,
     untilMs,
   });
 }
@@ -109,7 +109,7 @@
         const fixture = createTodaysFleet({
           seed,
           hosts: HOSTS,
-          createPolicy: createOurs,
+          createPolicy: createRouterPolicy,
         });
         fixture.scheduler.runUntil(1_000);
         const region = (dataCentre: string) =>
--- a/src/measure/fleet_fixture.ts
+++ b/src/measure/fleet_fixture.ts
@@ -19,7 +19,7 @@
 import { createFleet, type Fleet, type FleetPolicy } from "../fleet/mod.ts";
 import type { SlotHandle } from "../slots/mod.ts";
 
-import { createOurs } from "./baselines.ts";
+import { createRouterPolicy } from "./baselines.ts";
 import { createVirtualScheduler } from "./virtual_scheduler.ts";
 import { createRandom } from "./random.ts";
 import { createFakeUpstream } from "./fake_upstream.ts";
@@ -64,7 +64,7 @@
   const random = createRandom(options.seed ?? 1);
   const queued = new Map<string, FixtureRequest[]>();
   const hostService = new Map<string, number>();
-  const createPolicy = options.createPolicy ?? createOurs;
+  const createPolicy = options.createPolicy ?? createRouterPolicy;
   const policy = memoizeOwners(createPolicy({
     tryGetOldestMs: (host, team) =>
       queued.get(`${host}/${team}`)?.[0]?.arrivedMs,
--- a/src/measure/flood.ts
+++ b/src/measure/flood.ts
@@ -6,7 +6,11 @@
  * @module
  */
 
-import { baselines, createOurs, type CreatePolicy } from "./baselines.ts";
+import {
+  baselines,
+  type CreatePolicy,
+  createRouterPolicy,
+} from "./baselines.ts";
 import {
   createTodaysFleet,
   FLEET_SLOTS,
@@ -47,8 +51,8 @@
 
 /** Runs the scenario with the router's decisions and with each baseline. */
 export function measureFlood(options: ScenarioOptions): Report {
-  const calm = run(options, createOurs, false);
-  const flooded = run(options, createOurs, true);
+  const calm = run(options, createRouterPolicy, false);
+  const flooded = run(options, createRouterPolicy, true);
   const others = mapValues(baselines, (policy) => run(options, policy, true));
   return {
     scenario: "flood",
--- a/src/measure/main.ts
+++ b/src/measure/main.ts
@@ -17,7 +17,7 @@
 import { measureSlowUpstream } from "./slow_upstream.ts";
 import { measureTableSoak } from "./table_soak.ts";
 import { measureUtilisation } from "./utilisation.ts";
-import { holds, printReport, type Report } from "./report.ts";
+import { meetsBounds, printReport, type Report } from "./report.ts";
 
 /** What a scenario may be varied by. */
 export interface ScenarioOptions {
@@ -62,7 +62,7 @@
     const options = { seed: Number(args.seed), hosts: Number(args.hosts) };
     const report = await scenario(options);
     printReport(report);
-    process.exitCode = holds(report) ? 0 : 1;
+    process.exitCode = meetsBounds(report) ? 0 : 1;
   },
 });
 
--- a/src/measure/report.ts
+++ b/src/measure/report.ts
@@ -27,7 +27,7 @@
 }
 
 /** Whether every figure keeps to its bound. */
-export function holds(report: Report): boolean {
+export function meetsBounds(report: Report): boolean {
   return report.figures.every((figure) => {
     if (figure.bound === undefined) return true;
     const { kind, value } = figure.bound;
@@ -64,7 +64,13 @@
   );
   const { scenario, seed, hosts } = report;
   console.log(
-    JSON.stringify({ scenario, seed, hosts, figures, holds: holds(report) }),
+    JSON.stringify({
+      scenario,
+      seed,
+      hosts,
+      figures,
+      holds: meetsBounds(report),
+    }),
   );
 }
 
--- a/src/measure/saturation.ts
+++ b/src/measure/saturation.ts
@@ -13,7 +13,7 @@
   getGoodput,
   sendByWeight,
 } from "./admitted_load.ts";
-import { createOurs } from "./baselines.ts";
+import { createRouterPolicy } from "./baselines.ts";
 import { createTodaysFleet, FLEET_SLOTS } from "./contended.ts";
 import type { ScenarioOptions } from "./main.ts";
 import { createRandom } from "./random.ts";
@@ -82,7 +82,11 @@
   refuses: boolean,
 ): AdmittedLoad {
   const random = createRandom(seed);
-  const fixture = createTodaysFleet({ seed, hosts, createPolicy: createOurs });
+  const fixture = createTodaysFleet({
+    seed,
+    hosts,
+    createPolicy: createRouterPolicy,
+  });
   const load = createAdmittedLoad(fixture, {
     random,
     bodyBytes: BODY_BYTES,
--- a/src/measure/slow_upstream.ts
+++ b/src/measure/slow_upstream.ts
@@ -12,7 +12,7 @@
   createAdmittedLoad,
   sendByWeight,
 } from "./admitted_load.ts";
-import { createOurs, type CreatePolicy } from "./baselines.ts";
+import { type CreatePolicy, createRouterPolicy } from "./baselines.ts";
 import { createTodaysFleet, FLEET_SLOTS } from "./contended.ts";
 import { defaultFixtureTimes, type FleetFixture } from "./fleet_fixture.ts";
 import type { ScenarioOptions } from "./main.ts";
@@ -45,7 +45,7 @@
 
 /** Runs the course with the adaptive limit and with a static one. */
 export function measureSlowUpstream(options: ScenarioOptions): Report {
-  const ours = runCourse(options, createOurs);
+  const ours = runCourse(options, createRouterPolicy);
   const fixed = runCourse(options, createStatic);
   const figure = (
     name: string,
@@ -99,7 +99,7 @@
 
 /** The slots of the configuration, whatever happens. */
 const createStatic: CreatePolicy = () => ({
-  ...createOurs(),
+  ...createRouterPolicy(),
   createLimit: ({ maxSlots }): AdaptiveLimit => ({
     get: () => maxSlots,
     getState: () => "closed",
--- a/src/measure/utilisation.ts
+++ b/src/measure/utilisation.ts
@@ -5,7 +5,11 @@
  * @module
  */
 
-import { baselines, createOurs, type CreatePolicy } from "./baselines.ts";
+import {
+  baselines,
+  type CreatePolicy,
+  createRouterPolicy,
+} from "./baselines.ts";
 import {
   createContendedFleet,
   createTodaysFleet,
@@ -42,13 +46,13 @@
     figures: [
       {
         name: "use_while_work_waits_ratio",
-        value: measureUse(options, createOurs),
+        value: measureUse(options, createRouterPolicy),
         baselines: others,
         bound: { kind: "at-least", value: 0.98 },
       },
       {
         name: "longest_wait_at_half_load_ms",
-        value: measureLightWait(options, createOurs),
+        value: measureLightWait(options, createRouterPolicy),
         baselines: mapValues(
           baselines,
           (policy) => measureLightWait(options, policy),
