--- a/src/measure/admitted_load.ts
+++ b/src/measure/admitted_load.ts
@@ -16,7 +16,7 @@
   FixtureRequest,
   FleetFixture,
 } from "./fleet_fixture.ts";
-import { pickHomes } from "./contended.ts";
+import { pickEntryHosts } from "./contended.ts";
 import type { Random } from "./random.ts";
 import { pickMixedCost, SERVICE } from "./workload.ts";
 
@@ -197,15 +197,15 @@
   const { teams } = fixture.deployment;
   const totalWeight = teams.reduce((sum, team) => sum + team.weight, 0);
   for (const team of teams) {
-    const homes = pickHomes(hosts.length, random);
+    const entryHosts = pickEntryHosts(hosts.length, random);
     const perSecond = options.perSecond * team.weight / totalWeight;
     const sendNext = () => {
       const gapMs = -Math.log(1 - random()) * 1000 / perSecond;
       scheduler.after(gapMs, () => {
-        const home = homes[Math.floor(random() * homes.length)]!;
+        const at = entryHosts[Math.floor(random() * entryHosts.length)]!;
         load.send({
           team: team.id,
-          host: hosts[home]!,
+          host: hosts[at]!,
           cost: pickMixedCost(random),
           timeoutMs,
         });
--- a/src/measure/contended.ts
+++ b/src/measure/contended.ts
@@ -25,7 +25,7 @@
 export const LARGEST_COST = 400;
 
 /** What varies between runs. */
-export interface ContendedOptions {
+export interface ContendedFleetOptions {
   readonly seed: number;
   readonly hosts: number;
   readonly createPolicy: CreatePolicy;
@@ -33,8 +33,8 @@
 }
 
 /** A fleet without load. */
-export function createTodaysFleet(
-  options: Omit<ContendedOptions, "untilMs"> & { silenceMs?: number },
+export function createReferenceFleet(
+  options: Omit<ContendedFleetOptions, "untilMs"> & { silenceMs?: number },
 ): FleetFixture {
   const deployment = createDeployment({
     regions: 2,
@@ -52,17 +52,19 @@
 }
 
 /** A fleet whose teams are all backlogged until the time given. */
-export function createContendedFleet(options: ContendedOptions): FleetFixture {
+export function createContendedFleet(
+  options: ContendedFleetOptions,
+): FleetFixture {
   const random = createRandom(options.seed);
-  const fixture = createTodaysFleet(options);
+  const fixture = createReferenceFleet(options);
   const totalWeight = TEAM_WEIGHTS.reduce((sum, each) => sum + each, 0);
   for (const team of fixture.deployment.teams) {
-    const homes = pickHomes(options.hosts, random);
+    const entryHosts = pickEntryHosts(options.hosts, random);
     const share = FLEET_SLOTS * team.weight / totalWeight;
     keepBacklogged(fixture, {
       team: team.id,
       pickHost: () =>
-        fixture.hosts[homes[Math.floor(random() * homes.length)]!]!,
+        fixture.hosts[entryHosts[Math.floor(random() * entryHosts.length)]!]!,
       pickCost: () => pickMixedCost(random),
       getHint: (cost) => random() < 0.5 ? cost * 10 : cost / 10,
     }, { depth: Math.ceil(4 * share) + 16, untilMs: options.untilMs });
@@ -71,11 +73,14 @@
 }
 
 /** Hosts that a team's callers use, one of them far more often. */
-export function pickHomes(hosts: number, random: Random): readonly number[] {
+export function pickEntryHosts(
+  hosts: number,
+  random: Random,
+): readonly number[] {
   const count = 1 + Math.floor(random() * Math.min(hosts, 4));
-  const homes = Array.from(
+  const entryHosts = Array.from(
     { length: count },
     () => Math.floor(random() * hosts),
   );
-  return [...homes, homes[0]!, homes[0]!];
+  return [...entryHosts, entryHosts[0]!, entryHosts[0]!];
 }
--- a/src/measure/control_traffic.ts
+++ b/src/measure/control_traffic.ts
@@ -12,7 +12,7 @@
   type CreatePolicy,
   createRouterPolicy,
 } from "./baselines.ts";
-import { FLEET_SLOTS, pickHomes, TEAM_WEIGHTS } from "./contended.ts";
+import { FLEET_SLOTS, pickEntryHosts, TEAM_WEIGHTS } from "./contended.ts";
 import {
   createFleetFixture,
   defaultFixtureTimes,
@@ -198,13 +198,13 @@
   const othersRate = slots / MEAN_SECONDS * OTHERS_USE;
   teams.forEach((team, at) => {
     const isBacklogged = at % Math.floor(1 / BACKLOGGED_SHARE) === 1;
-    const homes = isBacklogged ? pickHomes(hosts.length, random) : [];
+    const entryHosts = isBacklogged ? pickEntryHosts(hosts.length, random) : [];
     const sender = {
       team: team.id,
       pickHost: () =>
         hosts[
           isBacklogged
-            ? homes[Math.floor(random() * homes.length)]!
+            ? entryHosts[Math.floor(random() * entryHosts.length)]!
             : Math.floor(random() * hosts.length)
         ]!,
       pickCost: () => pickMixedCost(random),
--- a/src/measure/fairness_test.ts
+++ b/src/measure/fairness_test.ts
@@ -13,7 +13,7 @@
 import { createRouterPolicy } from "./baselines.ts";
 import {
   createContendedFleet,
-  createTodaysFleet,
+  createReferenceFleet,
   FLEET_SLOTS,
   LARGEST_COST,
   TEAM_WEIGHTS,
@@ -106,7 +106,7 @@
       fc.integer({ min: 1, max: 10_000 }),
       fc.nat(HOSTS - 1),
       (seed, at) => {
-        const fixture = createTodaysFleet({
+        const fixture = createReferenceFleet({
           seed,
           hosts: HOSTS,
           createPolicy: createRouterPolicy,
--- a/src/measure/flood.ts
+++ b/src/measure/flood.ts
@@ -12,7 +12,7 @@
   createRouterPolicy,
 } from "./baselines.ts";
 import {
-  createTodaysFleet,
+  createReferenceFleet,
   FLEET_SLOTS,
   LARGEST_COST,
   TEAM_WEIGHTS,
@@ -101,7 +101,7 @@
   isFlooded: boolean,
 ): Result {
   const random = createRandom(seed);
-  const fixture = createTodaysFleet({ seed, hosts, createPolicy });
+  const fixture = createReferenceFleet({ seed, hosts, createPolicy });
   sendOthers(fixture, random);
   if (isFlooded) sendFlood(fixture, random);
   fixture.scheduler.runUntil(END_MS + 30_000);
--- a/src/measure/saturation.ts
+++ b/src/measure/saturation.ts
@@ -14,7 +14,7 @@
   sendByWeight,
 } from "./admitted_load.ts";
 import { createRouterPolicy } from "./baselines.ts";
-import { createTodaysFleet, FLEET_SLOTS } from "./contended.ts";
+import { createReferenceFleet, FLEET_SLOTS } from "./contended.ts";
 import type { ScenarioOptions } from "./main.ts";
 import { createRandom } from "./random.ts";
 import type { Report } from "./report.ts";
@@ -82,7 +82,7 @@
   refuses: boolean,
 ): AdmittedLoad {
   const random = createRandom(seed);
-  const fixture = createTodaysFleet({
+  const fixture = createReferenceFleet({
     seed,
     hosts,
     createPolicy: createRouterPolicy,
--- a/src/measure/slow_upstream.ts
+++ b/src/measure/slow_upstream.ts
@@ -13,7 +13,7 @@
   sendByWeight,
 } from "./admitted_load.ts";
 import { type CreatePolicy, createRouterPolicy } from "./baselines.ts";
-import { createTodaysFleet, FLEET_SLOTS } from "./contended.ts";
+import { createReferenceFleet, FLEET_SLOTS } from "./contended.ts";
 import { defaultFixtureTimes, type FleetFixture } from "./fleet_fixture.ts";
 import type { ScenarioOptions } from "./main.ts";
 import { createRandom } from "./random.ts";
@@ -116,7 +116,7 @@
   createPolicy: CreatePolicy,
 ): Run {
   const random = createRandom(seed);
-  const fixture = createTodaysFleet({
+  const fixture = createReferenceFleet({
     seed,
     hosts,
     createPolicy,
--- a/src/measure/utilisation.ts
+++ b/src/measure/utilisation.ts
@@ -12,7 +12,7 @@
 } from "./baselines.ts";
 import {
   createContendedFleet,
-  createTodaysFleet,
+  createReferenceFleet,
   FLEET_SLOTS,
 } from "./contended.ts";
 import type { FleetFixture } from "./fleet_fixture.ts";
@@ -93,7 +93,7 @@
   createPolicy: CreatePolicy,
 ): number {
   const random = createRandom(seed);
-  const fixture = createTodaysFleet({ seed, hosts, createPolicy });
+  const fixture = createReferenceFleet({ seed, hosts, createPolicy });
   for (const team of fixture.deployment.teams) {
     sendAtRate(fixture, {
       team: team.id,
--- a/src/measure/workload.ts
+++ b/src/measure/workload.ts
@@ -70,7 +70,7 @@
 }
 
 /** What one generator sends. */
-export interface Sender {
+export interface TrafficSource {
   readonly team: string;
   pickHost(): FixtureHost;
   pickCost(): number;
@@ -86,7 +86,7 @@
  */
 export function keepBacklogged(
   fixture: FleetFixture,
-  sender: Sender,
+  sender: TrafficSource,
   { depth, untilMs }: { depth: number; untilMs: number },
 ): void {
   const sendOne = () => {
@@ -111,7 +111,7 @@
 /** Sends at a mean rate with exponential gaps, until the virtual time given. */
 export function sendAtRate(
   fixture: FleetFixture,
-  sender: Sender,
+  sender: TrafficSource,
   options: { perSecond: number; untilMs: number; random: Random },
 ): void {
   const { perSecond, untilMs, random } = options;
