--- a/src/measure/contended.ts
+++ b/src/measure/contended.ts
@@ -34,7 +34,7 @@
 
 /** A fleet without load. */
 export function createReferenceFleet(
-  options: Omit<ContendedFleetOptions, "untilMs"> & { silenceMs?: number },
+  options: Omit<ContendedFleetOptions, "untilMs"> & { stallTimeoutMs?: number },
 ): FleetFixture {
   const deployment = createDeployment({
     regions: 2,
--- a/src/measure/fake_upstream.ts
+++ b/src/measure/fake_upstream.ts
@@ -14,7 +14,7 @@
   readonly firstTokenMs: number;
   readonly tokenMs: number;
   /** A request held by a stalled upstream fails after so long; never if absent. */
-  readonly silenceMs?: number;
+  readonly stallTimeoutMs?: number;
 }
 
 /** What the fake needs to know of a request. */
@@ -33,7 +33,7 @@
   ): void;
   getInFlight(): number;
   /** Most requests in flight at once so far. */
-  getPeak(): number;
+  getPeakInFlight(): number;
   /** Milliseconds of slots in use, summed over all requests so far. */
   getBusyMs(): number;
   /** Requests that start from now take so many times as long. */
@@ -46,7 +46,7 @@
   addService(sums: Map<string, number>): void;
 }
 
-interface Running {
+interface RunningRequest {
   readonly req: ServedRequest;
   readonly startMs: number;
   readonly firstByteMs: number;
@@ -59,7 +59,7 @@
   options: FakeUpstreamOptions,
 ): FakeUpstream {
   const { scheduler } = options;
-  const running = new Set<Running>();
+  const running = new Set<RunningRequest>();
   const served = new Map<string, number>();
   let stalled: (() => void)[] = [];
   let slowFactor = 1;
@@ -68,7 +68,7 @@
   let peak = 0;
   let busyMs = 0;
 
-  function getStreamed(each: Running, nowMs: number): number {
+  function getStreamedCost(each: RunningRequest, nowMs: number): number {
     const streamMs = each.endMs - each.startMs - each.firstByteMs;
     const doneMs = nowMs - each.startMs - each.firstByteMs;
     if (streamMs <= 0) return 0;
@@ -78,13 +78,13 @@
   function run(
     req: ServedRequest,
     done: (result: "answered" | "failed", firstByteMs: number) => void,
-    heldMs: number,
+    stalledMs: number,
   ): void {
     const startMs = scheduler.clock.monotonicMs();
     const ownFirstMs = options.firstTokenMs * slowFactor;
-    const firstByteMs = heldMs + ownFirstMs;
+    const firstByteMs = stalledMs + ownFirstMs;
     const streamMs = isFailing ? 0 : req.cost * options.tokenMs * slowFactor;
-    const each: Running = {
+    const each: RunningRequest = {
       req,
       startMs,
       firstByteMs: ownFirstMs,
@@ -110,12 +110,12 @@
         run(req, done, 0);
         return;
       }
-      const heldFromMs = scheduler.clock.monotonicMs();
+      const stalledFromMs = scheduler.clock.monotonicMs();
       const start = () =>
-        run(req, done, scheduler.clock.monotonicMs() - heldFromMs);
+        run(req, done, scheduler.clock.monotonicMs() - stalledFromMs);
       stalled.push(start);
-      if (options.silenceMs !== undefined) {
-        scheduler.after(options.silenceMs, () => {
+      if (options.stallTimeoutMs !== undefined) {
+        scheduler.after(options.stallTimeoutMs, () => {
           if (!stalled.includes(start)) return;
           stalled = stalled.filter((each) => each !== start);
           done("failed", 0);
@@ -124,7 +124,7 @@
       peak = Math.max(peak, running.size + stalled.length);
     },
     getInFlight: () => running.size + stalled.length,
-    getPeak: () => peak,
+    getPeakInFlight: () => peak,
     getBusyMs() {
       const nowMs = scheduler.clock.monotonicMs();
       let sum = busyMs;
@@ -151,7 +151,7 @@
       }
       for (const each of running) {
         const { team } = each.req;
-        const streamed = getStreamed(each, nowMs);
+        const streamed = getStreamedCost(each, nowMs);
         sums.set(team, (sums.get(team) ?? 0) + streamed);
       }
     },
--- a/src/measure/fleet_fixture_types.ts
+++ b/src/measure/fleet_fixture_types.ts
@@ -27,7 +27,7 @@
   /** From token to token of one answer. */
   readonly tokenMs: number;
   /** A request held by a stalled upstream fails after so long; never if absent. */
-  readonly silenceMs?: number;
+  readonly stallTimeoutMs?: number;
   readonly flushMs: number;
   readonly exchangeMs: number;
 }
--- a/src/measure/slow_upstream.ts
+++ b/src/measure/slow_upstream.ts
@@ -29,7 +29,7 @@
 const RECOVERED_MS = 190_000;
 const END_MS = 220_000;
 const SLOW_ENGINE = "engine-1";
-const SILENCE_MS = 5_000;
+const STALL_TIMEOUT_MS = 5_000;
 
 /** Its 12 slots, in case it stalls at its full limit, and five probes. */
 const MAX_TAKEN = 17;
@@ -120,7 +120,7 @@
     seed,
     hosts,
     createPolicy,
-    silenceMs: SILENCE_MS,
+    stallTimeoutMs: STALL_TIMEOUT_MS,
   });
   const load = createAdmittedLoad(fixture, {
     random,
