--- a/src/fleet/fleet_faults_test.ts
+++ b/src/fleet/fleet_faults_test.ts
@@ -84,8 +84,8 @@
 ): void {
   const { scheduler } = fixture;
   if (each.kind === "cut") {
-    fixture.setCut(true);
-    scheduler.after(each.forMs, () => fixture.setCut(false));
+    fixture.setPartitioned(true);
+    scheduler.after(each.forMs, () => fixture.setPartitioned(false));
     return;
   }
   const id = fixture.hosts[each.host]!.id;
@@ -102,7 +102,7 @@
     fixture.kill(id, SEEN_MS);
     scheduler.after(100, () => fixture.restart(id, 500));
   } else if (each.kind === "pause") {
-    fixture.pause(id, { forMs: 30_000, seenMs: SEEN_MS });
+    fixture.pause(id, { forMs: 30_000, detectionMs: SEEN_MS });
   } else if (each.kind === "break-links") {
     fixture.breakLinks(id);
   }
--- a/src/measure/control_traffic.ts
+++ b/src/measure/control_traffic.ts
@@ -174,7 +174,7 @@
   const bytes = after.bytes - before.bytes;
   return {
     bytesPerRequest: bytes / requests,
-    farShare: (after.farBytes - before.farBytes) / bytes,
+    farShare: (after.crossRegionBytes - before.crossRegionBytes) / bytes,
     bytesPerDaemon: bytes / hosts / seconds,
     mostBytes: Math.max(...sent) / seconds,
     links: fixture.hosts.reduce(
@@ -220,10 +220,10 @@
 }
 
 function count(fixture: FleetFixture) {
-  const { bytes, farBytes, byKind } = fixture.getControl();
+  const { bytes, crossRegionBytes, byKind } = fixture.getControlTraffic();
   return {
     bytes,
-    farBytes,
+    crossRegionBytes,
     byKind: new Map(byKind),
     sent: fixture.hosts.map((each) => fixture.getSentBytes(each.id)),
     answered:
--- a/src/measure/fairness.ts
+++ b/src/measure/fairness.ts
@@ -92,7 +92,7 @@
     .reduce((sum, each) => sum + each, 0);
   return {
     gap: meter.getGap(),
-    bytesPerRequest: fixture.getControl().bytes / answered,
+    bytesPerRequest: fixture.getControlTraffic().bytes / answered,
     servicePerSecond: service * 1_000 / END_MS,
   };
 }
--- a/src/measure/fairness_test.ts
+++ b/src/measure/fairness_test.ts
@@ -87,9 +87,9 @@
         const fromMs = healMs + HEALED_MS;
         const fixture = createFixture(seed, fromMs + 20_000);
         fixture.scheduler.runUntil(15_000);
-        fixture.setCut(true);
+        fixture.setPartitioned(true);
         fixture.scheduler.runUntil(healMs);
-        fixture.setCut(false);
+        fixture.setPartitioned(false);
         const gap = measureGap(fixture, { fromMs, toMs: fromMs + 20_000 });
         assert.ok(gap <= BOUND, `gap ${gap} over ${BOUND}`);
       },
--- a/src/measure/fleet_fixture.ts
+++ b/src/measure/fleet_fixture.ts
@@ -70,25 +70,25 @@
       queued.get(`${host}/${team}`)?.[0]?.arrivedMs,
     getHostService: (host, team) => hostService.get(`${host}/${team}`) ?? 0,
   }));
-  const regionOf = new Map(
+  const regionByDataCentre = new Map(
     deployment.dataCentres.map((each) => [each.id, each.region]),
   );
   const members = new Map<string, Member>();
-  const live = new Map<string, LiveHost>();
+  const processes = new Map<string, HostProcess>();
   const requests: FixtureRequest[] = [];
   const sentBytes = new Map<string, number>();
   const byKind = new Map<string, number>();
-  const totals = { bytes: 0, frames: 0, farBytes: 0 };
+  const totals = { bytes: 0, frames: 0, crossRegionBytes: 0 };
   /** Hosts none of whose links work now, and how often links broke. */
-  const broken = new Set<string>();
-  const breaks = new Map<string, number>();
+  const disconnected = new Set<string>();
+  const breakCounts = new Map<string, number>();
   const paused = new Map<string, (() => void)[]>();
   /** Views by region during a cut, one for all otherwise; until a change. */
   const views = new Map<string, View>();
-  let isCut = false;
+  let isPartitioned = false;
   let lastRequest = 0;
 
-  interface LiveHost {
+  interface HostProcess {
     readonly fleet: Fleet;
     readonly incarnation: number;
     /** Links dialed by this host, by the peer's id. */
@@ -104,25 +104,27 @@
   );
 
   function getRegionOf(host: string): string {
-    return regionOf.get(members.get(host)!.dataCentre) ?? "";
+    return regionByDataCentre.get(members.get(host)!.dataCentre) ?? "";
   }
 
-  function isFar(a: string, b: string): boolean {
+  function isInOtherRegion(a: string, b: string): boolean {
     return getRegionOf(a) !== getRegionOf(b);
   }
 
   function canReach(from: string, to: string): boolean {
-    if (live.get(to)?.isUp !== true || live.get(from)?.isUp !== true) {
+    if (
+      processes.get(to)?.isUp !== true || processes.get(from)?.isUp !== true
+    ) {
       return false;
     }
-    if (broken.has(from) || broken.has(to)) return false;
-    return !(isCut && isFar(from, to));
+    if (disconnected.has(from) || disconnected.has(to)) return false;
+    return !(isPartitioned && isInOtherRegion(from, to));
   }
 
   function countBytes(from: string, to: string, bytes: number): void {
     totals.frames++;
     totals.bytes += bytes;
-    if (isFar(from, to)) totals.farBytes += bytes;
+    if (isInOtherRegion(from, to)) totals.crossRegionBytes += bytes;
     sentBytes.set(from, (sentBytes.get(from) ?? 0) + bytes);
   }
 
@@ -130,26 +132,31 @@
   function deliver(
     from: string,
     to: string,
-    options2: { frame: Frame; receive: (frame: Frame) => void },
+    delivery: { frame: Frame; receive: (frame: Frame) => void },
   ): void {
-    const bytes = toBinary(FrameSchema, options2.frame);
+    const bytes = toBinary(FrameSchema, delivery.frame);
     countBytes(from, to, bytes.length + PACKET_BYTES);
-    const target = live.get(to);
-    const countBreaks = () => (breaks.get(from) ?? 0) + (breaks.get(to) ?? 0);
+    const target = processes.get(to);
+    const countBreaks = () =>
+      (breakCounts.get(from) ?? 0) + (breakCounts.get(to) ?? 0);
     const breaksBefore = countBreaks();
-    const delayMs = isFar(from, to) ? options.farMs : options.nearMs;
+    const delayMs = isInOtherRegion(from, to)
+      ? options.crossRegionDelayMs
+      : options.sameRegionDelayMs;
     scheduler.after(delayMs, () => {
-      if (!canReach(from, to) || live.get(to) !== target) return;
+      if (!canReach(from, to) || processes.get(to) !== target) return;
       if (countBreaks() !== breaksBefore) return;
-      options2.receive(fromBinary(FrameSchema, bytes));
+      delivery.receive(fromBinary(FrameSchema, bytes));
     });
   }
 
   function createLink(from: string, to: string, linkHost: PeerLinkHost) {
-    live.get(from)?.dialed.set(to, linkHost);
+    processes.get(from)?.dialed.set(to, linkHost);
     let isOpen = false;
     scheduler.after(
-      isFar(from, to) ? options.farMs * 2 : options.nearMs * 2,
+      isInOtherRegion(from, to)
+        ? options.crossRegionDelayMs * 2
+        : options.sameRegionDelayMs * 2,
       () => {
         isOpen = true;
         if (canReach(from, to)) linkHost.onOpen();
@@ -160,7 +167,7 @@
         if (!isOpen || !canReach(from, to)) return;
         deliver(from, to, {
           frame,
-          receive: (each) => live.get(to)?.fleet.receiveFrame(from, each),
+          receive: (each) => processes.get(to)?.fleet.receiveFrame(from, each),
         });
       },
       isOpen: () => isOpen && canReach(from, to),
@@ -169,7 +176,7 @@
   }
 
   function trySendBack(from: string, to: string, frame: Frame): boolean {
-    const dialer = live.get(to)?.dialed.get(from);
+    const dialer = processes.get(to)?.dialed.get(from);
     if (dialer === undefined || !canReach(from, to)) return false;
     deliver(from, to, { frame, receive: (each) => dialer.onFrame(each) });
     return true;
@@ -177,9 +184,9 @@
 
   /** The members as the host sees them; a cut region looks dead. */
   function getView(host: string): View {
-    return getOrCreate(views, isCut ? getRegionOf(host) : "", () => {
+    return getOrCreate(views, isPartitioned ? getRegionOf(host) : "", () => {
       const all = [...members.values()].map((member) =>
-        isCut && isFar(host, member.host)
+        isPartitioned && isInOtherRegion(host, member.host)
           ? { ...member, state: "dead" as const }
           : member
       );
@@ -188,7 +195,7 @@
   }
 
   function startHost(id: string, dataCentre: string): void {
-    const incarnation = (live.get(id)?.incarnation ?? 0) + 1;
+    const incarnation = (processes.get(id)?.incarnation ?? 0) + 1;
     const { clock } = scheduler;
     const fleet = createFleet({
       id,
@@ -209,21 +216,21 @@
       createLink: (address, linkHost) => createLink(id, address, linkHost),
       defer: (run) => scheduler.after(0, run),
       isDialedBy: (peer) =>
-        live.get(peer)?.dialed.has(id) === true && canReach(id, peer),
+        processes.get(peer)?.dialed.has(id) === true && canReach(id, peer),
       trySendBack: (peer, frame) => trySendBack(id, peer, frame),
       onPeerLost() {},
       onControlSent: (kind, bytes) =>
         void byKind.set(kind, (byKind.get(kind) ?? 0) + bytes),
     });
-    const host: LiveHost = {
+    const host: HostProcess = {
       fleet,
       incarnation,
       dialed: new Map(),
       isUp: true,
     };
-    live.set(id, host);
+    processes.set(id, host);
     const whileUp = (run: () => void) => () => {
-      if (host.isUp && live.get(id) === host && !paused.has(id)) run();
+      if (host.isUp && processes.get(id) === host && !paused.has(id)) run();
     };
     scheduler.every(options.flushMs, whileUp(fleet.flush));
     scheduler.every(options.exchangeMs, whileUp(fleet.exchangeCounters));
@@ -234,26 +241,26 @@
     members.set(id, {
       ...members.get(id)!,
       state,
-      incarnation: live.get(id)?.incarnation ?? 1,
+      incarnation: processes.get(id)?.incarnation ?? 1,
     });
   }
 
   function reconcileAll(): void {
     views.clear();
-    for (const host of live.values()) {
+    for (const host of processes.values()) {
       if (host.isUp) host.fleet.reconcile();
     }
   }
 
   function breakLinks(id: string): void {
-    broken.add(id);
-    breaks.set(id, (breaks.get(id) ?? 0) + 1);
+    disconnected.add(id);
+    breakCounts.set(id, (breakCounts.get(id) ?? 0) + 1);
   }
 
   /** Both ends of each link of the host dial anew. */
   function reopenLinks(id: string): void {
-    broken.delete(id);
-    for (const [from, host] of live) {
+    disconnected.delete(id);
+    for (const [from, host] of processes) {
       for (const [to, linkHost] of host.dialed) {
         const isOfHost = from === id || to === id;
         if (isOfHost && canReach(from, to)) linkHost.onOpen();
@@ -262,10 +269,10 @@
   }
 
   /** Runs now, or when the host goes on after a pause. */
-  function runAt(id: string, run: () => void): void {
-    const held = paused.get(id);
-    if (held === undefined) run();
-    else held.push(run);
+  function runWhenResumed(id: string, run: () => void): void {
+    const deferred = paused.get(id);
+    if (deferred === undefined) run();
+    else deferred.push(run);
   }
 
   function submit(host: string, call: FixtureCall): FixtureRequest {
@@ -281,7 +288,7 @@
       operation: "",
       arrivedMs: nowMs,
       deadlineMs: nowMs + timeoutMs,
-      expectedCost: call.hint ?? service.expectedCost,
+      expectedCost: call.costHint ?? service.expectedCost,
       fingerprint: "",
       host,
       cost: call.cost,
@@ -289,18 +296,18 @@
     };
     requests.push(req);
     getOrCreate(queued, `${host}/${req.team}`, () => []).push(req);
-    const entry = live.get(host)!;
+    const entry = processes.get(host)!;
     entry.fleet.slots.acquire(req, (slot) => start(entry, req, { slot, call }));
     scheduler.after(timeoutMs, () => {
       if (req.state !== "waiting" || !entry.isUp) return;
       entry.fleet.slots.cancel(req);
-      leaveQueue(req);
+      removeFromQueue(req);
       end(req, "cancelled", call);
     });
     return req;
   }
 
-  function leaveQueue(req: FixtureRequest): void {
+  function removeFromQueue(req: FixtureRequest): void {
     const waiting = queued.get(`${req.host}/${req.team}`)!;
     waiting.splice(waiting.indexOf(req), 1);
   }
@@ -310,11 +317,11 @@
   }
 
   function start(
-    entry: LiveHost,
+    entry: HostProcess,
     req: FixtureRequest,
     { slot, call }: { slot: SlotHandle; call: FixtureCall },
   ): void {
-    leaveQueue(req);
+    removeFromQueue(req);
     const key = `${req.host}/${req.team}`;
     const share = req.cost / getWeight(req.team);
     hostService.set(key, (hostService.get(key) ?? 0) + share);
@@ -323,7 +330,7 @@
     req.upstream = slot.upstream.id;
     call.onStart?.(req);
     upstreams.get(slot.upstream.id)!.serve(req, (result, firstByteMs) => {
-      runAt(req.host, () => {
+      runWhenResumed(req.host, () => {
         if (!entry.isUp) return;
         end(req, result, call);
         const cost = result === "answered" ? req.cost : 0;
@@ -342,7 +349,7 @@
     call.onEnd?.(req);
   }
 
-  const places = Array.from({ length: options.hosts }, (_, index) => {
+  const hostPlacements = Array.from({ length: options.hosts }, (_, index) => {
     const at = index % deployment.dataCentres.length;
     const dataCentre = deployment.dataCentres[at]!.id;
     const id = `entry-${index + 1}`;
@@ -357,17 +364,19 @@
     });
     return { id, dataCentre };
   });
-  for (const place of places) startHost(place.id, place.dataCentre);
+  for (const placement of hostPlacements) {
+    startHost(placement.id, placement.dataCentre);
+  }
   reconcileAll();
 
-  const hosts = places.map(({ id, dataCentre }): FixtureHost => ({
+  const hosts = hostPlacements.map(({ id, dataCentre }): FixtureHost => ({
     id,
     dataCentre,
     get fleet() {
-      return live.get(id)!.fleet;
+      return processes.get(id)!.fleet;
     },
     submit: (call) => submit(id, call),
-    isUp: () => live.get(id)!.isUp && !paused.has(id),
+    isUp: () => processes.get(id)!.isUp && !paused.has(id),
   }));
 
   return {
@@ -385,25 +394,25 @@
       }
       return sums;
     },
-    getControl: () => ({ ...totals, byKind }),
+    getControlTraffic: () => ({ ...totals, byKind }),
     getSentBytes: (host) => sentBytes.get(host) ?? 0,
-    setCut(value) {
-      isCut = value;
+    setPartitioned(value) {
+      isPartitioned = value;
       reconcileAll();
     },
-    kill(id, seenMs) {
-      live.get(id)!.isUp = false;
-      scheduler.after(seenMs, () => {
-        if (live.get(id)!.isUp) return;
+    kill(id, detectionMs) {
+      processes.get(id)!.isUp = false;
+      scheduler.after(detectionMs, () => {
+        if (processes.get(id)!.isUp) return;
         setMember(id, "dead");
         reconcileAll();
       });
     },
-    restart(id, seenMs) {
+    restart(id, detectionMs) {
       startHost(id, members.get(id)!.dataCentre);
-      live.get(id)!.fleet.reconcile();
+      processes.get(id)!.fleet.reconcile();
       scheduler.after(REDIAL_MS, () => reopenLinks(id));
-      scheduler.after(seenMs, () => {
+      scheduler.after(detectionMs, () => {
         setMember(id, "alive");
         reconcileAll();
       });
@@ -414,18 +423,18 @@
         if (!paused.has(id)) reopenLinks(id);
       });
     },
-    pause(id, { forMs, seenMs }) {
+    pause(id, { forMs, detectionMs }) {
       paused.set(id, []);
       breakLinks(id);
-      scheduler.after(seenMs, () => {
+      scheduler.after(detectionMs, () => {
         if (!paused.has(id)) return;
         setMember(id, "dead");
         reconcileAll();
       });
       scheduler.after(forMs, () => {
-        const held = paused.get(id)!;
+        const deferred = paused.get(id)!;
         paused.delete(id);
-        for (const run of held) run();
+        for (const run of deferred) run();
         reopenLinks(id);
         setMember(id, "alive");
         reconcileAll();
--- a/src/measure/fleet_fixture_test.ts
+++ b/src/measure/fleet_fixture_test.ts
@@ -31,5 +31,5 @@
   const states = fixture.getRequests().map((each) => each.state);
   assert.deepEqual(states, Array(4).fill("answered"));
   assert.equal(fixture.getService(SERVICE).get("team-1"), 40);
-  assert.ok(fixture.getControl().bytes > 0);
+  assert.ok(fixture.getControlTraffic().bytes > 0);
 });
--- a/src/measure/fleet_fixture_types.ts
+++ b/src/measure/fleet_fixture_types.ts
@@ -19,9 +19,9 @@
   /** Seed of what hosts pick at random; 1 when absent. */
   readonly seed?: number;
   /** One way, within a data centre and between those of a region. */
-  readonly nearMs: number;
+  readonly sameRegionDelayMs: number;
   /** One way, between regions. */
-  readonly farMs: number;
+  readonly crossRegionDelayMs: number;
   /** Until the first token of an answer. */
   readonly firstTokenMs: number;
   /** From token to token of one answer. */
@@ -34,8 +34,8 @@
 
 /** Times of today's deployments. */
 export const defaultFixtureTimes = {
-  nearMs: 1.5,
-  farMs: 20,
+  sameRegionDelayMs: 1.5,
+  crossRegionDelayMs: 20,
   firstTokenMs: 100,
   tokenMs: 20,
   flushMs: 5,
@@ -62,7 +62,7 @@
   readonly service: string;
   readonly cost: number;
   /** Cost told at arrival; the service's expected cost when absent. */
-  readonly hint?: number;
+  readonly costHint?: number;
   readonly timeoutMs?: number;
   /** Called when the request gets its slot. */
   onStart?(req: FixtureRequest): void;
@@ -81,11 +81,11 @@
 }
 
 /** Bytes and frames of control since the start. */
-export interface ControlTotals {
+export interface ControlTraffic {
   readonly bytes: number;
   readonly frames: number;
   /** Bytes between regions, contained in `bytes`. */
-  readonly farBytes: number;
+  readonly crossRegionBytes: number;
   readonly byKind: ReadonlyMap<string, number>;
 }
 
@@ -100,17 +100,17 @@
   getRequests(): readonly FixtureRequest[];
   /** Service so far by team, in cost units, as the tokens stream. */
   getService(service: string): ReadonlyMap<string, number>;
-  getControl(): ControlTotals;
+  getControlTraffic(): ControlTraffic;
   /** Bytes sent by one host, packets included. */
   getSentBytes(host: string): number;
   /** Cuts or heals every link between the regions, frames in flight too. */
-  setCut(isCut: boolean): void;
-  /** Kills the host: its frames stop; others see it dead after `seenMs`. */
-  kill(host: string, seenMs: number): void;
-  /** Starts the host anew and empty; others see it after `seenMs`. */
-  restart(host: string, seenMs: number): void;
+  setPartitioned(isPartitioned: boolean): void;
+  /** Kills the host: its frames stop; others see it dead after `detectionMs`. */
+  kill(host: string, detectionMs: number): void;
+  /** Starts the host anew and empty; others see it after `detectionMs`. */
+  restart(host: string, detectionMs: number): void;
   /** Breaks every link of the host: frames in flight are lost, then it redials. */
   breakLinks(host: string): void;
   /** Stops the host for so long; others see it dead and alive again. */
-  pause(host: string, options: { forMs: number; seenMs: number }): void;
+  pause(host: string, options: { forMs: number; detectionMs: number }): void;
 }
--- a/src/measure/workload.ts
+++ b/src/measure/workload.ts
@@ -101,7 +101,7 @@
       team: sender.team,
       service: SERVICE,
       cost,
-      hint: sender.getHint?.(cost),
+      costHint: sender.getHint?.(cost),
       onEnd: () => fixture.scheduler.after(0, sendOne),
     });
   };
@@ -122,9 +122,9 @@
       const host = sender.pickHost();
       if (host.isUp()) {
         const cost = sender.pickCost();
-        const hint = sender.getHint?.(cost);
+        const costHint = sender.getHint?.(cost);
         const { team, timeoutMs } = sender;
-        host.submit({ team, service: SERVICE, cost, hint, timeoutMs });
+        host.submit({ team, service: SERVICE, cost, costHint, timeoutMs });
       }
       sendNext();
     });
