--- a/src/measure/membership_fixture.ts
+++ b/src/measure/membership_fixture.ts
@@ -30,13 +30,13 @@
   readonly loss?: number;
   readonly options?: MembershipOptions;
   /** Passes datagrams through the real codec; else they go as they are. */
-  readonly encodes?: boolean;
+  readonly encodesDatagrams?: boolean;
   /** Hosts know all others from the start, as long after the last change. */
-  readonly areJoined?: boolean;
+  readonly startsConverged?: boolean;
 }
 
 /** A change that one host has noted. */
-export interface NotedChange {
+export interface RecordedChange {
   readonly atMs: number;
   readonly by: string;
   readonly member: Member;
@@ -47,21 +47,21 @@
   readonly scheduler: VirtualScheduler;
   readonly names: readonly string[];
   /** All changes noted so far, in order. */
-  readonly changes: NotedChange[];
+  readonly changes: RecordedChange[];
   get(name: string): Membership;
   /** Hosts whose view of the member is in one of the states. */
-  countViews(member: string, states: readonly string[]): number;
+  countHostsSeeing(member: string, states: readonly string[]): number;
   /** Live hosts that hold the fact. */
-  countFacts(key: string): number;
+  countHostsWithFact(key: string): number;
   kill(name: string): void;
   /** Stops the process for so long, as SIGSTOP does. */
   pause(name: string, ms: number): void;
   /** Starts the host anew and empty, with the incarnation given. */
   restart(name: string, incarnation: number): void;
   /** Cuts or heals the regions. */
-  setCut(isCut: boolean): void;
+  setPartitioned(isPartitioned: boolean): void;
   /** What the platform lists from now on. */
-  setListed(names: readonly string[]): void;
+  setRegisteredHosts(names: readonly string[]): void;
   /** Datagrams and bytes sent so far, IP and UDP headers included. */
   getTraffic(): {
     readonly datagrams: number;
@@ -73,25 +73,31 @@
 /** IP and UDP headers of a datagram. */
 const HEADER_BYTES = 28;
 
-const NEAR_MS = 1.5;
-const FAR_MS = 20;
+const SAME_REGION_DELAY_MS = 1.5;
+const CROSS_REGION_DELAY_MS = 20;
 const SECRET = "secret-of-the-measured-fleet";
 
 /** Datagrams that the socket of a stopped process holds; more are lost. */
-const SOCKET_BUFFER = 200;
+const SOCKET_BUFFER_DATAGRAMS = 200;
 
 interface Node {
   readonly membership: Membership;
   readonly facts: Set<string>;
-  readonly held: (() => void)[];
+  readonly pendingDatagrams: (() => void)[];
   pausedUntilMs: number;
   isUp: boolean;
 }
 
 /** Makes the hosts; those with an odd number lie in the first region. */
 export function createMembershipFixture(
-  { hosts, seed, loss = 0, options, encodes = false, areJoined = true }:
-    MembershipFixtureOptions,
+  {
+    hosts,
+    seed,
+    loss = 0,
+    options,
+    encodesDatagrams = false,
+    startsConverged = true,
+  }: MembershipFixtureOptions,
 ): MembershipFixture {
   const scheduler = createVirtualScheduler();
   const { clock } = scheduler;
@@ -99,13 +105,13 @@
   const codec = createDatagramCodec(SECRET);
   const periodMs = (options ?? defaultMembershipOptions).periodMs;
   const nodes = new Map<string, Node>();
-  const changes: NotedChange[] = [];
+  const changes: RecordedChange[] = [];
   const traffic = { datagrams: 0, bytes: 0, largestBytes: 0 };
   const names = Array.from({ length: hosts }, (_, at) => `entry-${at + 1}`);
-  let listed = names;
-  let isCut = false;
+  let registered = names;
+  let isPartitioned = false;
 
-  function isFar(a: string, b: string): boolean {
+  function isInOtherRegion(a: string, b: string): boolean {
     return Number(a.split("-")[1]) % 2 !== Number(b.split("-")[1]) % 2;
   }
 
@@ -123,7 +129,7 @@
   }
 
   function getSeeds(): readonly Seed[] {
-    return listed.map((name) => createMember(name, 0));
+    return registered.map((name) => createMember(name, 0));
   }
 
   const addressOf = new Map(
@@ -136,7 +142,7 @@
   /** Gives what the receiver reads. */
   function encode(message: MembershipMessage): () => MembershipMessage {
     traffic.datagrams++;
-    if (!encodes) return () => message;
+    if (!encodesDatagrams) return () => message;
     const bytes = codec.encode(message);
     traffic.bytes += bytes.length + HEADER_BYTES;
     traffic.largestBytes = Math.max(traffic.largestBytes, bytes.length);
@@ -151,14 +157,21 @@
     const decode = encode(message);
     const to = nameOf.get(address)!;
     const isLost = random() < loss;
-    scheduler.after(isFar(from, to) ? FAR_MS : NEAR_MS, () => {
-      const node = nodes.get(to);
-      if (isLost || !node?.isUp || (isCut && isFar(from, to))) return;
-      const receive = () =>
-        node.membership.receive(decode(), addressOf.get(from)!);
-      if (node.pausedUntilMs <= clock.monotonicMs()) receive();
-      else if (node.held.length < SOCKET_BUFFER) node.held.push(receive);
-    });
+    scheduler.after(
+      isInOtherRegion(from, to) ? CROSS_REGION_DELAY_MS : SAME_REGION_DELAY_MS,
+      () => {
+        const node = nodes.get(to);
+        if (
+          isLost || !node?.isUp || (isPartitioned && isInOtherRegion(from, to))
+        ) return;
+        const receive = () =>
+          node.membership.receive(decode(), addressOf.get(from)!);
+        if (node.pausedUntilMs <= clock.monotonicMs()) receive();
+        else if (node.pendingDatagrams.length < SOCKET_BUFFER_DATAGRAMS) {
+          node.pendingDatagrams.push(receive);
+        }
+      },
+    );
   }
 
   function start(name: string, incarnation: number): void {
@@ -177,7 +190,7 @@
     const node: Node = {
       membership,
       facts,
-      held: [],
+      pendingDatagrams: [],
       pausedUntilMs: 0,
       isUp: true,
     };
@@ -190,14 +203,14 @@
         return;
       }
       membership.tick();
-      for (const receive of node.held.splice(0)) receive();
+      for (const receive of node.pendingDatagrams.splice(0)) receive();
       scheduler.after(periodMs, tick);
     };
     scheduler.after(random() * periodMs, tick);
   }
 
   for (const name of names) start(name, 1);
-  if (areJoined) {
+  if (startsConverged) {
     const all = names.map((name) => createMember(name, 1));
     for (const { membership } of nodes.values()) {
       // As all that another host knows: old news, which is not told on.
@@ -225,7 +238,7 @@
     names,
     changes,
     get: (name) => nodes.get(name)!.membership,
-    countViews(member, states) {
+    countHostsSeeing(member, states) {
       let count = 0;
       for (const [name, { membership, isUp }] of nodes) {
         if (!isUp || name === member) continue;
@@ -236,7 +249,7 @@
       }
       return count;
     },
-    countFacts: (key) =>
+    countHostsWithFact: (key) =>
       [...nodes.values()].filter((node) => node.isUp && node.facts.has(key))
         .length,
     kill(name) {
@@ -249,11 +262,11 @@
       nodes.get(name)!.isUp = false;
       start(name, incarnation);
     },
-    setCut(value) {
-      isCut = value;
+    setPartitioned(value) {
+      isPartitioned = value;
     },
-    setListed(value) {
-      listed = [...value];
+    setRegisteredHosts(value) {
+      registered = [...value];
       for (const { membership } of nodes.values()) {
         membership.setSeeds(getSeeds());
       }
--- a/src/measure/scale.ts
+++ b/src/measure/scale.ts
@@ -56,7 +56,7 @@
       hosts: size,
       seed,
       loss: LOSS,
-      encodes: true,
+      encodesDatagrams: true,
     });
     const cost = measureQuiet(fixture);
     const mesh = measureMesh(size);
@@ -204,7 +204,7 @@
   for (const name of names.slice(0, 3)) {
     const startMs = scheduler.clock.monotonicMs();
     fixture.kill(name);
-    const live = () => fixture.countViews(name, ["alive", "suspect"]);
+    const live = () => fixture.countHostsSeeing(name, ["alive", "suspect"]);
     while (live() > 0 && scheduler.clock.monotonicMs() - startMs < 60_000) {
       scheduler.runUntil(scheduler.clock.monotonicMs() + 100);
     }
@@ -220,7 +220,7 @@
   fixture.get(names.at(-1)!).spreadFact({ key: "a", version: 1, value: "x" });
   const others = names.length - 3 - 1;
   while (
-    fixture.countFacts("a") < others &&
+    fixture.countHostsWithFact("a") < others &&
     scheduler.clock.monotonicMs() - startMs < 60_000
   ) {
     scheduler.runUntil(scheduler.clock.monotonicMs() + 100);
--- a/src/membership/membership_test.ts
+++ b/src/membership/membership_test.ts
@@ -73,13 +73,13 @@
       hosts: 40,
       seed,
       loss: 0.05,
-      areJoined: false,
+      startsConverged: false,
     });
     getTimeUntil(
       fixture,
       () =>
         fixture.names.every((name) =>
-          fixture.countViews(name, ["alive"]) >= 39
+          fixture.countHostsSeeing(name, ["alive"]) >= 39
         ),
       30_000,
     );
@@ -93,10 +93,10 @@
       hosts: 100,
       seed,
       loss: 0.01,
-      areJoined: false,
-      encodes: true,
+      startsConverged: false,
+      encodesDatagrams: true,
     });
-    fixture.setListed(fixture.names.slice(0, 3));
+    fixture.setRegisteredHosts(fixture.names.slice(0, 3));
     let version = 0;
     fixture.scheduler.every(700, () => {
       version++;
@@ -124,7 +124,7 @@
     fixture.kill("entry-3");
     const tookMs = getTimeUntil(
       fixture,
-      () => fixture.countViews("entry-3", ["dead"]) === 59,
+      () => fixture.countHostsSeeing("entry-3", ["dead"]) === 59,
       12_000,
     );
     assert.ok(tookMs >= 2_500);
@@ -151,11 +151,11 @@
     const fixture = createMembershipFixture({ hosts: 30, seed, loss: 0.02 });
     fixture.pause("entry-5", 30_000);
     run(fixture, 20_000);
-    assert.equal(fixture.countViews("entry-5", ["dead"]), 29);
+    assert.equal(fixture.countHostsSeeing("entry-5", ["dead"]), 29);
     run(fixture, 10_000);
     getTimeUntil(
       fixture,
-      () => fixture.countViews("entry-5", ["alive"]) === 29,
+      () => fixture.countHostsSeeing("entry-5", ["alive"]) === 29,
       10_000,
     );
     run(fixture, 10_000);
@@ -192,7 +192,7 @@
   const fixture = createMembershipFixture({ hosts: 10, seed: 1 });
   fixture.restart("entry-7", 0.5);
   run(fixture, 10_000);
-  assert.equal(fixture.countViews("entry-7", ["alive"]), 9);
+  assert.equal(fixture.countHostsSeeing("entry-7", ["alive"]), 9);
   const views = fixture.names.map((name) =>
     fixture.get(name).getMembers().find((each) => each.host === "entry-7")!
       .incarnation
@@ -206,17 +206,17 @@
   // These seeds of 50 left one host out, for the reason of the next test.
   for (const seed of [26, 27, 46]) {
     const fixture = createMembershipFixture({ hosts: 16, seed, loss: 0.01 });
-    fixture.setCut(true);
+    fixture.setPartitioned(true);
     run(fixture, 30_000);
-    assert.equal(fixture.countViews("entry-1", ["dead"]), 8);
-    assert.equal(fixture.countViews("entry-2", ["alive"]), 7);
+    assert.equal(fixture.countHostsSeeing("entry-1", ["dead"]), 8);
+    assert.equal(fixture.countHostsSeeing("entry-2", ["alive"]), 7);
     run(fixture, 3_600_000 - 30_000);
-    fixture.setCut(false);
+    fixture.setPartitioned(false);
     getTimeUntil(
       fixture,
       () =>
         fixture.names.every((name) =>
-          fixture.countViews(name, ["alive"]) === 15
+          fixture.countHostsSeeing(name, ["alive"]) === 15
         ),
       40_000,
     );
@@ -257,17 +257,17 @@
   fixture.kill("entry-4");
   run(fixture, 15_000);
   fixture.changes.length = 0;
-  fixture.setListed(fixture.names);
+  fixture.setRegisteredHosts(fixture.names);
   run(fixture, DEAD_KEEP_MS + 60_000);
   assert.deepEqual(fixture.changes, []);
-  assert.equal(fixture.countViews("entry-4", ["dead"]), 11);
+  assert.equal(fixture.countHostsSeeing("entry-4", ["dead"]), 11);
 });
 
 test("replaced hosts are forgotten", () => {
   // 88 hosts are replaced a day, each by one of another name.
   const fixture = createMembershipFixture({ hosts: 12, seed: 3 });
   for (const name of ["entry-2", "entry-5", "entry-9"]) fixture.kill(name);
-  fixture.setListed(
+  fixture.setRegisteredHosts(
     fixture.names.filter((name) =>
       !["entry-2", "entry-5", "entry-9"].includes(name)
     ),
@@ -284,7 +284,7 @@
     fixture.get("entry-6").leave();
     getTimeUntil(
       fixture,
-      () => fixture.countViews("entry-6", ["leaving"]) === 29,
+      () => fixture.countHostsSeeing("entry-6", ["leaving"]) === 29,
       6_000,
     );
     fixture.changes.length = 0;
@@ -296,7 +296,7 @@
     assert.deepEqual(revivals, []);
     fixture.kill("entry-6");
     run(fixture, 20_000);
-    assert.equal(fixture.countViews("entry-6", ["dead"]), 29);
+    assert.equal(fixture.countHostsSeeing("entry-6", ["dead"]), 29);
   }
 });
 
@@ -305,7 +305,7 @@
   fixture.get("entry-9").spreadFact({ key: "a", version: 1, value: "x" });
   const tookMs = getTimeUntil(
     fixture,
-    () => fixture.countFacts("a") === 389,
+    () => fixture.countHostsWithFact("a") === 389,
     10_000,
   );
   assert.ok(tookMs <= 10_000);
@@ -317,7 +317,7 @@
   run(fixture, 60_000);
   fixture.restart("entry-2", 2);
   run(fixture, 10_000);
-  assert.equal(fixture.countFacts("a"), 19);
+  assert.equal(fixture.countHostsWithFact("a"), 19);
 });
 
 test("no datagram is larger than a packet", () => {
@@ -325,15 +325,15 @@
     const fixture = createMembershipFixture({
       hosts: 40,
       seed,
-      encodes: true,
+      encodesDatagrams: true,
     });
     for (let each = 0; each < 30; each++) {
       const value = "x".repeat(200);
       fixture.get("entry-1").spreadFact({ key: `f${each}`, version: 1, value });
     }
-    fixture.setCut(true);
+    fixture.setPartitioned(true);
     run(fixture, 10_000);
-    fixture.setCut(false);
+    fixture.setPartitioned(false);
     fixture.restart("entry-4", 2);
     run(fixture, 20_000);
     const { largestBytes } = fixture.getTraffic();
