--- a/src/measure/config_spread.ts
+++ b/src/measure/config_spread.ts
@@ -43,91 +43,97 @@
 const CHANGES = 40;
 const DAY_MS = 86_400_000;
 const CHANGES_A_DAY = 1_100;
-const IDLE_LIMIT_MS = 15_000;
-const NEAR_MS = 1.5;
-const FAR_MS = 20;
-const LOSS = 0.01;
+const MAX_IDLE_MS = 15_000;
+const SAME_REGION_DELAY_MS = 1.5;
+const CROSS_REGION_DELAY_MS = 20;
+const DATAGRAM_LOSS = 0.01;
 const DATA_CENTRES = 6;
 /** From the goal: what the files hold. */
-const TEAMS = 290;
-const UPSTREAMS = 600;
-const GOAL_MS = 7_000;
+const TARGET_TEAMS = 290;
+const TARGET_UPSTREAMS = 600;
+const TARGET_MS = 7_000;
 
-interface SpreadHost {
+interface SimulatedHost {
   readonly self: Member;
   readonly membership: Membership;
   readonly watcher: ConfigWatcher;
-  heardMs: number;
+  lastPeerMs: number;
   isDead: boolean;
 }
 
-interface SpreadWorld {
+interface Simulation {
   readonly scheduler: VirtualScheduler;
-  readonly hosts: SpreadHost[];
+  readonly hosts: SimulatedHost[];
   readonly inForceMs: Map<string, number>;
-  readonly record: Map<number, ConfigCopy>;
-  reads: number;
+  readonly stored: Map<number, ConfigCopy>;
+  storeReads: number;
 }
 
 /** Runs the scenario. */
 export function measureConfigSpread(options: ScenarioOptions): Report {
   const generator = xoroshiro128plus(options.seed);
   const random = () => uniformFloat64(generator);
-  const world = createWorld(options.hosts, random);
-  const alive: number[] = [];
-  const died: number[] = [];
+  const simulation = createSimulation(options.hosts, random);
+  const normal: number[] = [];
+  const afterDeath: number[] = [];
   for (let change = 1; change <= CHANGES; change++) {
     const idleMs = -Math.log(1 - random()) * DAY_MS / CHANGES_A_DAY;
-    const nowMs = world.scheduler.clock.monotonicMs();
-    world.scheduler.runUntil(nowMs + Math.min(idleMs, IDLE_LIMIT_MS) + 1_000);
-    const isLost = change % 2 === 0;
-    const times = spreadOne(world, { version: change, isLost, random });
-    (isLost ? died : alive).push(...times);
+    const nowMs = simulation.scheduler.clock.monotonicMs();
+    simulation.scheduler.runUntil(
+      nowMs + Math.min(idleMs, MAX_IDLE_MS) + 1_000,
+    );
+    const acceptorDies = change % 2 === 0;
+    const times = measureRollout(simulation, {
+      version: change,
+      acceptorDies,
+      random,
+    });
+    (acceptorDies ? afterDeath : normal).push(...times);
   }
-  return createReport(options, { world, alive, died });
+  return createReport(options, { simulation, normal, afterDeath });
 }
 
 /** Accepts one version and gives each host's time until it is in force. */
-function spreadOne(
-  world: SpreadWorld,
-  change: { version: number; isLost: boolean; random: () => number },
+function measureRollout(
+  simulation: Simulation,
+  change: { version: number; acceptorDies: boolean; random: () => number },
 ): readonly number[] {
-  const { scheduler, hosts } = world;
+  const { scheduler, hosts } = simulation;
   const copy = createCopy(change.version);
   const startMs = scheduler.clock.monotonicMs();
-  world.inForceMs.clear();
-  world.record.set(change.version, copy);
+  simulation.inForceMs.clear();
+  simulation.stored.set(change.version, copy);
   const acceptor = hosts[Math.floor(change.random() * hosts.length)]!;
-  if (change.isLost) acceptor.isDead = true;
+  if (change.acceptorDies) acceptor.isDead = true;
   else acceptor.watcher.putAcceptedInForce(copy);
   const others = hosts.filter((host) => !host.isDead);
   for (let waitedMs = 0; waitedMs < 60_000; waitedMs += 500) {
     scheduler.runUntil(startMs + waitedMs);
-    if (world.inForceMs.size >= others.length) break;
+    if (simulation.inForceMs.size >= others.length) break;
   }
   acceptor.isDead = false;
   return others.map((host) =>
-    (world.inForceMs.get(host.self.host) ?? Infinity) - startMs
+    (simulation.inForceMs.get(host.self.host) ?? Infinity) - startMs
   );
 }
 
-function createWorld(size: number, random: () => number): SpreadWorld {
-  const world: SpreadWorld = {
+function createSimulation(size: number, random: () => number): Simulation {
+  const simulation: Simulation = {
     scheduler: createVirtualScheduler(),
     hosts: [],
     inForceMs: new Map(),
-    record: new Map(),
-    reads: 0,
+    stored: new Map(),
+    storeReads: 0,
   };
-  const selves = Array.from({ length: size }, (_, index) => createSelf(index));
-  for (const self of selves) {
-    world.hosts.push(createHost(world, self, random));
+  const members = Array.from({ length: size }, (_, index) => createSelf(index));
+  for (const self of members) {
+    simulation.hosts.push(createHost(simulation, self, random));
   }
-  for (const host of world.hosts) {
-    for (const self of selves) host.membership.learn(self);
-    startTasks(world, host, random);
+  for (const host of simulation.hosts) {
+    for (const self of members) host.membership.learn(self);
+    startTasks(simulation, host, random);
   }
-  return world;
+  return simulation;
 }
 
 function createSelf(index: number): Member {
@@ -145,41 +151,45 @@
 function getLatencyMs(from: Member, to: Member): number {
   const getRegion = (member: Member) =>
     Number(member.dataCentre.slice(3)) < DATA_CENTRES / 2;
-  return getRegion(from) === getRegion(to) ? NEAR_MS : FAR_MS;
+  return getRegion(from) === getRegion(to)
+    ? SAME_REGION_DELAY_MS
+    : CROSS_REGION_DELAY_MS;
 }
 
 function createHost(
-  world: SpreadWorld,
+  simulation: Simulation,
   self: Member,
   random: () => number,
-): SpreadHost {
-  const { scheduler } = world;
-  const getHost = (address: string) => world.hosts[Number(address)]!;
+): SimulatedHost {
+  const { scheduler } = simulation;
+  const getHostAt = (address: string) => simulation.hosts[Number(address)]!;
   const watcher = createConfigWatcher({
     getHead: () =>
       Effect.sync(() => {
-        world.reads++;
-        return world.record.get(world.record.size)?.row;
+        simulation.storeReads++;
+        return simulation.stored.get(simulation.stored.size)?.row;
       }),
     tryGetVersion: (version) =>
-      Effect.sync(() => world.record.get(version)?.row),
+      Effect.sync(() => simulation.stored.get(version)?.row),
     tryGetFiles: (digest) =>
       Effect.sync(() =>
-        [...world.record.values()].find((each) => each.row.digest === digest)
+        [...simulation.stored.values()].find((each) =>
+          each.row.digest === digest
+        )
           ?.files
       ),
     tryFetch: (peer, asked) =>
       Effect.sync(() => {
-        const from = world.hosts.find((each) => each.self.host === peer)!;
+        const from = simulation.hosts.find((each) => each.self.host === peer)!;
         const copy = from.isDead
           ? undefined
           : from.watcher.tryGetCopy(asked.digest);
-        return copy && { copy, knownHosts: world.hosts.length };
+        return copy && { copy, knownHosts: simulation.hosts.length };
       }),
     sortPeers: (peers) => peers,
-    countKnownPeers: () => world.hosts.length - 1,
+    countKnownPeers: () => simulation.hosts.length - 1,
     onInForce: () =>
-      world.inForceMs.set(self.host, scheduler.clock.monotonicMs()),
+      simulation.inForceMs.set(self.host, scheduler.clock.monotonicMs()),
     onRefused() {},
   });
   const membership: Membership = createMembership(self, {
@@ -192,44 +202,45 @@
       digest: watcher.getCurrent()?.digest ?? "",
     }),
     onConfigVersion(version, digest, from) {
-      host.heardMs = scheduler.clock.monotonicMs();
+      host.lastPeerMs = scheduler.clock.monotonicMs();
       watcher.recordPeerVersion({ version, digest }, from);
       if (!watcher.isOutdated()) return;
       // Dial, ask and receive: three trips to the peer that named it.
-      const peer = world.hosts.find((each) => each.self.host === from)!;
+      const peer = simulation.hosts.find((each) => each.self.host === from)!;
       const fetchMs = 3 * getLatencyMs(self, peer.self);
       scheduler.after(fetchMs, () => Effect.runSync(watcher.catchUp()));
     },
     send(address, message) {
-      const to = getHost(address);
-      if (host.isDead || random() < LOSS) return;
+      const to = getHostAt(address);
+      if (host.isDead || random() < DATAGRAM_LOSS) return;
       scheduler.after(getLatencyMs(self, to.self), () => {
         if (!to.isDead) to.membership.receive(message, self.peerAddress);
       });
     },
   });
-  const host = { self, membership, watcher, heardMs: 0, isDead: false };
+  const host = { self, membership, watcher, lastPeerMs: 0, isDead: false };
   return host;
 }
 
 function startTasks(
-  world: SpreadWorld,
-  host: SpreadHost,
+  simulation: Simulation,
+  host: SimulatedHost,
   random: () => number,
 ): void {
-  const { scheduler } = world;
+  const { scheduler } = simulation;
   const { periodMs } = defaultMembershipOptions;
-  const near = world.hosts.filter((each) =>
+  const sameDataCentre = simulation.hosts.filter((each) =>
     each.self.dataCentre === host.self.dataCentre
   ).map((each) => each.self.host);
-  const isPicked = tryGetOwner("poll", near) === host.self.host;
+  const isDesignatedPoller =
+    tryGetOwner("poll", sameDataCentre) === host.self.host;
 
   function poll(): void {
     if (!host.isDead) Effect.runSync(host.watcher.poll().pipe(Effect.ignore));
     const waitMs = getPollMs({
       hasVersion: host.watcher.getCurrent() !== undefined,
-      isDesignatedPoller: isPicked,
-      sinceLastPeerMs: scheduler.clock.monotonicMs() - host.heardMs,
+      isDesignatedPoller,
+      sinceLastPeerMs: scheduler.clock.monotonicMs() - host.lastPeerMs,
       random: random(),
     });
     scheduler.after(waitMs, poll);
@@ -258,12 +269,15 @@
 }
 
 /** Files of the goal's size, with keys that compress no better than real. */
-function createGoalFiles(random: () => number): FileSet {
+function createTargetSizeFiles(random: () => number): FileSet {
   const files = createFileSet({
     teams: Object.fromEntries(
-      Array.from({ length: TEAMS }, (_, index) => [`team-${index}`, 1]),
+      Array.from({ length: TARGET_TEAMS }, (_, index) => [`team-${index}`, 1]),
+    ),
+    upstreams: Array.from(
+      { length: TARGET_UPSTREAMS },
+      (_, index) => `up-${index}`,
     ),
-    upstreams: Array.from({ length: UPSTREAMS }, (_, index) => `up-${index}`),
   });
   const createKey = () =>
     Array.from({ length: 64 }, () => Math.floor(random() * 16).toString(16))
@@ -277,14 +291,14 @@
 function createReport(
   options: ScenarioOptions,
   input: {
-    world: SpreadWorld;
-    alive: readonly number[];
-    died: readonly number[];
+    simulation: Simulation;
+    normal: readonly number[];
+    afterDeath: readonly number[];
   },
 ): Report {
-  const { world, alive, died } = input;
+  const { simulation, normal, afterDeath } = input;
   const generator = xoroshiro128plus(options.seed);
-  const files = createGoalFiles(() => uniformFloat64(generator));
+  const files = createTargetSizeFiles(() => uniformFloat64(generator));
   const { row } = createCopy(1);
   const digest = getFileSetDigest(files);
   const bytes = encodeCopy({ row: { ...row, digest }, files }).length;
@@ -292,24 +306,24 @@
     gzipSync(JSON.stringify({ row: { ...row, digest }, files })),
     { version: 1, digest },
   );
-  const seconds = world.scheduler.clock.monotonicMs() / 1_000;
+  const seconds = simulation.scheduler.clock.monotonicMs() / 1_000;
   const figure = (name: string, value: number) => ({
     name,
     value,
     baselines: {},
   });
-  const bound = { kind: "at-most", value: GOAL_MS } as const;
+  const bound = { kind: "at-most", value: TARGET_MS } as const;
   return {
     scenario: "config-spread",
     seed: options.seed,
     hosts: options.hosts,
     figures: [
-      figure("in_force_p50_ms", getPercentile(alive, 0.5)),
-      figure("in_force_p99_ms", getPercentile(alive, 0.99)),
-      { ...figure("in_force_max_ms", Math.max(...alive)), bound },
-      figure("acceptor_died_p99_ms", getPercentile(died, 0.99)),
-      { ...figure("acceptor_died_max_ms", Math.max(...died)), bound },
-      figure("store_reads_per_second", world.reads / seconds),
+      figure("in_force_p50_ms", getPercentile(normal, 0.5)),
+      figure("in_force_p99_ms", getPercentile(normal, 0.99)),
+      { ...figure("in_force_max_ms", Math.max(...normal)), bound },
+      figure("acceptor_died_p99_ms", getPercentile(afterDeath, 0.99)),
+      { ...figure("acceptor_died_max_ms", Math.max(...afterDeath)), bound },
+      figure("store_reads_per_second", simulation.storeReads / seconds),
       figure("goal_copy_bytes", decoded === undefined ? Infinity : bytes),
       figure(
         "goal_copy_bytes_per_second",
