--- a/src/measure/control_traffic.ts
+++ b/src/measure/control_traffic.ts
@@ -32,20 +32,20 @@
 } from "./workload.ts";
 
 /** From here on the run stands for one service of the goal size. */
-const MANY_HOSTS = 50;
-const GOAL_SERVICES = 11;
+const TARGET_SIZE_MIN_HOSTS = 50;
+const TARGET_SERVICES = 11;
 const BACKLOGGED_SHARE = 0.1;
 
 /** The teams that are not backlogged use so much of the fleet. */
-const OTHERS_USE = 0.6;
+const BACKGROUND_UTILISATION = 0.6;
 
 /** Mean time of a request in a slot, in seconds, at the mixed costs. */
-const MEAN_SECONDS = 1.76;
+const MEAN_REQUEST_SECONDS = 1.76;
 
 /** A ping or a pong is a frame of two bytes. */
 const PING_BYTES = PACKET_BYTES + 2;
 
-const GOAL_BYTES_PER_SECOND = 3_000;
+const TARGET_BYTES_PER_SECOND = 3_000;
 
 interface Sizes extends DeploymentSizes {
   readonly warmUpMs: number;
@@ -56,11 +56,11 @@
 
 interface Result {
   readonly bytesPerRequest: number;
-  readonly farShare: number;
+  readonly crossRegionShare: number;
   /** Frames and their packets, of one service, by the daemon in the mean. */
-  readonly bytesPerDaemon: number;
+  readonly bytesPerHost: number;
   /** The same of the daemon that sent most. */
-  readonly mostBytes: number;
+  readonly busiestHostBytes: number;
   readonly links: number;
   readonly byKind: ReadonlyMap<string, number>;
 }
@@ -97,17 +97,21 @@
       {
         ...figure(
           "control_bytes_per_second_per_daemon",
-          ours.bytesPerDaemon * sizes.services,
-          broadcast.bytesPerDaemon * sizes.services,
+          ours.bytesPerHost * sizes.services,
+          broadcast.bytesPerHost * sizes.services,
         ),
-        bound: { kind: "at-most", value: GOAL_BYTES_PER_SECOND },
+        bound: { kind: "at-most", value: TARGET_BYTES_PER_SECOND },
       },
       figure(
         "control_bytes_per_second_of_busiest_daemon_in_one_service",
-        ours.mostBytes,
-        broadcast.mostBytes,
+        ours.busiestHostBytes,
+        broadcast.busiestHostBytes,
+      ),
+      figure(
+        "regional_link_share",
+        ours.crossRegionShare,
+        broadcast.crossRegionShare,
       ),
-      figure("regional_link_share", ours.farShare, broadcast.farShare),
       figure("links_per_daemon_in_one_service", ours.links, broadcast.links),
       figure(
         "ping_bytes_per_second_in_one_service_all_links_needed",
@@ -125,7 +129,7 @@
 }
 
 function getSizes(hosts: number): Sizes {
-  if (hosts < MANY_HOSTS) {
+  if (hosts < TARGET_SIZE_MIN_HOSTS) {
     return {
       regions: 2,
       dataCentresPerRegion: 2,
@@ -147,7 +151,7 @@
     expectedCost: 60,
     warmUpMs: 4_000,
     endMs: 10_000,
-    services: GOAL_SERVICES,
+    services: TARGET_SERVICES,
   };
 }
 
@@ -165,18 +169,19 @@
   });
   sendLoad(fixture, sizes, random);
   fixture.scheduler.runUntil(sizes.warmUpMs);
-  const before = count(fixture);
+  const before = readTotals(fixture);
   fixture.scheduler.runUntil(sizes.endMs);
-  const after = count(fixture);
+  const after = readTotals(fixture);
   const requests = after.answered - before.answered;
   const seconds = (sizes.endMs - sizes.warmUpMs) / 1_000;
   const sent = after.sent.map((bytes, at) => bytes - before.sent[at]!);
   const bytes = after.bytes - before.bytes;
   return {
     bytesPerRequest: bytes / requests,
-    farShare: (after.crossRegionBytes - before.crossRegionBytes) / bytes,
-    bytesPerDaemon: bytes / hosts / seconds,
-    mostBytes: Math.max(...sent) / seconds,
+    crossRegionShare: (after.crossRegionBytes - before.crossRegionBytes) /
+      bytes,
+    bytesPerHost: bytes / hosts / seconds,
+    busiestHostBytes: Math.max(...sent) / seconds,
     links: fixture.hosts.reduce(
       (sum, each) => sum + each.fleet.getLinkCount(),
       0,
@@ -195,7 +200,7 @@
   const { hosts } = fixture;
   const slots = sizes.upstreams * sizes.slotsPerUpstream;
   const backlogged = Math.ceil(teams.length * BACKLOGGED_SHARE);
-  const othersRate = slots / MEAN_SECONDS * OTHERS_USE;
+  const backgroundRate = slots / MEAN_REQUEST_SECONDS * BACKGROUND_UTILISATION;
   teams.forEach((team, at) => {
     const isBacklogged = at % Math.floor(1 / BACKLOGGED_SHARE) === 1;
     const entryHosts = isBacklogged ? pickEntryHosts(hosts.length, random) : [];
@@ -213,13 +218,13 @@
     if (isBacklogged) {
       keepBacklogged(fixture, sender, { depth: slots, untilMs });
     } else {
-      const perSecond = othersRate / (teams.length - backlogged);
+      const perSecond = backgroundRate / (teams.length - backlogged);
       sendAtRate(fixture, sender, { perSecond, untilMs, random });
     }
   });
 }
 
-function count(fixture: FleetFixture) {
+function readTotals(fixture: FleetFixture) {
   const { bytes, crossRegionBytes, byKind } = fixture.getControlTraffic();
   return {
     bytes,
--- a/src/measure/fairness.ts
+++ b/src/measure/fairness.ts
@@ -46,7 +46,7 @@
     slots: FLEET_SLOTS,
     servicePerSecond: ours.servicePerSecond,
     lagSeconds: LAG_SECONDS,
-    farPenaltyRequests: FAR_PENALTY_REQUESTS,
+    crossRegionPenaltyRequests: FAR_PENALTY_REQUESTS,
   });
   return {
     scenario: "fairness",
--- a/src/measure/fairness_test.ts
+++ b/src/measure/fairness_test.ts
@@ -30,7 +30,7 @@
   slots: FLEET_SLOTS,
   servicePerSecond: FLEET_SLOTS * 1_000 / defaultFixtureTimes.tokenMs,
   lagSeconds: 3,
-  farPenaltyRequests: FAR_PENALTY_REQUESTS,
+  crossRegionPenaltyRequests: FAR_PENALTY_REQUESTS,
 });
 
 /**
--- a/src/measure/flood.ts
+++ b/src/measure/flood.ts
@@ -30,7 +30,7 @@
 const FLEET_RATE = FLEET_SLOTS / 1.76;
 
 /** The other teams together use so much of the fleet, well below their share. */
-const OTHERS_USE = 0.6;
+const BACKGROUND_UTILISATION = 0.6;
 
 /** The flooding team's callers give up after this; the others wait longer. */
 const FLOOD_TIMEOUT_MS = 2_000;
@@ -41,7 +41,7 @@
  * then waits until the others have had as much. Unfair would be a wait that
  * grows with the flood.
  */
-const MAX_WAIT_IN_LARGEST = 2;
+const MAX_EXTRA_WAIT_IN_LARGEST_REQUESTS = 2;
 
 interface Result {
   readonly longestMs: number;
@@ -51,8 +51,8 @@
 
 /** Runs the scenario with the router's decisions and with each baseline. */
 export function measureFlood(options: ScenarioOptions): Report {
-  const calm = run(options, createRouterPolicy, false);
-  const flooded = run(options, createRouterPolicy, true);
+  const withoutFlood = run(options, createRouterPolicy, false);
+  const withFlood = run(options, createRouterPolicy, true);
   const others = mapValues(baselines, (policy) => run(options, policy, true));
   return {
     scenario: "flood",
@@ -60,27 +60,28 @@
     figures: [
       {
         name: "small_team_longest_wait_ms",
-        value: flooded.longestMs,
+        value: withFlood.longestMs,
         baselines: {
-          withoutFlood: calm.longestMs,
+          withoutFlood: withoutFlood.longestMs,
           ...mapValues(others, (result) => result.longestMs),
         },
         bound: {
           kind: "at-most",
-          value: calm.longestMs + MAX_WAIT_IN_LARGEST * getLargestMs(),
+          value: withoutFlood.longestMs +
+            MAX_EXTRA_WAIT_IN_LARGEST_REQUESTS * getLargestRequestMs(),
         },
       },
       {
         name: "small_team_p99_wait_ms",
-        value: flooded.p99Ms,
+        value: withFlood.p99Ms,
         baselines: {
-          withoutFlood: calm.p99Ms,
+          withoutFlood: withoutFlood.p99Ms,
           ...mapValues(others, (result) => result.p99Ms),
         },
       },
       {
         name: "small_team_unanswered_requests",
-        value: flooded.unanswered,
+        value: withFlood.unanswered,
         baselines: mapValues(others, (result) => result.unanswered),
         bound: { kind: "at-most", value: 0 },
       },
@@ -89,7 +90,7 @@
 }
 
 /** Time in which a share of weight one serves the largest request. */
-function getLargestMs(): number {
+function getLargestRequestMs(): number {
   const totalWeight = TEAM_WEIGHTS.reduce((sum, each) => sum + each, 0);
   const tokensPerMs = FLEET_SLOTS / defaultFixtureTimes.tokenMs;
   return LARGEST_COST * totalWeight / tokensPerMs;
@@ -102,25 +103,28 @@
 ): Result {
   const random = createRandom(seed);
   const fixture = createReferenceFleet({ seed, hosts, createPolicy });
-  sendOthers(fixture, random);
+  sendBackgroundLoad(fixture, random);
   if (isFlooded) sendFlood(fixture, random);
   fixture.scheduler.runUntil(END_MS + 30_000);
-  const small = fixture.getRequests().filter((each) => each.team !== "team-1");
-  const waits = small.flatMap((each) =>
+  const smallTeamRequests = fixture.getRequests().filter((each) =>
+    each.team !== "team-1"
+  );
+  const waits = smallTeamRequests.flatMap((each) =>
     each.startedMs === undefined ? [] : [each.startedMs - each.arrivedMs]
   ).sort((a, b) => a - b);
   return {
     longestMs: waits.at(-1)!,
     p99Ms: waits[Math.floor(waits.length * 0.99)]!,
-    unanswered: small.filter((each) => each.state !== "answered").length,
+    unanswered:
+      smallTeamRequests.filter((each) => each.state !== "answered").length,
   };
 }
 
-function sendOthers(fixture: FleetFixture, random: Random): void {
+function sendBackgroundLoad(fixture: FleetFixture, random: Random): void {
   const [, ...others] = fixture.deployment.teams;
   const weight = others.reduce((sum, team) => sum + team.weight, 0);
   for (const team of others) {
-    const rate = FLEET_RATE * OTHERS_USE * team.weight / weight;
+    const rate = FLEET_RATE * BACKGROUND_UTILISATION * team.weight / weight;
     sendAtRate(fixture, {
       team: team.id,
       pickHost: () => pickHost(fixture, random),
--- a/src/measure/gap.ts
+++ b/src/measure/gap.ts
@@ -55,7 +55,7 @@
   /** Longest time until a charge is known to every owner. */
   readonly lagSeconds: number;
   /** How far the other region must be behind, in largest requests. */
-  readonly farPenaltyRequests: number;
+  readonly crossRegionPenaltyRequests: number;
 }
 
 /**
@@ -67,11 +67,11 @@
   const { weights, largestCost, slots, servicePerSecond } = input;
   const totalWeight = weights.reduce((sum, each) => sum + each, 0);
   const largest = largestCost / Math.min(...weights);
-  const penalty = input.farPenaltyRequests * largest;
+  const penalty = input.crossRegionPenaltyRequests * largest;
   const lag = input.lagSeconds * servicePerSecond / totalWeight;
   const inFlight = Math.max(...weights.map((weight) => {
-    const share = Math.ceil(slots * weight / totalWeight) + 1;
-    return share * largestCost / weight;
+    const slotShare = Math.ceil(slots * weight / totalWeight) + 1;
+    return slotShare * largestCost / weight;
   }));
   return 2 * (penalty + lag + 2 * inFlight + largest);
 }
--- a/src/testing/measure_fairness.ts
+++ b/src/testing/measure_fairness.ts
@@ -158,7 +158,7 @@
     slots,
     servicePerSecond: tokens / ranSeconds,
     lagSeconds: LAG_SECONDS,
-    farPenaltyRequests: FAR_PENALTY_REQUESTS,
+    crossRegionPenaltyRequests: FAR_PENALTY_REQUESTS,
   });
   return {
     seconds: Math.round(ranSeconds),
