--- a/src/measure/admitted_load.ts
+++ b/src/measure/admitted_load.ts
@@ -21,7 +21,7 @@
 import { pickMixedCost, SERVICE } from "./workload.ts";
 
 /** How a call ended for its caller. */
-export interface CallEnd {
+export interface CallOutcome {
   readonly arrivedMs: number;
   readonly endedMs: number;
   readonly deadlineMs: number;
@@ -41,9 +41,9 @@
 /** Callers and hosts. */
 export interface AdmittedLoad {
   send(call: Call): void;
-  getEnds(): readonly CallEnd[];
+  getOutcomes(): readonly CallOutcome[];
   /** Most requests, and bytes of them, that waited at one host at once. */
-  getMostWaiting(): { readonly requests: number; readonly bytes: number };
+  getPeakWaiting(): { readonly requests: number; readonly bytes: number };
 }
 
 /** What a load is made from. */
@@ -51,32 +51,32 @@
   readonly random: Random;
   readonly bodyBytes: number;
   /** False: all are let in and wait until their deadlines. */
-  readonly refuses: boolean;
+  readonly refusesCalls: boolean;
 }
 
 const SWEEP_MS = 200;
-const MAX_RUNS = 3;
+const MAX_ATTEMPTS = 3;
 
 /** Makes the admission of each host of the fixture. */
 export function createAdmittedLoad(
   fixture: FleetFixture,
-  { random, bodyBytes, refuses }: AdmittedLoadOptions,
+  { random, bodyBytes, refusesCalls }: AdmittedLoadOptions,
 ): AdmittedLoad {
   const { scheduler } = fixture;
   const { clock } = scheduler;
-  const ends: CallEnd[] = [];
-  const most = { requests: 0, bytes: 0 };
+  const outcomes: CallOutcome[] = [];
+  const peak = { requests: 0, bytes: 0 };
   const backlogs = new Map<string, Backlog>();
   const budgets = new Map<string, RetryBudget>();
   for (const { id } of fixture.hosts) {
     const backlog = createBacklog({ clock, random });
     backlogs.set(id, backlog);
     budgets.set(id, createRetryBudget(clock));
-    if (refuses) scheduler.every(SWEEP_MS, backlog.sweep);
+    if (refusesCalls) scheduler.every(SWEEP_MS, backlog.sweep);
   }
 
-  function end(call: Call, deadlineMs: number, result: CallEnd["result"]) {
-    ends.push({
+  function end(call: Call, deadlineMs: number, result: CallOutcome["result"]) {
+    outcomes.push({
       arrivedMs: deadlineMs - call.timeoutMs,
       endedMs: clock.monotonicMs(),
       deadlineMs,
@@ -86,13 +86,13 @@
     });
   }
 
-  function noteMost(backlog: Backlog): void {
+  function recordPeak(backlog: Backlog): void {
     const use = backlog.getUse();
-    most.requests = Math.max(most.requests, use.requests);
-    most.bytes = Math.max(most.bytes, use.bytes);
+    peak.requests = Math.max(peak.requests, use.requests);
+    peak.bytes = Math.max(peak.bytes, use.bytes);
   }
 
-  function wait(call: Call, deadlineMs: number, runs: number): void {
+  function startAttempt(call: Call, deadlineMs: number, attempt: number): void {
     const backlog = backlogs.get(call.host.id)!;
     const timeoutMs = deadlineMs - clock.monotonicMs();
     const req = call.host.submit({
@@ -101,7 +101,7 @@
       cost: call.cost,
       timeoutMs,
       onStart: (started) => backlog.leave(started, "started"),
-      onEnd: (ended) => endRun(call, ended, { deadlineMs, runs }),
+      onEnd: (ended) => endAttempt(call, ended, { deadlineMs, attempt }),
     });
     if (req.state !== "waiting") return;
     backlog.enter(req, bodyBytes, () => {
@@ -109,13 +109,13 @@
       req.state = "cancelled";
       end(call, deadlineMs, "given-up");
     });
-    noteMost(backlog);
+    recordPeak(backlog);
   }
 
-  function endRun(
+  function endAttempt(
     call: Call,
     req: FixtureRequest,
-    { deadlineMs, runs }: { deadlineMs: number; runs: number },
+    { deadlineMs, attempt }: { deadlineMs: number; attempt: number },
   ): void {
     const budget = budgets.get(call.host.id)!;
     const backlog = backlogs.get(call.host.id)!;
@@ -129,10 +129,10 @@
       backlog.leave(req, "gave-up");
       end(call, deadlineMs, "timed-out");
     } else if (
-      runs < MAX_RUNS && clock.monotonicMs() < deadlineMs &&
+      attempt < MAX_ATTEMPTS && clock.monotonicMs() < deadlineMs &&
       budget.tryTake(call.team, SERVICE)
     ) {
-      wait(call, deadlineMs, runs + 1);
+      startAttempt(call, deadlineMs, attempt + 1);
     } else {
       end(call, deadlineMs, "failed");
     }
@@ -160,14 +160,14 @@
         maxQueued: team.maxQueued,
         isDraining: false,
       });
-      if (refuses && decision.kind === "refused") {
+      if (refusesCalls && decision.kind === "refused") {
         end(call, deadlineMs, "refused");
       } else {
-        wait(call, deadlineMs, 1);
+        startAttempt(call, deadlineMs, 1);
       }
     },
-    getEnds: () => ends,
-    getMostWaiting: () => most,
+    getOutcomes: () => outcomes,
+    getPeakWaiting: () => peak,
   };
 }
 
@@ -176,7 +176,7 @@
   load: AdmittedLoad,
   window: { readonly fromMs: number; readonly toMs: number },
 ): number {
-  const tokens = load.getEnds()
+  const tokens = load.getOutcomes()
     .filter((end) => end.result === "answered" && end.endedMs <= end.deadlineMs)
     .filter((end) => end.endedMs >= window.fromMs && end.endedMs < window.toMs)
     .reduce((sum, end) => sum + end.cost, 0);
--- a/src/measure/saturation.ts
+++ b/src/measure/saturation.ts
@@ -28,19 +28,20 @@
 
 /** Runs one and two times the capacity, with and without refusals. */
 export function measureSaturation(options: ScenarioOptions): Report {
-  const single = runLoad(options, 1, true);
-  const double = runLoad(options, 2, true);
-  const unrefused = runLoad(options, 2, false);
-  const base = getGoodput(single, WINDOW);
-  const ratio = (load: AdmittedLoad) => getGoodput(load, WINDOW) / base;
+  const singleLoad = runLoad(options, 1, true);
+  const doubleLoad = runLoad(options, 2, true);
+  const withoutRefusals = runLoad(options, 2, false);
+  const base = getGoodput(singleLoad, WINDOW);
+  const getGoodputRatio = (load: AdmittedLoad) =>
+    getGoodput(load, WINDOW) / base;
   return {
     scenario: "saturation",
     ...options,
     figures: [
       {
         name: "goodput_at_2x_to_1x_ratio",
-        value: ratio(double),
-        baselines: { withoutRefusals: ratio(unrefused) },
+        value: getGoodputRatio(doubleLoad),
+        baselines: { withoutRefusals: getGoodputRatio(withoutRefusals) },
         bound: { kind: "at-least", value: 0.95 },
       },
       {
@@ -50,26 +51,30 @@
       },
       {
         name: "not_run_told_at_once_share",
-        value: getAtOnceShare(double),
-        baselines: { withoutRefusals: getAtOnceShare(unrefused) },
+        value: getImmediateRefusalShare(doubleLoad),
+        baselines: {
+          withoutRefusals: getImmediateRefusalShare(withoutRefusals),
+        },
         bound: { kind: "at-least", value: 0.9 },
       },
       {
         name: "admitted_answered_in_time_share",
-        value: getInTimeShare(double),
-        baselines: { withoutRefusals: getInTimeShare(unrefused) },
+        value: getInTimeShare(doubleLoad),
+        baselines: { withoutRefusals: getInTimeShare(withoutRefusals) },
         bound: { kind: "at-least", value: 0.9 },
       },
       {
         name: "most_waiting_at_a_host",
-        value: double.getMostWaiting().requests,
-        baselines: { withoutRefusals: unrefused.getMostWaiting().requests },
+        value: doubleLoad.getPeakWaiting().requests,
+        baselines: {
+          withoutRefusals: withoutRefusals.getPeakWaiting().requests,
+        },
         bound: { kind: "at-most", value: HOST_QUEUE_LIMIT.requests },
       },
       {
         name: "most_waiting_at_a_host_bytes",
-        value: double.getMostWaiting().bytes,
-        baselines: { withoutRefusals: unrefused.getMostWaiting().bytes },
+        value: doubleLoad.getPeakWaiting().bytes,
+        baselines: { withoutRefusals: withoutRefusals.getPeakWaiting().bytes },
         bound: { kind: "at-most", value: HOST_QUEUE_LIMIT.bytes },
       },
     ],
@@ -79,7 +84,7 @@
 function runLoad(
   { seed, hosts }: ScenarioOptions,
   factor: number,
-  refuses: boolean,
+  refusesCalls: boolean,
 ): AdmittedLoad {
   const random = createRandom(seed);
   const fixture = createReferenceFleet({
@@ -90,7 +95,7 @@
   const load = createAdmittedLoad(fixture, {
     random,
     bodyBytes: BODY_BYTES,
-    refuses,
+    refusesCalls,
   });
   sendByWeight(load, fixture, {
     perSecond: factor * CAPACITY_PER_S,
@@ -102,17 +107,17 @@
 }
 
 /** Of the calls that did not run, those that were told so on arrival. */
-function getAtOnceShare(load: AdmittedLoad): number {
-  const notRun = load.getEnds().filter((end) =>
+function getImmediateRefusalShare(load: AdmittedLoad): number {
+  const notRun = load.getOutcomes().filter((end) =>
     end.result !== "answered" && end.arrivedMs >= WINDOW.fromMs
   );
-  const atOnce = notRun.filter((end) => end.result === "refused");
-  return notRun.length === 0 ? 1 : atOnce.length / notRun.length;
+  const refused = notRun.filter((end) => end.result === "refused");
+  return notRun.length === 0 ? 1 : refused.length / notRun.length;
 }
 
 /** Of the calls that were let in and have ended, those answered in time. */
 function getInTimeShare(load: AdmittedLoad): number {
-  const admitted = load.getEnds().filter((end) =>
+  const admitted = load.getOutcomes().filter((end) =>
     end.result !== "refused" && end.arrivedMs >= WINDOW.fromMs
   );
   const inTime = admitted.filter((end) =>
--- a/src/measure/slow_upstream.ts
+++ b/src/measure/slow_upstream.ts
@@ -125,7 +125,7 @@
   const load = createAdmittedLoad(fixture, {
     random,
     bodyBytes: 20_000,
-    refuses: true,
+    refusesCalls: true,
   });
   const { scheduler } = fixture;
   sendByWeight(load, fixture, {
@@ -168,7 +168,7 @@
   fromMs: number,
   toMs: number,
 ): number {
-  const calls = load.getEnds().filter((end) =>
+  const calls = load.getOutcomes().filter((end) =>
     end.arrivedMs >= fromMs && end.arrivedMs < toMs
   );
   const inTime = calls.filter((end) =>
@@ -184,7 +184,7 @@
   toMs: number,
 ): number {
   const { firstTokenMs, tokenMs } = defaultFixtureTimes;
-  const ratios = load.getEnds()
+  const ratios = load.getOutcomes()
     .filter((end) => end.result === "answered")
     .filter((end) => end.arrivedMs >= fromMs && end.arrivedMs < toMs)
     .map((end) =>
