--- a/src/measure/scale.ts
+++ b/src/measure/scale.ts
@@ -30,16 +30,16 @@
 import type { Figure, Report } from "./report.ts";
 
 const SIZES = [9, 48, 130, 390];
-const GOAL_UPSTREAMS = 600;
-const GOAL_DATA_CENTRES = 6;
-const LOSS = 0.01;
-const QUIET_MS = 30_000;
+const TARGET_UPSTREAMS = 600;
+const TARGET_DATA_CENTRES = 6;
+const DATAGRAM_LOSS = 0.01;
+const IDLE_MS = 30_000;
 const HEADER_BYTES = 28;
 
 /** Budget of all control of a daemon, of which membership is a part. */
-const BUDGET_BYTES_PER_S = 3_000;
-const BUDGET_CORE_PERCENT = 2.3;
-const MAX_DETECTION_MS = 10_000;
+const MAX_BYTES_PER_S = 3_000;
+const MAX_CORE_PERCENT = 2.3;
+const MAX_PROPAGATION_MS = 10_000;
 
 interface Cost {
   readonly bytesPerS: number;
@@ -55,11 +55,11 @@
     const fixture = createMembershipFixture({
       hosts: size,
       seed,
-      loss: LOSS,
+      loss: DATAGRAM_LOSS,
       encodesDatagrams: true,
     });
-    const cost = measureQuiet(fixture);
-    const mesh = measureMesh(size);
+    const cost = measureIdle(fixture);
+    const fullMesh = measureFullMesh(size);
     const heapBytes = measureHeap(size);
     heap.push([size, heapBytes]);
     bytes.push([size, cost.bytesPerS]);
@@ -67,14 +67,14 @@
       {
         name: `bytes_per_s_sent_by_a_host_of_${size}`,
         value: cost.bytesPerS,
-        baselines: { fullMesh: mesh.bytesPerS },
-        bound: { kind: "at-most", value: BUDGET_BYTES_PER_S },
+        baselines: { fullMesh: fullMesh.bytesPerS },
+        bound: { kind: "at-most", value: MAX_BYTES_PER_S },
       },
       {
         name: `core_percent_of_a_host_of_${size}`,
         value: cost.corePercent,
-        baselines: { fullMesh: mesh.corePercent },
-        bound: { kind: "at-most", value: BUDGET_CORE_PERCENT },
+        baselines: { fullMesh: fullMesh.corePercent },
+        bound: { kind: "at-most", value: MAX_CORE_PERCENT },
       },
       {
         name: `heap_kb_of_members_of_${size}`,
@@ -85,17 +85,17 @@
         name: `death_known_everywhere_of_${size}_ms`,
         value: measureDetection(fixture),
         baselines: {},
-        bound: { kind: "at-most", value: MAX_DETECTION_MS },
+        bound: { kind: "at-most", value: MAX_PROPAGATION_MS },
       },
       {
         name: `fact_known_everywhere_of_${size}_ms`,
-        value: measureFact(fixture),
+        value: measureFactPropagation(fixture),
         baselines: {},
-        bound: { kind: "at-most", value: MAX_DETECTION_MS },
+        bound: { kind: "at-most", value: MAX_PROPAGATION_MS },
       },
       {
         name: `owners_of_all_upstreams_of_${size}_ms`,
-        value: measureOwners(size),
+        value: measureOwnerSelection(size),
         baselines: {},
       },
     );
@@ -113,14 +113,14 @@
 }
 
 /** Half a minute in which nothing happens but loss. */
-function measureQuiet(fixture: MembershipFixture): Cost {
+function measureIdle(fixture: MembershipFixture): Cost {
   const { scheduler, names } = fixture;
   const before = fixture.getTraffic();
   const cpu = process.cpuUsage();
-  scheduler.runUntil(scheduler.clock.monotonicMs() + QUIET_MS);
+  scheduler.runUntil(scheduler.clock.monotonicMs() + IDLE_MS);
   const { user, system } = process.cpuUsage(cpu);
   const sent = fixture.getTraffic().bytes - before.bytes;
-  const hostSeconds = names.length * QUIET_MS / 1000;
+  const hostSeconds = names.length * IDLE_MS / 1000;
   return {
     bytesPerS: sent / hostSeconds,
     corePercent: (user + system) / 1e6 / hostSeconds * 100,
@@ -128,7 +128,7 @@
 }
 
 /** One second of one host that tells all others, and hears all others. */
-function measureMesh(size: number): Cost {
+function measureFullMesh(size: number): Cost {
   const codec = createDatagramCodec("secret-of-the-measured-fleet");
   const message: MembershipMessage = {
     from: "entry-100",
@@ -165,7 +165,7 @@
     incarnation: 1_764_000_000_000 + at,
     revision: 1,
     state: "alive",
-    dataCentre: `lagos-dc-${at % GOAL_DATA_CENTRES + 1}`,
+    dataCentre: `lagos-dc-${at % TARGET_DATA_CENTRES + 1}`,
     peerAddress: `10.20.${at >> 8}.${at & 255}:21051`,
     publicAddress: `10.20.${at >> 8}.${at & 255}:21001`,
   };
@@ -178,7 +178,7 @@
   const copies = Math.ceil(20_000 / size);
   collect();
   const before = process.memoryUsage().heapUsed;
-  const kept = Array.from({ length: copies }, () => {
+  const memberships = Array.from({ length: copies }, () => {
     const membership = createMembership(createMember(0), {
       clock: createManualClock(),
       random: Math.random,
@@ -194,7 +194,7 @@
   });
   collect();
   const used = process.memoryUsage().heapUsed - before;
-  return kept.length === copies ? used / copies : 0;
+  return memberships.length === copies ? used / copies : 0;
 }
 
 /** Longest of three deaths, until every other host knows. */
@@ -204,8 +204,12 @@
   for (const name of names.slice(0, 3)) {
     const startMs = scheduler.clock.monotonicMs();
     fixture.kill(name);
-    const live = () => fixture.countHostsSeeing(name, ["alive", "suspect"]);
-    while (live() > 0 && scheduler.clock.monotonicMs() - startMs < 60_000) {
+    const countHostsUnaware = () =>
+      fixture.countHostsSeeing(name, ["alive", "suspect"]);
+    while (
+      countHostsUnaware() > 0 &&
+      scheduler.clock.monotonicMs() - startMs < 60_000
+    ) {
       scheduler.runUntil(scheduler.clock.monotonicMs() + 100);
     }
     longestMs = Math.max(longestMs, scheduler.clock.monotonicMs() - startMs);
@@ -214,7 +218,7 @@
 }
 
 /** Until every live host has a fact that one host spreads. */
-function measureFact(fixture: MembershipFixture): number {
+function measureFactPropagation(fixture: MembershipFixture): number {
   const { scheduler, names } = fixture;
   const startMs = scheduler.clock.monotonicMs();
   fixture.get(names.at(-1)!).spreadFact({ key: "a", version: 1, value: "x" });
@@ -229,10 +233,10 @@
 }
 
 /** Time to pick the owner of every upstream anew, after a change of member. */
-function measureOwners(size: number): number {
-  const count = Math.max(1, Math.round(size / GOAL_DATA_CENTRES));
+function measureOwnerSelection(size: number): number {
+  const count = Math.max(1, Math.round(size / TARGET_DATA_CENTRES));
   const hosts = Array.from({ length: count }, (_, at) => `entry-${at}`);
-  const upstreams = Math.round(GOAL_UPSTREAMS * size / 390);
+  const upstreams = Math.round(TARGET_UPSTREAMS * size / 390);
   const rounds = 20;
   const cpu = process.cpuUsage();
   for (let round = 0; round < rounds; round++) {
--- a/src/measure/slow_upstream.ts
+++ b/src/measure/slow_upstream.ts
@@ -32,21 +32,21 @@
 const STALL_TIMEOUT_MS = 5_000;
 
 /** Its 12 slots, in case it stalls at its full limit, and five probes. */
-const MAX_TAKEN = 17;
+const MAX_STARTS_WHILE_STALLED = 17;
 
 interface Run {
   readonly load: AdmittedLoad;
   readonly fixture: FleetFixture;
   /** Requests that the engine took while it was stalled. */
-  readonly takenByStalled: number;
+  readonly startsWhileStalled: number;
   /** Share of the engine's slots in use after it recovered. */
-  readonly useAfterRecovery: number;
+  readonly utilisationAfterRecovery: number;
 }
 
 /** Runs the course with the adaptive limit and with a static one. */
 export function measureSlowUpstream(options: ScenarioOptions): Report {
-  const ours = runCourse(options, createRouterPolicy);
-  const fixed = runCourse(options, createStatic);
+  const ours = runCase(options, createRouterPolicy);
+  const staticLimit = runCase(options, createStaticLimitPolicy);
   const figure = (
     name: string,
     get: (run: Run) => number,
@@ -54,7 +54,7 @@
   ) => ({
     name,
     value: get(ours),
-    baselines: { staticLimit: get(fixed) },
+    baselines: { staticLimit: get(staticLimit) },
     bound,
   });
   return {
@@ -85,12 +85,12 @@
       ),
       figure(
         "requests_taken_by_stalled_engine",
-        (run) => run.takenByStalled,
-        { kind: "at-most", value: MAX_TAKEN },
+        (run) => run.startsWhileStalled,
+        { kind: "at-most", value: MAX_STARTS_WHILE_STALLED },
       ),
       figure(
         "use_of_engine_after_recovery_share",
-        (run) => run.useAfterRecovery,
+        (run) => run.utilisationAfterRecovery,
         { kind: "at-least", value: 0.5 },
       ),
     ],
@@ -98,7 +98,7 @@
 }
 
 /** The slots of the configuration, whatever happens. */
-const createStatic: CreatePolicy = () => ({
+const createStaticLimitPolicy: CreatePolicy = () => ({
   ...createRouterPolicy(),
   createLimit: ({ maxSlots }): AdaptiveLimit => ({
     get: () => maxSlots,
@@ -111,7 +111,7 @@
   }),
 });
 
-function runCourse(
+function runCase(
   { seed, hosts }: ScenarioOptions,
   createPolicy: CreatePolicy,
 ): Run {
@@ -139,7 +139,7 @@
   scheduler.runUntil(STALL_MS);
   engine.setStalled(true);
   scheduler.runUntil(RECOVER_MS);
-  const takenByStalled = countStarts(fixture, STALL_MS, RECOVER_MS);
+  const startsWhileStalled = countStarts(fixture, STALL_MS, RECOVER_MS);
   engine.setSlowFactor(1);
   engine.setStalled(false);
   scheduler.runUntil(RECOVERED_MS);
@@ -147,8 +147,8 @@
   scheduler.runUntil(END_MS);
   const slots = fixture.deployment.upstreams[0]!.maxSlots;
   const usedMs = engine.getBusyMs() - busyMs;
-  const useAfterRecovery = usedMs / slots / (END_MS - RECOVERED_MS);
-  return { load, fixture, takenByStalled, useAfterRecovery };
+  const utilisationAfterRecovery = usedMs / slots / (END_MS - RECOVERED_MS);
+  return { load, fixture, startsWhileStalled, utilisationAfterRecovery };
 }
 
 function countStarts(
--- a/src/measure/utilisation.ts
+++ b/src/measure/utilisation.ts
@@ -25,20 +25,20 @@
 const END_MS = 70_000;
 
 /** Half of what the slots serve, all of it at one host of each region. */
-const LIGHT_RATE = FLEET_SLOTS / 1.76 / 2;
+const HALF_LOAD_RATE = FLEET_SLOTS / 1.76 / 2;
 
 /**
  * After 200 ms each of the region's four owners has been asked; a message takes up to
  * 1.5 ms and a flush up to 5 ms on each side, and an owner that recalls a kept
  * slot needs a second round trip.
  */
-const MAX_FREE_WAIT_MS = 250;
+const MAX_WAIT_AT_HALF_LOAD_MS = 250;
 
 /** Runs the scenario with the router's decisions and with each baseline. */
 export function measureUtilisation(options: ScenarioOptions): Report {
   const others = mapValues(
     baselines,
-    (policy) => measureUse(options, policy),
+    (policy) => measureUtilisationRatio(options, policy),
   );
   return {
     scenario: "utilisation",
@@ -46,18 +46,18 @@
     figures: [
       {
         name: "use_while_work_waits_ratio",
-        value: measureUse(options, createRouterPolicy),
+        value: measureUtilisationRatio(options, createRouterPolicy),
         baselines: others,
         bound: { kind: "at-least", value: 0.98 },
       },
       {
         name: "longest_wait_at_half_load_ms",
-        value: measureLightWait(options, createRouterPolicy),
+        value: measureLongestWaitAtHalfLoad(options, createRouterPolicy),
         baselines: mapValues(
           baselines,
-          (policy) => measureLightWait(options, policy),
+          (policy) => measureLongestWaitAtHalfLoad(options, policy),
         ),
-        bound: { kind: "at-most", value: MAX_FREE_WAIT_MS },
+        bound: { kind: "at-most", value: MAX_WAIT_AT_HALF_LOAD_MS },
       },
     ],
   };
@@ -70,7 +70,7 @@
   );
 }
 
-function measureUse(
+function measureUtilisationRatio(
   { seed, hosts }: ScenarioOptions,
   createPolicy: CreatePolicy,
 ): number {
@@ -88,7 +88,7 @@
 }
 
 /** Each region has room throughout, so a wait is the time to find a slot. */
-function measureLightWait(
+function measureLongestWaitAtHalfLoad(
   { seed, hosts }: ScenarioOptions,
   createPolicy: CreatePolicy,
 ): number {
@@ -100,7 +100,7 @@
       pickHost: () => fixture.hosts[random() < 0.5 ? 0 : 1]!,
       pickCost: () => pickMixedCost(random),
     }, {
-      perSecond: LIGHT_RATE / fixture.deployment.teams.length,
+      perSecond: HALF_LOAD_RATE / fixture.deployment.teams.length,
       untilMs: END_MS,
       random,
     });
