--- a/src/measure/admitted_load.ts
+++ b/src/measure/admitted_load.ts
@@ -1,6 +1,6 @@
 /**
- * Callers in front of the fleet's fixture with the real admission, backlog and
- * retry budget of each host, as the router joins them.
+ * Callers of the fleet fixture. Each host has the real admission, backlog and
+ * retry budget, connected as in the router.
  *
  * @module
  */
@@ -20,7 +20,7 @@
 import type { Random } from "./random.ts";
 import { pickMixedCost, SERVICE } from "./workload.ts";
 
-/** How a call ended for its caller. */
+/** Outcome of a call for its caller. */
 export interface CallOutcome {
   readonly arrivedMs: number;
   readonly endedMs: number;
@@ -30,7 +30,7 @@
   readonly result: "answered" | "refused" | "given-up" | "timed-out" | "failed";
 }
 
-/** A call of a team at a host. */
+/** A call of a team through a host. */
 export interface Call {
   readonly team: string;
   readonly host: FixtureHost;
@@ -38,26 +38,28 @@
   readonly timeoutMs: number;
 }
 
-/** Callers and hosts. */
+/** Sends calls through the hosts' admission and records their outcomes. */
 export interface AdmittedLoad {
   send(call: Call): void;
   getOutcomes(): readonly CallOutcome[];
-  /** Most requests, and bytes of them, that waited at one host at once. */
+  /**
+   * Largest number of requests, and of their bytes, that waited at one host.
+   */
   getPeakWaiting(): { readonly requests: number; readonly bytes: number };
 }
 
-/** What a load is made from. */
+/** Options of the callers. */
 export interface AdmittedLoadOptions {
   readonly random: Random;
   readonly bodyBytes: number;
-  /** False: all are let in and wait until their deadlines. */
+  /** If false, every call is admitted and waits until its deadline. */
   readonly refusesCalls: boolean;
 }
 
 const SWEEP_MS = 200;
 const MAX_ATTEMPTS = 3;
 
-/** Makes the admission of each host of the fixture. */
+/** Creates the admission of each host of the fixture. */
 export function createAdmittedLoad(
   fixture: FleetFixture,
   { random, bodyBytes, refusesCalls }: AdmittedLoadOptions,
@@ -171,7 +173,10 @@
   };
 }
 
-/** Tokens a second of answers that came in time, of calls in the window. */
+/**
+ * Returns the tokens per second of the answers that ended in the window and
+ * before their deadlines.
+ */
 export function getGoodput(
   load: AdmittedLoad,
   window: { readonly fromMs: number; readonly toMs: number },
@@ -184,8 +189,8 @@
 }
 
 /**
- * Lets every team send at its share of the rate by weight, at random times and
- * through the few hosts that its callers use.
+ * Sends calls of every team as a Poisson process, at the team's share of the
+ * total rate by weight and through the few hosts that its callers use.
  */
 export function sendByWeight(
   load: AdmittedLoad,
--- a/src/measure/baselines.ts
+++ b/src/measure/baselines.ts
@@ -1,7 +1,7 @@
 /**
- * What the router's decisions are measured against, as policies for the same
- * fixture. Each is given the best it could have: a baseline that needs facts
- * from other hosts gets them at once and free of charge.
+ * Policies that the router's decisions are compared with, run on the same
+ * fixture. Each baseline works under ideal conditions: facts that it needs from
+ * other hosts are available immediately and cost no traffic.
  *
  * @module
  */
@@ -19,30 +19,30 @@
 import type { ServiceCounters } from "../fairness/mod.ts";
 import type { GrantTarget, PickInput } from "../slots/mod.ts";
 
-/** What a policy may know of the whole fixture. */
+/** Fleet-wide facts that a baseline may use. */
 export interface FleetState {
-  /** Arrival of the oldest request of the team that waits at the host. */
+  /** Arrival time of the team's oldest request that waits at the host. */
   tryGetOldestMs(host: string, team: string): number | undefined;
-  /** Service that the team got by way of the host, divided by its weight. */
+  /** Service that the team received through the host, divided by its weight. */
   getHostService(host: string, team: string): number;
 }
 
-/** Makes a policy for the fixture's world. */
+/** Creates a policy for a fixture. */
 export type CreatePolicy = (fleetState: FleetState) => FleetPolicy;
 
-/** The baselines by the names that reports use. */
+/** The baselines, by their names in reports. */
 export const baselines: Readonly<Record<string, CreatePolicy>> = {
   firstCome: createFirstComeFirstServed,
   hostAlone: createRoundRobinOverHosts,
   broadcast: createBroadcast,
 };
 
-/** The decisions as the router runs them. */
+/** Creates the policy that the router uses. */
 export function createRouterPolicy(): FleetPolicy {
   return defaultFleetPolicy;
 }
 
-/** First come, first served, over all hosts and teams. */
+/** Grants slots first come, first served over all hosts and teams. */
 function createFirstComeFirstServed(fleetState: FleetState): FleetPolicy {
   return {
     ...defaultFleetPolicy,
@@ -56,7 +56,10 @@
   };
 }
 
-/** Hosts take turns, and each is fair among its own teams alone. */
+/**
+ * Grants slots to hosts round robin; each host is fair only among its own
+ * teams.
+ */
 function createRoundRobinOverHosts(fleetState: FleetState): FleetPolicy {
   const lastGrant = new Map<string, number>();
   let grants = 0;
@@ -81,7 +84,7 @@
   };
 }
 
-/** Every host tells its own sums to every other host. */
+/** Every host sends the service of its teams to every other host. */
 function createBroadcast(): FleetPolicy {
   return { ...defaultFleetPolicy, createExchange: createBroadcastExchange };
 }
--- a/src/measure/config_spread.ts
+++ b/src/measure/config_spread.ts
@@ -1,11 +1,13 @@
 /**
- * How long an accepted configuration takes to be in force at every host, by the
- * real membership and watcher in virtual time: datagrams with the latencies of
- * the brief and 1% loss, files fetched from the peer that named the version.
+ * Scenario `config-spread`: measures how long an accepted configuration takes
+ * until it is in force at every host. It runs the real membership and
+ * configuration watcher in virtual time. Datagrams have the latencies of a
+ * deployment and 1% loss; files are fetched from the peer that announced the
+ * version.
  *
- * Changes come as on a busy day, 1,100 of them, with idle time cut to 15 s. In
- * every second round the acceptor dies right after the store took the version,
- * so that only the polls can find it; hosts then lose one of their number.
+ * Changes arrive at the rate of a busy day, 1,100 a day, with idle times of at
+ * most 15 s. In every second round the acceptor dies right after the store has
+ * accepted the version, so that only the hosts' polls of the store can find it.
  *
  * @module
  */
@@ -48,15 +50,17 @@
 const CROSS_REGION_DELAY_MS = 20;
 const DATAGRAM_LOSS = 0.01;
 const DATA_CENTRES = 6;
-/** From the goal: what the files hold. */
+/** Teams and upstreams in the files of a deployment of the target size. */
 const TARGET_TEAMS = 290;
 const TARGET_UPSTREAMS = 600;
+/** Time within which a version must be in force at every host. */
 const TARGET_MS = 7_000;
 
 interface SimulatedHost {
   readonly self: Member;
   readonly membership: Membership;
   readonly watcher: ConfigWatcher;
+  /** Time when a datagram with a version last arrived. */
   lastPeerMs: number;
   isDead: boolean;
 }
@@ -64,7 +68,9 @@
 interface Simulation {
   readonly scheduler: VirtualScheduler;
   readonly hosts: SimulatedHost[];
+  /** Time when the version came into force, by host. */
   readonly inForceMs: Map<string, number>;
+  /** Versions in the store, by number. */
   readonly stored: Map<number, ConfigCopy>;
   storeReads: number;
 }
@@ -93,7 +99,9 @@
   return createReport(options, { simulation, normal, afterDeath });
 }
 
-/** Accepts one version and gives each host's time until it is in force. */
+/**
+ * Accepts one version and returns the time until it is in force, for each host.
+ */
 function measureRollout(
   simulation: Simulation,
   change: { version: number; acceptorDies: boolean; random: () => number },
@@ -205,7 +213,8 @@
       host.lastPeerMs = scheduler.clock.monotonicMs();
       watcher.recordPeerVersion({ version, digest }, from);
       if (!watcher.isOutdated()) return;
-      // Dial, ask and receive: three trips to the peer that named it.
+      // Dial, request and response: three one-way delays to the announcing
+      // peer.
       const peer = simulation.hosts.find((each) => each.self.host === from)!;
       const fetchMs = 3 * getLatencyMs(self, peer.self);
       scheduler.after(fetchMs, () => Effect.runSync(watcher.catchUp()));
@@ -268,7 +277,7 @@
   return { row, files };
 }
 
-/** Files of the goal's size, with keys that compress no better than real. */
+/** Creates files of the target size, with keys that compress like real ones. */
 function createTargetSizeFiles(random: () => number): FileSet {
   const files = createFileSet({
     teams: Object.fromEntries(
--- a/src/measure/contended.ts
+++ b/src/measure/contended.ts
@@ -1,6 +1,6 @@
 /**
- * A fleet in which every team is backlogged: what the scenarios of fairness and
- * of use start from.
+ * The fleet that most scenarios share, without load and with every team
+ * backlogged.
  *
  * @module
  */
@@ -14,17 +14,17 @@
 import { createRandom, type Random } from "./random.ts";
 import { createDeployment, keepBacklogged, pickMixedCost } from "./workload.ts";
 
-/** Weights of today's sixteen teams: a few are large. */
+/** Weights of the sixteen teams: four are large, twelve have weight one. */
 export const TEAM_WEIGHTS = [4, 4, 3, 3, ...Array(12).fill(1) as number[]];
 
-/** Slots of the fleet: 8 engines in 4 data centres of 2 regions. */
+/** Slots of the fleet, on 8 engines in 4 data centres of 2 regions. */
 export const FLEET_SLOTS = 96;
 const FLEET_UPSTREAMS = 8;
 
-/** Largest cost that `pickMixedCost` gives. */
+/** Upper limit of the costs that `pickMixedCost` returns. */
 export const LARGEST_COST = 400;
 
-/** What varies between runs. */
+/** Options that vary a run. */
 export interface ContendedFleetOptions {
   readonly seed: number;
   readonly hosts: number;
@@ -32,7 +32,7 @@
   readonly untilMs: number;
 }
 
-/** A fleet without load. */
+/** Creates the fleet without load. */
 export function createReferenceFleet(
   options: Omit<ContendedFleetOptions, "untilMs"> & { stallTimeoutMs?: number },
 ): FleetFixture {
@@ -51,7 +51,10 @@
   });
 }
 
-/** A fleet whose teams are all backlogged until the time given. */
+/**
+ * Creates the fleet with every team backlogged until `untilMs` of virtual time.
+ * Cost hints are wrong by a factor of ten, upwards or downwards.
+ */
 export function createContendedFleet(
   options: ContendedFleetOptions,
 ): FleetFixture {
@@ -72,7 +75,10 @@
   return fixture;
 }
 
-/** Hosts that a team's callers use, one of them far more often. */
+/**
+ * Picks one to four hosts that a team's callers use. The first stands three
+ * times in the list, so that a random pick prefers it.
+ */
 export function pickEntryHosts(
   hosts: number,
   random: Random,
--- a/src/measure/control_traffic.ts
+++ b/src/measure/control_traffic.ts
@@ -1,7 +1,7 @@
 /**
- * Scenario `control-traffic`: what the hosts say to each other while a tenth of
- * the teams is backlogged and the others send what they always do. With many
- * hosts it runs one of the eleven services of the goal size.
+ * Scenario `control-traffic`: measures the control messages between hosts while
+ * a tenth of the teams are backlogged and the others send their usual load.
+ * From 50 hosts on it runs one of the eleven services of the target size.
  *
  * @module
  */
@@ -31,18 +31,21 @@
   SERVICE,
 } from "./workload.ts";
 
-/** From here on the run stands for one service of the goal size. */
+/**
+ * Number of hosts from which a run represents one service of the target size.
+ */
 const TARGET_SIZE_MIN_HOSTS = 50;
 const TARGET_SERVICES = 11;
+/** Share of the teams that are backlogged. */
 const BACKLOGGED_SHARE = 0.1;
 
-/** The teams that are not backlogged use so much of the fleet. */
+/** Share of the fleet that the other teams use. */
 const BACKGROUND_UTILISATION = 0.6;
 
-/** Mean time of a request in a slot, in seconds, at the mixed costs. */
+/** Mean time that a request with mixed costs uses a slot, in seconds. */
 const MEAN_REQUEST_SECONDS = 1.76;
 
-/** A ping or a pong is a frame of two bytes. */
+/** A ping or a pong is a frame of two bytes, in a packet of its own. */
 const PING_BYTES = PACKET_BYTES + 2;
 
 const TARGET_BYTES_PER_SECOND = 3_000;
@@ -50,22 +53,26 @@
 interface Sizes extends DeploymentSizes {
   readonly warmUpMs: number;
   readonly endMs: number;
-  /** Services of which the run stands for one. */
+  /** Number of services of the deployment, of which the run simulates one. */
   readonly services: number;
 }
 
 interface Result {
   readonly bytesPerRequest: number;
   readonly crossRegionShare: number;
-  /** Frames and their packets, of one service, by the daemon in the mean. */
+  /**
+   * Mean bytes per second of a host for one service, packet headers included.
+   */
   readonly bytesPerHost: number;
-  /** The same of the daemon that sent most. */
+  /** Bytes per second of the host that sent most, for one service. */
   readonly busiestHostBytes: number;
   readonly links: number;
   readonly byKind: ReadonlyMap<string, number>;
 }
 
-/** Runs the scenario, and counters broadcast to all hosts beside it. */
+/**
+ * Runs the scenario with the router's policy and with the broadcast baseline.
+ */
 export function measureControlTraffic(options: ScenarioOptions): Report {
   const sizes = getSizes(options.hosts);
   const ours = run(options, { sizes, createPolicy: createRouterPolicy });
--- a/src/measure/fairness.ts
+++ b/src/measure/fairness.ts
@@ -1,6 +1,8 @@
 /**
- * Scenario `fairness`: every team is backlogged, spread unevenly over the hosts,
- * with unequal weights, costs known only at the end and hints wrong by ten.
+ * Scenario `fairness`: measures the gap between teams while all are backlogged.
+ * The teams have unequal weights and are spread unevenly over the hosts, costs
+ * are known only at the end of a request, and cost hints are wrong by a factor
+ * of ten.
  *
  * @module
  */
@@ -26,7 +28,10 @@
 const END_MS = 130_000;
 const SAMPLE_MS = 250;
 
-/** Three exchanges up and three down, of 500 ms each. */
+/**
+ * Longest time until a charge is known to every owner: three exchanges up the
+ * tree and three down, of 500 ms each.
+ */
 const LAG_SECONDS = 3;
 
 interface Result {
@@ -35,7 +40,7 @@
   readonly servicePerSecond: number;
 }
 
-/** Runs the scenario with the router's decisions and with each baseline. */
+/** Runs the scenario with the router's policy and with each baseline. */
 export function measureFairness(options: ScenarioOptions): Report {
   const ours = run(options, createRouterPolicy);
   const others = mapValues(baselines, (policy) => run(options, policy));
--- a/src/measure/fairness_test.ts
+++ b/src/measure/fairness_test.ts
@@ -1,7 +1,8 @@
 /**
- * The gap between backlogged teams stays under the derived bound: with uneven
- * spread, unequal weights, unknown costs and wrong hints, over a long time, and
- * after the regions were apart. And a request finds a free slot soon.
+ * Tests that the gap between backlogged teams stays within the derived bound,
+ * over time and after a network partition, with unevenly spread callers,
+ * unequal weights, unknown costs and wrong cost hints. Also tests that a
+ * request finds a free slot in time.
  *
  * @module
  */
@@ -34,8 +35,9 @@
 });
 
 /**
- * After a cut the largest spread that is carried on, eight of the largest
- * requests, is worked off at the pace of one team's share, within 18 s.
+ * Time until the gap is within the bound after a partition heals. The largest
+ * difference that the counters keep, eight of the largest requests, is balanced
+ * at the rate of one team's share, which takes at most 18 s.
  */
 const HEALED_MS = 20_000;
 
@@ -60,9 +62,9 @@
   return meter.getGap();
 }
 
-test("the gap of backlogged teams stays under the bound and does not grow", () => {
-  // A firm that competes with another sees it served ahead of itself, a little
-  // further each minute.
+test("the gap of backlogged teams stays within the bound over time", () => {
+  // Guards against a drift of the counters, with which one team gets a little
+  // more service than a competing team in each minute.
   fc.assert(
     fc.property(fc.integer({ min: 1, max: 10_000 }), (seed) => {
       const fixture = createFixture(seed, 60_000);
@@ -75,9 +77,10 @@
   );
 });
 
-test("the gap is back under the bound soon after a cut of any length", () => {
-  // The regions lose each other; when they are one again, the teams of one
-  // region wait until an hour's difference is worked off.
+test("the gap is within the bound 20 s after a partition of any length", () => {
+  // Guards against counters that keep the whole difference of a long partition:
+  // when the partition heals, the teams of one region would wait until, for
+  // example, the difference of an hour is balanced.
   fc.assert(
     fc.property(
       fc.integer({ min: 1, max: 10_000 }),
@@ -99,8 +102,8 @@
 });
 
 test("a request gets the one free slot of its region within 250 ms", () => {
-  // A caller waits although an engine has room, since the owners that its host
-  // asked first have none.
+  // Guards against a caller that waits although an engine has a free slot,
+  // because the owners that its host asks first have none.
   fc.assert(
     fc.property(
       fc.integer({ min: 1, max: 10_000 }),
--- a/src/measure/fake_upstream.ts
+++ b/src/measure/fake_upstream.ts
@@ -1,23 +1,25 @@
 /**
- * A fake upstream in virtual time: each request in it gets tokens at one rate,
- * whatever the number of others, up to its batch; above that all slow down. It
- * can be made slow, be stalled or fail.
+ * A fake upstream in virtual time. Each request generates tokens at a fixed
+ * rate that does not depend on the number of concurrent requests. The upstream
+ * can be made slow, stalled or failing.
  *
  * @module
  */
 
 import type { VirtualScheduler } from "./virtual_scheduler.ts";
 
-/** Times of a fake upstream in milliseconds. */
+/** Scheduler and times of a fake upstream; times in milliseconds. */
 export interface FakeUpstreamOptions {
   readonly scheduler: VirtualScheduler;
   readonly firstTokenMs: number;
   readonly tokenMs: number;
-  /** A request held by a stalled upstream fails after so long; never if absent. */
+  /**
+   * Time after which a request at a stalled upstream fails; without it, never.
+   */
   readonly stallTimeoutMs?: number;
 }
 
-/** What the fake needs to know of a request. */
+/** A request as the fake upstream sees it. */
 export interface ServedRequest {
   readonly team: string;
   readonly cost: number;
@@ -26,23 +28,28 @@
 /** A fake upstream. */
 export interface FakeUpstream {
   readonly id: string;
-  /** Serves the request; `done` is called once, at its end. */
+  /** Serves the request and calls `done` once, when the request ends. */
   serve(
     req: ServedRequest,
     done: (result: "answered" | "failed", firstByteMs: number) => void,
   ): void;
   getInFlight(): number;
-  /** Most requests in flight at once so far. */
+  /** Largest number of concurrent requests so far. */
   getPeakInFlight(): number;
-  /** Milliseconds of slots in use, summed over all requests so far. */
+  /** Time that slots were in use, summed over all requests so far. */
   getBusyMs(): number;
-  /** Requests that start from now take so many times as long. */
+  /** Multiplies the duration of requests that start from now on. */
   setSlowFactor(factor: number): void;
-  /** While true, requests that start end never, or when it turns false. */
+  /**
+   * While stalled, new requests do not start. They start when the stall ends,
+   * unless they have failed after `stallTimeoutMs`.
+   */
   setStalled(isStalled: boolean): void;
-  /** While true, requests that start fail after the first-token time. */
+  /** While failing, new requests fail after the time to the first token. */
   setFailing(isFailing: boolean): void;
-  /** Adds the service so far by team, as tokens stream. */
+  /**
+   * Adds the service so far to the sum of each team, running requests included.
+   */
   addService(sums: Map<string, number>): void;
 }
 
@@ -53,7 +60,7 @@
   readonly endMs: number;
 }
 
-/** Makes an idle upstream. */
+/** Creates an idle upstream. */
 export function createFakeUpstream(
   id: string,
   options: FakeUpstreamOptions,
--- a/src/measure/fleet_fixture.ts
+++ b/src/measure/fleet_fixture.ts
@@ -1,11 +1,12 @@
 /**
- * A fleet in virtual time for measurements and tests: the real fleet part of
- * each host (slot client, slot owners, counters, queues) over an scheduler, with
- * frames delivered in memory after a fixed delay. Upstreams are fakes that
- * serve each slot at a token rate; membership is a view set by hand.
+ * A fleet in virtual time, for measurements and tests. Each host runs the real
+ * fleet part of the router (slot client, slot owners, counters, queues); frames
+ * are delivered in memory after a fixed delay. Upstreams are fakes that
+ * generate tokens at a fixed rate. The fixture sets the membership view of each
+ * host.
  *
- * It decides nothing by itself and simulates no network: delay and cuts are
- * all that happens to a frame.
+ * The fixture makes no decisions of its own and simulates no other properties
+ * of a network: a frame is delayed, or lost by a partition or a broken link.
  *
  * @module
  */
@@ -34,10 +35,10 @@
 
 export * from "./fleet_fixture_types.ts";
 
-/** A link that broke is dialed again after so long. */
+/** Time until a broken link is dialed again. */
 const REDIAL_MS = 200;
 
-/** Hosts with the same view pick the same owner; hashing it once will do. */
+/** Caches owners: hosts with the same view pick the same owner. */
 function memoizeOwners(policy: FleetPolicy): FleetPolicy {
   const owners = new Map<string, string | undefined>();
   return {
@@ -57,7 +58,7 @@
   readonly usable: readonly Member[];
 }
 
-/** Makes the fleet; every host knows all others from the start. */
+/** Creates a fleet in which every host knows all others from the start. */
 export function createFleetFixture(options: FleetFixtureOptions): FleetFixture {
   const { deployment } = options;
   const scheduler = createVirtualScheduler();
@@ -79,11 +80,17 @@
   const sentBytes = new Map<string, number>();
   const byKind = new Map<string, number>();
   const totals = { bytes: 0, frames: 0, crossRegionBytes: 0 };
-  /** Hosts none of whose links work now, and how often links broke. */
+  /**
+   * Hosts whose links are all broken, and how often each host's links broke.
+   */
   const disconnected = new Set<string>();
   const breakCounts = new Map<string, number>();
+  /** Callbacks that run when the paused host goes on, by host. */
   const paused = new Map<string, (() => void)[]>();
-  /** Views by region during a cut, one for all otherwise; until a change. */
+  /**
+   * Cached views, cleared by each change: by region during a partition, else
+   * one for all hosts under the empty key.
+   */
   const views = new Map<string, View>();
   let isPartitioned = false;
   let lastRequest = 0;
@@ -91,7 +98,7 @@
   interface HostProcess {
     readonly fleet: Fleet;
     readonly incarnation: number;
-    /** Links dialed by this host, by the peer's id. */
+    /** Links that this host dialed, by the id of the peer. */
     readonly dialed: Map<string, PeerLinkHost>;
     isUp: boolean;
   }
@@ -128,7 +135,10 @@
     sentBytes.set(from, (sentBytes.get(from) ?? 0) + bytes);
   }
 
-  /** Delivers the bytes, unless the way is cut when they would arrive. */
+  /**
+   * Delivers the frame, unless its link breaks before it arrives or the hosts
+   * can't reach each other on its arrival.
+   */
   function deliver(
     from: string,
     to: string,
@@ -182,7 +192,7 @@
     return true;
   }
 
-  /** The members as the host sees them; a cut region looks dead. */
+  /** Members as the host sees them; those in a partitioned region are dead. */
   function getView(host: string): View {
     return getOrCreate(views, isPartitioned ? getRegionOf(host) : "", () => {
       const all = [...members.values()].map((member) =>
@@ -257,7 +267,7 @@
     breakCounts.set(id, (breakCounts.get(id) ?? 0) + 1);
   }
 
-  /** Both ends of each link of the host dial anew. */
+  /** Reconnects each link of the host, whichever end dialed it. */
   function reopenLinks(id: string): void {
     disconnected.delete(id);
     for (const [from, host] of processes) {
@@ -268,7 +278,7 @@
     }
   }
 
-  /** Runs now, or when the host goes on after a pause. */
+  /** Runs the callback now, or when the paused host goes on. */
   function runWhenResumed(id: string, run: () => void): void {
     const deferred = paused.get(id);
     if (deferred === undefined) run();
--- a/src/measure/fleet_fixture_test.ts
+++ b/src/measure/fleet_fixture_test.ts
@@ -1,5 +1,5 @@
 /**
- * Tests of the fixture: the real parts run on it to an end.
+ * Tests that the fleet fixture serves requests from arrival to answer.
  *
  * @module
  */
--- a/src/measure/fleet_fixture_types.ts
+++ b/src/measure/fleet_fixture_types.ts
@@ -1,5 +1,5 @@
 /**
- * The shapes of the fixture: what it is made from, and what can be done with it.
+ * Types of the fleet fixture and its default times.
  *
  * @module
  */
@@ -14,25 +14,29 @@
 export interface FleetFixtureOptions {
   readonly deployment: Deployment;
   readonly hosts: number;
-  /** The decisions; those of the router when absent. */
+  /** Creates the policy of the hosts; the router's policy if absent. */
   readonly createPolicy?: CreatePolicy;
-  /** Seed of what hosts pick at random; 1 when absent. */
+  /** Seed of the hosts' random choices; 1 if absent. */
   readonly seed?: number;
-  /** One way, within a data centre and between those of a region. */
+  /** One-way delay of a frame between hosts of a region. */
   readonly sameRegionDelayMs: number;
-  /** One way, between regions. */
+  /** One-way delay of a frame between hosts of different regions. */
   readonly crossRegionDelayMs: number;
-  /** Until the first token of an answer. */
+  /** Time from the start of a request to its first token. */
   readonly firstTokenMs: number;
-  /** From token to token of one answer. */
+  /** Time from one token of a request to the next. */
   readonly tokenMs: number;
-  /** A request held by a stalled upstream fails after so long; never if absent. */
+  /**
+   * Time after which a request at a stalled upstream fails; without it, never.
+   */
   readonly stallTimeoutMs?: number;
+  /** Period in which a host flushes its queued frames. */
   readonly flushMs: number;
+  /** Period in which a host exchanges its service counters. */
   readonly exchangeMs: number;
 }
 
-/** Times of today's deployments. */
+/** Times that are typical of a deployment. */
 export const defaultFixtureTimes = {
   sameRegionDelayMs: 1.5,
   crossRegionDelayMs: 20,
@@ -42,13 +46,13 @@
   exchangeMs: 500,
 } as const;
 
-/** Bytes of a packet around its payload: IP, TCP and HTTP/2 frame. */
+/** Bytes of the headers of a packet: IP, TCP and HTTP/2 frame. */
 export const PACKET_BYTES = 60;
 
-/** A request of the fixture with what becomes of it. */
+/** A request of the fixture, with its state and times. */
 export interface FixtureRequest extends AdmittedRequest {
   readonly host: string;
-  /** Cost that shows only at the end, in cost units. */
+  /** Actual cost in cost units, which hosts learn only at the end. */
   readonly cost: number;
   startedMs?: number;
   endedMs?: number;
@@ -56,17 +60,17 @@
   state: "waiting" | "running" | "answered" | "failed" | "cancelled";
 }
 
-/** What a caller asks for. */
+/** A call to submit at a host. */
 export interface FixtureCall {
   readonly team: string;
   readonly service: string;
   readonly cost: number;
-  /** Cost told at arrival; the service's expected cost when absent. */
+  /** Cost that the caller states; the service's expected cost if absent. */
   readonly costHint?: number;
   readonly timeoutMs?: number;
   /** Called when the request gets its slot. */
   onStart?(req: FixtureRequest): void;
-  /** Called when the request ended, however it ended. */
+  /** Called when the request has been answered, has failed or was cancelled. */
   onEnd?(req: FixtureRequest): void;
 }
 
@@ -75,17 +79,18 @@
   readonly id: string;
   readonly dataCentre: string;
   readonly fleet: Fleet;
-  /** Queues a request; it ends by answer, failure or its timeout. */
+  /** Queues a request, which ends by an answer, a failure or its time-out. */
   submit(call: FixtureCall): FixtureRequest;
   isUp(): boolean;
 }
 
-/** Bytes and frames of control since the start. */
+/** Frames between hosts, and their bytes, since the start. */
 export interface ControlTraffic {
   readonly bytes: number;
   readonly frames: number;
-  /** Bytes between regions, contained in `bytes`. */
+  /** Bytes between regions; `bytes` includes them. */
   readonly crossRegionBytes: number;
+  /** Payload bytes by kind of frame. */
   readonly byKind: ReadonlyMap<string, number>;
 }
 
@@ -98,19 +103,28 @@
   getUpstream(id: string): FakeUpstream;
   /** Requests submitted so far, in order of arrival. */
   getRequests(): readonly FixtureRequest[];
-  /** Service so far by team, in cost units, as the tokens stream. */
+  /** Service so far by team, in cost units, running requests included. */
   getService(service: string): ReadonlyMap<string, number>;
   getControlTraffic(): ControlTraffic;
-  /** Bytes sent by one host, packets included. */
+  /** Bytes that the host has sent, packet headers included. */
   getSentBytes(host: string): number;
-  /** Cuts or heals every link between the regions, frames in flight too. */
+  /**
+   * Partitions the regions or heals the partition. Frames in flight between the
+   * regions are lost.
+   */
   setPartitioned(isPartitioned: boolean): void;
-  /** Kills the host: its frames stop; others see it dead after `detectionMs`. */
+  /** Kills the host; others see it as dead after `detectionMs`. */
   kill(host: string, detectionMs: number): void;
-  /** Starts the host anew and empty; others see it after `detectionMs`. */
+  /** Restarts the host without state; others see it after `detectionMs`. */
   restart(host: string, detectionMs: number): void;
-  /** Breaks every link of the host: frames in flight are lost, then it redials. */
+  /**
+   * Breaks every link of the host; frames in flight are lost, then it
+   * reconnects.
+   */
   breakLinks(host: string): void;
-  /** Stops the host for so long; others see it dead and alive again. */
+  /**
+   * Pauses the host for `forMs`. Others see it as dead after `detectionMs`, and
+   * as alive when it goes on.
+   */
   pause(host: string, options: { forMs: number; detectionMs: number }): void;
 }
--- a/src/measure/flood.ts
+++ b/src/measure/flood.ts
@@ -1,7 +1,7 @@
 /**
- * Scenario `flood`: one team sends a hundred times its share at every host while
- * the small teams send what they always do. Compares the small teams' waits with
- * those of the same run without the flood.
+ * Scenario `flood`: one team sends a hundred times its share through all hosts,
+ * while the other teams send their usual load. Compares the waiting times of
+ * the other teams ("small teams" in the figures) with a run without the flood.
  *
  * @module
  */
@@ -26,20 +26,25 @@
 const END_MS = 60_000;
 const FLOOD_FACTOR = 100;
 
-/** Requests a second that all slots together serve, at the mixed costs. */
+/**
+ * Requests per second that all slots together serve: a request with the mean of
+ * the mixed costs takes 1.76 s.
+ */
 const FLEET_RATE = FLEET_SLOTS / 1.76;
 
-/** The other teams together use so much of the fleet, well below their share. */
+/** Share of the fleet that the other teams use, well below their fair share. */
 const BACKGROUND_UTILISATION = 0.6;
 
-/** The flooding team's callers give up after this; the others wait longer. */
+/**
+ * Time-out of the flooding team's callers; those of other teams wait longer.
+ */
 const FLOOD_TIMEOUT_MS = 2_000;
 
 /**
- * A small team's longest wait under the flood, in terms of the time in which its
- * share of the fleet serves the largest request: it may have just had one, and
- * then waits until the others have had as much. Unfair would be a wait that
- * grows with the flood.
+ * How much longer a small team may wait than without the flood, in multiples of
+ * the time in which the team's share of the fleet serves the largest request.
+ * After such a request the team waits until other teams have received as much
+ * service, which is fair; a wait that grows with the flood would not be.
  */
 const MAX_EXTRA_WAIT_IN_LARGEST_REQUESTS = 2;
 
@@ -49,7 +54,7 @@
   readonly unanswered: number;
 }
 
-/** Runs the scenario with the router's decisions and with each baseline. */
+/** Runs the scenario with the router's policy and with each baseline. */
 export function measureFlood(options: ScenarioOptions): Report {
   const withoutFlood = run(options, createRouterPolicy, false);
   const withFlood = run(options, createRouterPolicy, true);
@@ -89,7 +94,9 @@
   };
 }
 
-/** Time in which a share of weight one serves the largest request. */
+/**
+ * Time in which the share of a team with weight one serves the largest request.
+ */
 function getLargestRequestMs(): number {
   const totalWeight = TEAM_WEIGHTS.reduce((sum, each) => sum + each, 0);
   const tokensPerMs = FLEET_SLOTS / defaultFixtureTimes.tokenMs;
--- a/src/measure/gap.ts
+++ b/src/measure/gap.ts
@@ -1,21 +1,24 @@
 /**
- * The fairness gap: how far the service of two teams, divided by weight, drifts
- * apart over any stretch in which both are backlogged.
+ * The fairness gap: how much the difference of two teams' service, divided by
+ * their weights, changes over any period in which both are backlogged.
  *
  * @module
  */
 
 import type { Team } from "../types.ts";
 
-/** Takes in samples and keeps the largest gap over any stretch between two. */
+/** Computes the largest gap over the period between any two samples. */
 export interface GapMeter {
-  /** Takes the service so far, in cost units by team. */
+  /** Records the service so far by team, in cost units. */
   sample(service: ReadonlyMap<string, number>): void;
-  /** Largest gap of any pair, in cost units for a weight of one. */
+  /**
+   * Returns the largest gap of any two teams, in cost units for a weight of
+   * one.
+   */
   getGap(): number;
 }
 
-/** Makes a meter for teams that stay backlogged from the first sample on. */
+/** Creates a meter for teams that are backlogged from the first sample on. */
 export function createGapMeter(teams: readonly Team[]): GapMeter {
   const pairs = teams.flatMap((a, index) =>
     teams.slice(index + 1).map((b) => ({
@@ -44,24 +47,29 @@
   };
 }
 
-/** What the bound is derived from; costs in cost units. */
+/** Figures that the bound is derived from; costs in cost units. */
 export interface GapBoundInput {
   readonly weights: readonly number[];
   /** Largest cost of one request. */
   readonly largestCost: number;
   readonly slots: number;
-  /** Service of all slots, in cost units a second. */
+  /** Service of all slots together, in cost units per second. */
   readonly servicePerSecond: number;
   /** Longest time until a charge is known to every owner. */
   readonly lagSeconds: number;
-  /** How far the other region must be behind, in largest requests. */
+  /**
+   * Cross-region penalty, in largest requests: service by which a team of
+   * another region must be behind before it gets the slot.
+   */
   readonly crossRegionPenaltyRequests: number;
 }
 
 /**
- * The bound of the gap that docs/design/fairness.md derives, for a weight of
- * one: twice the sum of the penalty, of what one team gets elsewhere during the
- * lag, and of the largest request in every slot that two teams have by share.
+ * Returns the bound of the gap for a weight of one, as docs/design/fairness.md
+ * derives it: twice the sum of the cross-region penalty, the service that a
+ * team receives elsewhere before its charge is known to every owner, the
+ * largest request in every slot of two teams' shares, and one further largest
+ * request.
  */
 export function getGapBound(input: GapBoundInput): number {
   const { weights, largestCost, slots, servicePerSecond } = input;
--- a/src/measure/main.ts
+++ b/src/measure/main.ts
@@ -1,6 +1,7 @@
 /**
- * `npm run measure -- SCENARIO [--seed N] [--hosts N]`: runs one scenario over
- * the real decision modules in virtual time; exits with 1 when a bound breaks.
+ * `npm run measure -- SCENARIO [--seed N] [--hosts N]`: runs one scenario in
+ * virtual time with the modules that make the router's decisions. Exits with
+ * code 1 if a figure violates its bound, with code 2 if the scenario is unknown.
  *
  * @module
  */
@@ -19,13 +20,13 @@
 import { measureUtilisation } from "./utilisation.ts";
 import { meetsBounds, printReport, type Report } from "./report.ts";
 
-/** What a scenario may be varied by. */
+/** Options that vary a scenario. */
 export interface ScenarioOptions {
   readonly seed: number;
   readonly hosts: number;
 }
 
-/** A scenario: sets up its world, runs it and gives the figures. */
+/** Sets up a simulation, runs it and returns its figures. */
 export type Scenario = (options: ScenarioOptions) => Report | Promise<Report>;
 
 const scenarios: Readonly<Record<string, Scenario>> = {
@@ -42,7 +43,10 @@
 };
 
 const command = defineCommand({
-  meta: { name: "measure", description: "Measures the decision modules" },
+  meta: {
+    name: "measure",
+    description: "Measures the router's decisions in virtual time",
+  },
   args: {
     scenario: {
       type: "positional",
@@ -55,7 +59,7 @@
   async run({ args }) {
     const scenario = scenarios[args.scenario];
     if (scenario === undefined) {
-      console.error(`The scenario "${args.scenario}" does not exist`);
+      console.error(`Unknown scenario "${args.scenario}"`);
       process.exitCode = 2;
       return;
     }
--- a/src/measure/membership_fixture.ts
+++ b/src/measure/membership_fixture.ts
@@ -1,6 +1,6 @@
 /**
- * The real membership protocol of many hosts over a lossy network in virtual
- * time, for tests and measurements. Datagrams pass through the real codec.
+ * Many hosts that run the real membership protocol over a lossy network in
+ * virtual time, for tests and measurements.
  *
  * @module
  */
@@ -22,45 +22,48 @@
 } from "./virtual_scheduler.ts";
 import { createRandom } from "./random.ts";
 
-/** What a fixture is made from. */
+/** Options of a fixture. */
 export interface MembershipFixtureOptions {
   readonly hosts: number;
   readonly seed: number;
-  /** Share of datagrams that are lost. */
+  /** Share of datagrams that are lost, from 0 to 1; 0 if absent. */
   readonly loss?: number;
   readonly options?: MembershipOptions;
-  /** Passes datagrams through the real codec; else they go as they are. */
+  /** Passes datagrams through the real codec, otherwise as objects. */
   readonly encodesDatagrams?: boolean;
-  /** Hosts know all others from the start, as long after the last change. */
+  /**
+   * Hosts know all others from the start, and no update is queued any more;
+   * true if absent.
+   */
   readonly startsConverged?: boolean;
 }
 
-/** A change that one host has noted. */
+/** A change of a member that one host has seen. */
 export interface RecordedChange {
   readonly atMs: number;
   readonly by: string;
   readonly member: Member;
 }
 
-/** The hosts and their network. */
+/** Hosts and the network between them. */
 export interface MembershipFixture {
   readonly scheduler: VirtualScheduler;
   readonly names: readonly string[];
-  /** All changes noted so far, in order. */
+  /** All changes that hosts have seen so far, in order. */
   readonly changes: RecordedChange[];
   get(name: string): Membership;
-  /** Hosts whose view of the member is in one of the states. */
+  /** Counts the live hosts that see the member in one of the states. */
   countHostsSeeing(member: string, states: readonly string[]): number;
-  /** Live hosts that hold the fact. */
+  /** Counts the live hosts that hold the fact. */
   countHostsWithFact(key: string): number;
   kill(name: string): void;
-  /** Stops the process for so long, as SIGSTOP does. */
+  /** Pauses the process for `ms`, like SIGSTOP. */
   pause(name: string, ms: number): void;
-  /** Starts the host anew and empty, with the incarnation given. */
+  /** Restarts the host without state, with the incarnation. */
   restart(name: string, incarnation: number): void;
-  /** Cuts or heals the regions. */
+  /** Partitions the regions or heals the partition. */
   setPartitioned(isPartitioned: boolean): void;
-  /** What the platform lists from now on. */
+  /** Sets the hosts that the platform lists from now on. */
   setRegisteredHosts(names: readonly string[]): void;
   /** Datagrams and bytes sent so far, IP and UDP headers included. */
   getTraffic(): {
@@ -77,7 +80,9 @@
 const CROSS_REGION_DELAY_MS = 20;
 const SECRET = "secret-of-the-measured-fleet";
 
-/** Datagrams that the socket of a stopped process holds; more are lost. */
+/**
+ * Datagrams that the socket of a paused process holds; further ones are lost.
+ */
 const SOCKET_BUFFER_DATAGRAMS = 200;
 
 interface Node {
@@ -88,7 +93,10 @@
   isUp: boolean;
 }
 
-/** Makes the hosts; those with an odd number lie in the first region. */
+/**
+ * Creates the hosts; those with odd numbers are in one region, the rest in
+ * another.
+ */
 export function createMembershipFixture(
   {
     hosts,
@@ -139,7 +147,7 @@
     [...addressOf].map(([name, address]) => [address, name]),
   );
 
-  /** Gives what the receiver reads. */
+  /** Counts the datagram and returns a function that decodes it. */
   function encode(message: MembershipMessage): () => MembershipMessage {
     traffic.datagrams++;
     if (!encodesDatagrams) return () => message;
@@ -213,7 +221,8 @@
   if (startsConverged) {
     const all = names.map((name) => createMember(name, 1));
     for (const { membership } of nodes.values()) {
-      // As all that another host knows: old news, which is not told on.
+      // Sequence 0 belongs to no probe and marks a full sync: the receiver adds
+      // the members, but does not gossip them.
       membership.receive({
         from: "",
         incarnation: 0,
@@ -227,7 +236,7 @@
         facts: [],
       }, "");
     }
-    // The news of this is over before anything is measured.
+    // Lets the updates that this causes finish before a measurement starts.
     scheduler.runUntil(60_000 + hosts * 100);
     changes.length = 0;
     Object.assign(traffic, { datagrams: 0, bytes: 0, largestBytes: 0 });
--- a/src/measure/random.ts
+++ b/src/measure/random.ts
@@ -1,15 +1,15 @@
 /**
- * Random numbers of a run, the same for the same seed.
+ * Reproducible random numbers for measurements and tests.
  *
  * @module
  */
 
 import { xoroshiro128plus } from "pure-rand/generator/xoroshiro128plus";
 
-/** Numbers from 0 up to 1, the same for the same seed. */
+/** Returns the next random number, at least 0 and less than 1. */
 export type Random = () => number;
 
-/** Makes the random numbers of a run. */
+/** Creates a generator whose sequence depends only on the seed. */
 export function createRandom(seed: number): Random {
   const generator = xoroshiro128plus(seed);
   return () => (generator.next() >>> 0) / 2 ** 32;
--- a/src/measure/report.ts
+++ b/src/measure/report.ts
@@ -1,17 +1,19 @@
 /**
- * What a measurement prints: a table for people, then one line of JSON.
+ * Report of a measurement: a table for people, then one line of JSON.
  *
  * @module
  */
 
-/** A measured figure beside those of the baselines, from the same run. */
+/**
+ * A measured figure, with the figures that the baselines reach in the same run.
+ */
 export interface Figure {
-  /** Name with its unit, as "fairness_gap_tokens". */
+  /** Name with its unit, for example "fairness_gap_tokens". */
   readonly name: string;
   readonly value: number;
-  /** Figures of the baselines by their names. */
+  /** Figure of each baseline, by the name of the baseline. */
   readonly baselines: Readonly<Record<string, number>>;
-  /** What the value must keep to; absent for a figure without a goal. */
+  /** Bound of the value; absent for a figure that is only reported. */
   readonly bound?: {
     readonly kind: "at-most" | "at-least";
     readonly value: number;
@@ -26,7 +28,7 @@
   readonly figures: readonly Figure[];
 }
 
-/** Whether every figure keeps to its bound. */
+/** Returns whether every figure is within its bound. */
 export function meetsBounds(report: Report): boolean {
   return report.figures.every((figure) => {
     if (figure.bound === undefined) return true;
@@ -35,7 +37,7 @@
   });
 }
 
-/** Makes a record with the same names from each value. */
+/** Maps the values of a record and keeps its keys. */
 export function mapValues<A, B>(
   record: Readonly<Record<string, A>>,
   map: (value: A) => B,
--- a/src/measure/saturation.ts
+++ b/src/measure/saturation.ts
@@ -1,7 +1,8 @@
 /**
- * Scenario `saturation`: twice the load that the fleet can serve, for minutes.
- * Goodput is what was answered before its deadline; a refusal must come at once
- * and what waits must be bounded. Baseline: all are let in and wait.
+ * Scenario `saturation`: two minutes at twice the load that the fleet can
+ * serve. Measures the goodput, which counts answers before their deadlines
+ * only, how many refusals come on arrival, and whether the queues stay bounded.
+ * Baseline: every request is admitted and waits until its deadline.
  *
  * @module
  */
@@ -19,14 +20,17 @@
 import { createRandom } from "./random.ts";
 import type { Report } from "./report.ts";
 
-/** Requests a second that the slots serve: a mean one takes 1.76 s. */
+/** Requests per second that the slots serve; a mean request takes 1.76 s. */
 const CAPACITY_PER_S = FLEET_SLOTS / 1.76;
 
 const TIMEOUT_MS = 20_000;
 const BODY_BYTES = 20_000;
 const WINDOW = { fromMs: 40_000, toMs: 160_000 };
 
-/** Runs one and two times the capacity, with and without refusals. */
+/**
+ * Runs the scenario at one and two times the capacity, and at two times without
+ * refusals.
+ */
 export function measureSaturation(options: ScenarioOptions): Report {
   const singleLoad = runLoad(options, 1, true);
   const doubleLoad = runLoad(options, 2, true);
@@ -106,7 +110,7 @@
   return load;
 }
 
-/** Of the calls that did not run, those that were told so on arrival. */
+/** Returns the share of refusals on arrival among the calls not answered. */
 function getImmediateRefusalShare(load: AdmittedLoad): number {
   const notRun = load.getOutcomes().filter((end) =>
     end.result !== "answered" && end.arrivedMs >= WINDOW.fromMs
@@ -115,7 +119,7 @@
   return notRun.length === 0 ? 1 : refused.length / notRun.length;
 }
 
-/** Of the calls that were let in and have ended, those answered in time. */
+/** Returns the share of calls answered in time among the admitted ones. */
 function getInTimeShare(load: AdmittedLoad): number {
   const admitted = load.getOutcomes().filter((end) =>
     end.result !== "refused" && end.arrivedMs >= WINDOW.fromMs
--- a/src/measure/scale.ts
+++ b/src/measure/scale.ts
@@ -1,12 +1,12 @@
 /**
- * Scenario `scale`: what the membership of a host costs at four sizes of the
- * fleet up to the goal of 390 hosts, with the real protocol and codec, and how
- * soon news is everywhere. Baseline: every host tells every other each second
- * that it lives.
+ * Scenario `scale`: measures the cost of the membership of a host at four fleet
+ * sizes up to the target of 390 hosts, with the real protocol and codec, and
+ * the time until an update has reached every host. Baseline: a full mesh, in
+ * which every host sends a heartbeat to every other host each second.
  *
- * Processor times are those of this machine and take in sending and receiving;
- * they vary by a tenth or two from run to run. Bytes are the same in each run of
- * a seed.
+ * Processor times depend on the machine, include sending and receiving, and
+ * vary by 10% to 20% from run to run. Bytes are the same in each run with a
+ * seed.
  *
  * @module
  */
@@ -36,7 +36,7 @@
 const IDLE_MS = 30_000;
 const HEADER_BYTES = 28;
 
-/** Budget of all control of a daemon, of which membership is a part. */
+/** Budget of all control traffic of a host, of which membership is a part. */
 const MAX_BYTES_PER_S = 3_000;
 const MAX_CORE_PERCENT = 2.3;
 const MAX_PROPAGATION_MS = 10_000;
@@ -46,7 +46,7 @@
   readonly corePercent: number;
 }
 
-/** Measures each size and fits the slopes. */
+/** Measures each size, and the slopes of heap and bytes per member. */
 export function measureScale({ seed, hosts }: ScenarioOptions): Report {
   const figures: Figure[] = [];
   const heap: [number, number][] = [];
@@ -112,7 +112,7 @@
   return { scenario: "scale", seed, hosts, figures };
 }
 
-/** Half a minute in which nothing happens but loss. */
+/** Measures 30 s in which no host changes and datagrams are lost. */
 function measureIdle(fixture: MembershipFixture): Cost {
   const { scheduler, names } = fixture;
   const before = fixture.getTraffic();
@@ -127,7 +127,10 @@
   };
 }
 
-/** One second of one host that tells all others, and hears all others. */
+/**
+ * Measures one second of a full mesh at one host, which sends a datagram to
+ * every other host and decodes one from each.
+ */
 function measureFullMesh(size: number): Cost {
   const codec = createDatagramCodec("secret-of-the-measured-fleet");
   const message: MembershipMessage = {
@@ -171,7 +174,7 @@
   };
 }
 
-/** Heap of one host's knowledge of all others, as the mean of many copies. */
+/** Measures the heap of one host's member table, as the mean of many copies. */
 function measureHeap(size: number): number {
   setFlagsFromString("--expose-gc");
   const collect = runInNewContext("gc") as () => void;
@@ -197,7 +200,7 @@
   return memberships.length === copies ? used / copies : 0;
 }
 
-/** Longest of three deaths, until every other host knows. */
+/** Measures the time until all hosts see a death, as the longest of three. */
 function measureDetection(fixture: MembershipFixture): number {
   const { scheduler, names } = fixture;
   let longestMs = 0;
@@ -217,7 +220,7 @@
   return longestMs;
 }
 
-/** Until every live host has a fact that one host spreads. */
+/** Measures the time until every live host has a fact that one host gossips. */
 function measureFactPropagation(fixture: MembershipFixture): number {
   const { scheduler, names } = fixture;
   const startMs = scheduler.clock.monotonicMs();
@@ -232,7 +235,10 @@
   return scheduler.clock.monotonicMs() - startMs;
 }
 
-/** Time to pick the owner of every upstream anew, after a change of member. */
+/**
+ * Measures the processor time in which a host selects the owner of every
+ * upstream after a change of members.
+ */
 function measureOwnerSelection(size: number): number {
   const count = Math.max(1, Math.round(size / TARGET_DATA_CENTRES));
   const hosts = Array.from({ length: count }, (_, at) => `entry-${at}`);
@@ -248,7 +254,7 @@
   return (user + system) / 1000 / rounds;
 }
 
-/** Slope of the least-squares line through the points. */
+/** Returns the slope of the least-squares line through the points. */
 function getSlope(points: readonly (readonly [number, number])[]): number {
   const meanX = points.reduce((sum, [x]) => sum + x, 0) / points.length;
   const meanY = points.reduce((sum, [, y]) => sum + y, 0) / points.length;
--- a/src/measure/slow_upstream.ts
+++ b/src/measure/slow_upstream.ts
@@ -1,7 +1,7 @@
 /**
  * Scenario `slow-upstream`: one of eight engines becomes ten times slower, then
- * stalls, then recovers, while the fleet has 80% of the load that it can serve.
- * Baseline: the configured number of slots as a static limit.
+ * stalls, then recovers, while the load is 80% of the capacity of all engines.
+ * Baseline: a static limit, the configured number of slots.
  *
  * @module
  */
@@ -19,7 +19,7 @@
 import { createRandom } from "./random.ts";
 import type { Report } from "./report.ts";
 
-/** 80% of what eight engines serve; 91% of what seven do. */
+/** Requests per second: 80% of the capacity of eight engines, 91% of seven. */
 const PER_SECOND = 0.8 * FLEET_SLOTS / 1.76;
 
 const TIMEOUT_MS = 20_000;
@@ -31,19 +31,22 @@
 const SLOW_ENGINE = "engine-1";
 const STALL_TIMEOUT_MS = 5_000;
 
-/** Its 12 slots, in case it stalls at its full limit, and five probes. */
+/**
+ * Most requests that may start at the stalled engine: 12 if it stalls at its
+ * full limit of 12 slots, and five probes.
+ */
 const MAX_STARTS_WHILE_STALLED = 17;
 
 interface Run {
   readonly load: AdmittedLoad;
   readonly fixture: FleetFixture;
-  /** Requests that the engine took while it was stalled. */
+  /** Number of requests that started at the engine while it was stalled. */
   readonly startsWhileStalled: number;
-  /** Share of the engine's slots in use after it recovered. */
+  /** Share of the engine's slots in use after it has recovered. */
   readonly utilisationAfterRecovery: number;
 }
 
-/** Runs the course with the adaptive limit and with a static one. */
+/** Runs the scenario with the adaptive limit and with the static one. */
 export function measureSlowUpstream(options: ScenarioOptions): Report {
   const ours = runCase(options, createRouterPolicy);
   const staticLimit = runCase(options, createStaticLimitPolicy);
@@ -97,7 +100,7 @@
   };
 }
 
-/** The slots of the configuration, whatever happens. */
+/** Limits requests to the configured slots, whatever the engine's state is. */
 const createStaticLimitPolicy: CreatePolicy = () => ({
   ...createRouterPolicy(),
   createLimit: ({ maxSlots }): AdaptiveLimit => ({
@@ -162,7 +165,9 @@
   ).length;
 }
 
-/** Of the calls that arrived then, those answered before their deadlines. */
+/**
+ * Returns the share answered in time among the calls that arrived in a period.
+ */
 function getInTimeShare(
   load: AdmittedLoad,
   fromMs: number,
@@ -177,7 +182,10 @@
   return inTime.length / calls.length;
 }
 
-/** Time from arrival to end over the time that the answer takes alone. */
+/**
+ * Returns the 99th percentile of the stretch: the time from arrival to end,
+ * divided by the duration of the answer on an idle engine at normal speed.
+ */
 function getP99Stretch(
   load: AdmittedLoad,
   fromMs: number,
--- a/src/measure/table_soak.ts
+++ b/src/measure/table_soak.ts
@@ -1,7 +1,7 @@
 /**
- * Scenario `table-soak`: fifty seeds of troubles that come in series and overlap,
- * over hosts that read the platform's tables and pass them on. Prints the first
- * broken promise of each seed that has one.
+ * Scenario `table-soak`: runs fifty seeds of overlapping series of faults over
+ * hosts that read the platform's tables and distribute them to other hosts.
+ * Prints the first violation of each seed that has one.
  *
  * @module
  */
@@ -13,7 +13,7 @@
 
 const RUNS = 50;
 
-/** Plays fifty seeds, from the one given on. */
+/** Runs fifty consecutive seeds, starting with the one in the options. */
 export async function measureTableSoak(
   { seed, hosts }: ScenarioOptions,
 ): Promise<Report> {
--- a/src/measure/utilisation.ts
+++ b/src/measure/utilisation.ts
@@ -1,6 +1,6 @@
 /**
- * Scenario `utilisation`: how much of the slots is in use while work waits, and
- * how long a request waits while slots are free.
+ * Scenario `utilisation`: measures the share of the slots in use while requests
+ * wait, and how long a request waits while slots are free.
  *
  * @module
  */
@@ -24,17 +24,21 @@
 const WARM_UP_MS = 10_000;
 const END_MS = 70_000;
 
-/** Half of what the slots serve, all of it at one host of each region. */
+/**
+ * Requests per second: half of what the slots serve, as a mean request takes
+ * 1.76 s. All arrive at one host of each region.
+ */
 const HALF_LOAD_RATE = FLEET_SLOTS / 1.76 / 2;
 
 /**
- * After 200 ms each of the region's four owners has been asked; a message takes up to
- * 1.5 ms and a flush up to 5 ms on each side, and an owner that recalls a kept
- * slot needs a second round trip.
+ * Bound of the wait for a free slot. After 200 ms the host has asked each of
+ * the region's four owners. A message takes up to 1.5 ms and a flush up to 5 ms
+ * on each side, and an owner that recalls a kept slot needs a second round
+ * trip.
  */
 const MAX_WAIT_AT_HALF_LOAD_MS = 250;
 
-/** Runs the scenario with the router's decisions and with each baseline. */
+/** Runs the scenario with the router's policy and with each baseline. */
 export function measureUtilisation(options: ScenarioOptions): Report {
   const others = mapValues(
     baselines,
@@ -87,7 +91,10 @@
   return busyMs / (FLEET_SLOTS * (END_MS - WARM_UP_MS));
 }
 
-/** Each region has room throughout, so a wait is the time to find a slot. */
+/**
+ * Returns the longest wait at half load. Each region has free slots all the
+ * time, so a wait is the time in which the host finds one.
+ */
 function measureLongestWaitAtHalfLoad(
   { seed, hosts }: ScenarioOptions,
   createPolicy: CreatePolicy,
--- a/src/measure/virtual_scheduler.ts
+++ b/src/measure/virtual_scheduler.ts
@@ -1,6 +1,7 @@
 /**
- * Virtual time for measurements: what is due runs in order of its time, and the
- * manual clock moves to it. A run takes the same course on every machine.
+ * Scheduler in virtual time, for measurements and tests. It runs callbacks in
+ * the order of their due times and advances a manual clock to each due time, so
+ * that a run is the same on every machine.
  *
  * @module
  */
@@ -16,18 +17,20 @@
 /** Runs callbacks in virtual time. */
 export interface VirtualScheduler {
   readonly clock: ManualClock;
-  /** Runs the callback after so many virtual milliseconds. */
+  /** Runs the callback once, after the delay in virtual milliseconds. */
   after(ms: number, run: () => void): void;
-  /** Runs the callback again and again, first after one period. */
+  /** Runs the callback periodically, for the first time after one period. */
   every(periodMs: number, run: () => void): void;
-  /** Runs all that is due up to the virtual time given. */
+  /**
+   * Runs all callbacks that are due up to `endMs` and advances the clock to it.
+   */
   runUntil(endMs: number): void;
 }
 
-/** Makes an scheduler that starts at zero. */
+/** Creates a scheduler whose virtual time starts at zero. */
 export function createVirtualScheduler(): VirtualScheduler {
   const clock = createManualClock();
-  // A binary heap by time, then by order of entry.
+  // A binary heap, ordered by due time, then by order of scheduling.
   const heap: ScheduledTask[] = [];
   let order = 0;
 
--- a/src/measure/workload.ts
+++ b/src/measure/workload.ts
@@ -1,5 +1,5 @@
 /**
- * Deployments and request generators for measurements, by seed.
+ * Deployments and request generators for measurements.
  *
  * @module
  */
@@ -14,15 +14,15 @@
   readonly dataCentresPerRegion: number;
   readonly upstreams: number;
   readonly slotsPerUpstream: number;
-  /** Weight of each team, by position. */
+  /** Weight of each team; the team with index 0 is "team-1". */
   readonly weights: readonly number[];
   readonly expectedCost: number;
 }
 
-/** Name of the service in a made deployment. */
+/** Id of the only service in a deployment of `createDeployment`. */
 export const SERVICE = "engine";
 
-/** Makes a deployment with upstreams spread evenly over the data centres. */
+/** Creates a deployment with upstreams spread evenly over the data centres. */
 export function createDeployment(sizes: DeploymentSizes): Deployment {
   const dataCentres = Array.from(
     { length: sizes.regions * sizes.dataCentresPerRegion },
@@ -62,27 +62,30 @@
   };
 }
 
-/** Picks a cost: most are short, some long, about ten times apart. */
+/** Picks a cost: 80% are short, 20% are long, about ten times as much. */
 export function pickMixedCost(random: Random): number {
   const isLong = random() < 0.2;
   const [low, high] = isLong ? [150, 400] : [10, 60];
   return Math.floor(low + random() * (high - low));
 }
 
-/** What one generator sends. */
+/** A team's requests that a generator sends. */
 export interface TrafficSource {
   readonly team: string;
   pickHost(): FixtureHost;
   pickCost(): number;
-  /** Hint for a cost; absent: the service's expected cost. */
+  /**
+   * Cost hint of a request with the cost; without it, the service's expected
+   * cost.
+   */
   getHint?(cost: number): number;
-  /** Callers give up after so long; the service's limit when absent. */
+  /** Time after which callers disconnect; without it, the service's maximum. */
   readonly timeoutMs?: number;
 }
 
 /**
- * Keeps the team backlogged: so many requests wait or run at once, and each is
- * replaced when it ends, until the virtual time given.
+ * Keeps the team backlogged until `untilMs` of virtual time: `depth` requests
+ * wait or run at any time, and each is replaced when it ends.
  */
 export function keepBacklogged(
   fixture: FleetFixture,
@@ -108,7 +111,7 @@
   for (let sent = 0; sent < depth; sent++) sendOne();
 }
 
-/** Sends at a mean rate with exponential gaps, until the virtual time given. */
+/** Sends requests as a Poisson process until `untilMs` of virtual time. */
 export function sendAtRate(
   fixture: FleetFixture,
   sender: TrafficSource,
