--- a/src/admission/backlog.ts
+++ b/src/admission/backlog.ts
@@ -1,7 +1,7 @@
 /**
- * All that waits at this host, over all teams and services: how many requests
- * and bytes, how fast each team's requests start, and which of them can't meet
- * their deadlines any more.
+ * The waiting requests of this host, over all teams and services: their number
+ * and bytes, the rate at which each team's requests start, and which requests
+ * can no longer meet their deadlines.
  *
  * @module
  */
@@ -12,68 +12,73 @@
   type Admission,
   decideAdmission,
   getRetryAfterMs,
-  isHopeless,
+  isDeadlineUnreachable,
   type QueueUse,
 } from "./admission.ts";
 import { createRunTimes, type RunTime, type RunTimes } from "./run_times.ts";
-import { createPace, type Pace } from "./wait_estimate.ts";
+import { createWaitEstimator, type WaitEstimator } from "./wait_estimate.ts";
 
-/** What the backlog needs of the process. */
+/** Dependencies of the backlog, supplied by the process. */
 export interface BacklogHost {
   readonly clock: Clock;
-  /** A number from 0 up to 1. */
+  /** A random number from 0 up to, but not including, 1. */
   random(): number;
 }
 
-/** A request that asks to come in. */
-export interface Entrant {
+/** A request on whose admission is decided. */
+export interface AdmissionRequest {
   readonly req: AdmittedRequest;
   readonly bodyBytes: number;
-  /** The team's limit for one service at one host. */
+  /** Limit on the team's waiting requests for one service at one host. */
   readonly maxQueued: number;
   readonly isDraining: boolean;
 }
 
-/** How a request left the queue. */
-export type Leaving = "started" | "gave-up";
+/** How a request left the queue: with a slot, or given up. */
+export type QueueExit = "started" | "gave-up";
 
 /** The waiting requests of one host. */
 export interface Backlog {
-  /** Decides on a request; changes nothing. */
-  decide(entrant: Entrant): Admission;
-  /** The request waits; `giveUp` is called when its deadline is out of reach. */
-  enter(
+  /** Decides whether a request is admitted, without side effects. */
+  decide(request: AdmissionRequest): Admission;
+  /**
+   * Adds a request; `giveUp` is called when its deadline can no longer be met,
+   * with the time after which to retry.
+   */
+  enqueue(
     req: AdmittedRequest,
     bodyBytes: number,
     giveUp: (retryAfterMs: number) => void,
   ): void;
-  /** The request waits no more; later calls do nothing. */
-  leave(req: AdmittedRequest, how: Leaving): void;
-  /** A run of the service was answered. */
-  observeRun(service: string, run: RunTime): void;
-  /** Gives up each request whose deadline can't be met any more. */
+  /** Removes a request; further calls for it have no effect. */
+  dequeue(req: AdmittedRequest, exit: QueueExit): void;
+  /** Records the times of a run of the service that was answered. */
+  recordRun(service: string, run: RunTime): void;
+  /** Gives up all requests whose deadlines can no longer be met. */
   sweep(): void;
   getUse(): QueueUse;
   getTeamQueued(team: string, service: string): number;
-  /** Expected time until the slot of the team's newest request, in ms. */
+  /** Expected wait of the team's newest request for its slot, in ms. */
   getExpectedWaitMs(team: string, service: string): number;
-  /** When a request of the team should come back, in ms. */
+  /**
+   * Time after which a refused request of the team should be retried, in ms.
+   */
   getRetryAfterMs(team: string, service: string): number;
 }
 
-interface Waiting {
+interface WaitingRequest {
   readonly req: AdmittedRequest;
   readonly bytes: number;
   readonly sinceMs: number;
   readonly giveUp: (retryAfterMs: number) => void;
 }
 
-/** One team's requests for one service, oldest first. */
-interface Line {
+/** The waiting requests of one team for one service, the oldest first. */
+interface RequestQueue {
   readonly team: string;
   readonly service: string;
-  readonly waiting: Map<AdmittedRequest, Waiting>;
-  readonly pace: Pace;
+  readonly waiting: Map<AdmittedRequest, WaitingRequest>;
+  readonly waitEstimator: WaitEstimator;
 }
 
 interface MutableUse {
@@ -83,9 +88,9 @@
 
 const NO_USE: QueueUse = { requests: 0, bytes: 0 };
 
-/** Makes an empty backlog. */
+/** Creates an empty backlog. */
 export function createBacklog(host: BacklogHost): Backlog {
-  const lines = new Map<string, Line>();
+  const queues = new Map<string, RequestQueue>();
   const teamUses = new Map<string, MutableUse>();
   const hostUse: MutableUse = { requests: 0, bytes: 0 };
   const runTimes = new Map<string, RunTimes>();
@@ -94,16 +99,19 @@
     return getOrCreate(runTimes, service, createRunTimes);
   }
 
-  function tryGetLine(team: string, service: string): Line | undefined {
-    return lines.get(`${service}/${team}`);
+  function tryGetQueue(
+    team: string,
+    service: string,
+  ): RequestQueue | undefined {
+    return queues.get(`${service}/${team}`);
   }
 
-  function getLine(team: string, service: string): Line {
-    return getOrCreate(lines, `${service}/${team}`, () => ({
+  function getQueue(team: string, service: string): RequestQueue {
+    return getOrCreate(queues, `${service}/${team}`, () => ({
       team,
       service,
       waiting: new Map(),
-      pace: createPace(),
+      waitEstimator: createWaitEstimator(),
     }));
   }
 
@@ -116,22 +124,22 @@
     if (use.requests === 0) teamUses.delete(team);
   }
 
-  /** Time until a slot for a request behind so many others of its line. */
-  function getWaitMs(line: Line | undefined, ahead: number): number {
-    return line?.pace.getWaitMs(ahead, host.clock.monotonicMs()) ?? 0;
+  /** Expected wait for a slot behind the given number of requests, in ms. */
+  function getWaitMs(queue: RequestQueue | undefined, ahead: number): number {
+    return queue?.waitEstimator.getWaitMs(ahead, host.clock.monotonicMs()) ?? 0;
   }
 
-  function sweepLine(line: Line): void {
+  function sweepQueue(queue: RequestQueue): void {
     const nowMs = host.clock.monotonicMs();
-    const leastServiceMs = getRunTimes(line.service).getLeastFirstByteMs();
+    const minFirstByteMs = getRunTimes(queue.service).getMinFirstByteMs();
     let ahead = 0;
-    for (const { req, giveUp } of [...line.waiting.values()]) {
-      const expectedWaitMs = line.pace.getWaitMs(ahead, nowMs);
+    for (const { req, giveUp } of [...queue.waiting.values()]) {
+      const expectedWaitMs = queue.waitEstimator.getWaitMs(ahead, nowMs);
       const remainingMs = req.deadlineMs - nowMs;
       if (
-        isHopeless({ expectedWaitMs, leastServiceMs, remainingMs })
+        isDeadlineUnreachable({ expectedWaitMs, minFirstByteMs, remainingMs })
       ) {
-        leave(req, "gave-up");
+        dequeue(req, "gave-up");
         giveUp(getRetryAfterMs(expectedWaitMs, host.random()));
       } else {
         ahead++;
@@ -139,24 +147,24 @@
     }
   }
 
-  function leave(req: AdmittedRequest, how: Leaving): void {
-    const line = tryGetLine(req.team, req.service);
-    const waiting = line?.waiting.get(req);
-    if (line === undefined || waiting === undefined) return;
-    line.waiting.delete(req);
+  function dequeue(req: AdmittedRequest, exit: QueueExit): void {
+    const queue = tryGetQueue(req.team, req.service);
+    const waiting = queue?.waiting.get(req);
+    if (queue === undefined || waiting === undefined) return;
+    queue.waiting.delete(req);
     const nowMs = host.clock.monotonicMs();
-    line.pace.leave(how, nowMs - waiting.sinceMs, nowMs);
+    queue.waitEstimator.recordDequeued(exit, nowMs - waiting.sinceMs, nowMs);
     addUse(req.team, -1, -waiting.bytes);
   }
 
   function getTeamQueued(team: string, service: string): number {
-    return tryGetLine(team, service)?.waiting.size ?? 0;
+    return tryGetQueue(team, service)?.waiting.size ?? 0;
   }
 
   return {
     decide({ req, bodyBytes, maxQueued, isDraining }) {
-      const line = tryGetLine(req.team, req.service);
-      const teamQueued = line?.waiting.size ?? 0;
+      const queue = tryGetQueue(req.team, req.service);
+      const teamQueued = queue?.waiting.size ?? 0;
       return decideAdmission({
         isDraining,
         teamQueued,
@@ -164,36 +172,36 @@
         teamUse: teamUses.get(req.team) ?? NO_USE,
         hostUse,
         bodyBytes,
-        expectedWaitMs: getWaitMs(line, teamQueued),
-        leastServiceMs: getRunTimes(req.service).getLeastFirstByteMs(),
-        longServiceMs: getRunTimes(req.service).getLongMs(),
+        expectedWaitMs: getWaitMs(queue, teamQueued),
+        minFirstByteMs: getRunTimes(req.service).getMinFirstByteMs(),
+        p90RunMs: getRunTimes(req.service).getP90RunMs(),
         remainingMs: req.deadlineMs - host.clock.monotonicMs(),
         random: host.random(),
       });
     },
-    enter(req, bytes, giveUp) {
-      const line = getLine(req.team, req.service);
+    enqueue(req, bytes, giveUp) {
+      const queue = getQueue(req.team, req.service);
       const sinceMs = host.clock.monotonicMs();
-      line.waiting.set(req, { req, bytes, sinceMs, giveUp });
-      line.pace.enter(sinceMs);
+      queue.waiting.set(req, { req, bytes, sinceMs, giveUp });
+      queue.waitEstimator.recordEnqueued(sinceMs);
       addUse(req.team, 1, bytes);
     },
-    leave,
-    observeRun: (service, run) => getRunTimes(service).observe(run),
+    dequeue,
+    recordRun: (service, run) => getRunTimes(service).record(run),
     sweep() {
-      for (const line of lines.values()) {
-        if (line.waiting.size > 0) sweepLine(line);
+      for (const queue of queues.values()) {
+        if (queue.waiting.size > 0) sweepQueue(queue);
       }
     },
     getUse: () => ({ ...hostUse }),
     getTeamQueued,
     getExpectedWaitMs(team, service) {
-      const line = tryGetLine(team, service);
-      return getWaitMs(line, Math.max(0, (line?.waiting.size ?? 0) - 1));
+      const queue = tryGetQueue(team, service);
+      return getWaitMs(queue, Math.max(0, (queue?.waiting.size ?? 0) - 1));
     },
     getRetryAfterMs(team, service) {
-      const line = tryGetLine(team, service);
-      const waitMs = getWaitMs(line, line?.waiting.size ?? 0);
+      const queue = tryGetQueue(team, service);
+      const waitMs = getWaitMs(queue, queue?.waiting.size ?? 0);
       return getRetryAfterMs(waitMs, host.random());
     },
   };
--- a/src/config/poll_period_test.ts
+++ b/src/config/poll_period_test.ts
@@ -23,7 +23,7 @@
   // All hosts reach one another. The jitter gives the shortest periods.
   const hosts = Array.from({ length: 390 }, (_, index) => ({
     ...settled,
-    isPicked: index < 6,
+    isDesignatedPoller: index < 6,
     random: 1,
   }));
   const reads = getReadsPerSecond(hosts);
@@ -35,7 +35,7 @@
   // frequently, and a version is still in force within 7 s.
   const hosts = Array.from({ length: 390 }, () => ({
     ...settled,
-    sinceHeardMs: 60_000,
+    sinceLastPeerMs: 60_000,
     random: 1,
   }));
   assert(getReadsPerSecond(hosts) < 0.15 * 2_000);
--- a/src/entry/entry.ts
+++ b/src/entry/entry.ts
@@ -8,7 +8,7 @@
 
 import * as Effect from "effect/Effect";
 import * as Fiber from "effect/Fiber";
-import { createRetryBudget, getFleetOptions } from "../admission/mod.ts";
+import { createRetryBudget, getFleetRetryOptions } from "../admission/mod.ts";
 import { createStallTolerantClock, getOrCreate } from "../core/mod.ts";
 import type { Decision } from "../diagnostics/mod.ts";
 import {
@@ -167,15 +167,15 @@
       underservedElsewhere: load.getUnderservedElsewhere(upstream),
     }),
     getShareUsed: load.getShareUsed,
-    isAhead: load.isAhead,
+    isOverserved: load.isOverserved,
     isUnderserved: load.isUnderserved,
     onUnderservedWaiting: load.setUnderserved,
-    getMeanYield: load.getMeanYield,
+    getMeanEfficiency: load.getMeanEfficiency,
     getLimitTokens,
     random: host.random,
     onStart(prompt, upstream, readingTokens) {
-      load.beginReading(upstream, readingTokens);
-      load.noteBegun(prompt.team, prompt.size);
+      load.beginPrefill(upstream, readingTokens);
+      load.recordBegun(prompt.team, prompt.serviceTokens);
     },
   });
   const crashes = createCrashWatch({
@@ -268,7 +268,7 @@
     crashes,
     retryBudget: createRetryBudget(
       clock,
-      getFleetOptions(retries, () => getAlive().length),
+      getFleetRetryOptions(retries, () => getAlive().length),
     ),
     tryGetRoutes: platformView.tryGetRoutes,
     getDistance,
--- a/src/fleet/fleet.ts
+++ b/src/fleet/fleet.ts
@@ -1,6 +1,7 @@
 /**
- * Joins the decisions about slots and counters to the links between hosts:
- * which host owns an upstream, whom to ask, and what goes where.
+ * Connects slot ownership, slot requests and counters to the links between
+ * hosts: determines the owner of each upstream and routes each message to its
+ * receiver.
  *
  * @module
  */
@@ -11,9 +12,9 @@
 import type { KeptUses, Release, SlotRequest } from "../slots/mod.ts";
 import type { Upstream } from "../types.ts";
 import { createTreeExchange } from "./counter_exchange.ts";
-import { createCounterWire } from "./counter_wire.ts";
-import { createEarlyAsks } from "./early_asks.ts";
-import { receiveFrame, type Receivers, toWireResult } from "./frames.ts";
+import { createCounterCodec } from "./counter_codec.ts";
+import { createEarlyRequesters } from "./early_requesters.ts";
+import { type FrameHandlers, receiveFrame, toWireResult } from "./frames.ts";
 import { createLinks } from "./links.ts";
 import { createMemberWatch } from "./member_watch.ts";
 import { createOutbox } from "./outbox.ts";
@@ -22,19 +23,22 @@
 import { createPlacer } from "./placer.ts";
 import type { Fleet, FleetHost, FleetPolicy } from "./types.ts";
 
-/** The decisions as the router runs them. */
+/** The policies that the router uses. */
 export const defaultFleetPolicy: FleetPolicy = {
   tryPick: tryPickLowestCounter,
   createExchange: createTreeExchange,
   tryGetOwner,
 };
 
-/** Makes the fleet's part; call `reconcile` after each change of view. */
+/**
+ * Creates the fleet coordination; call `reconcile` after each change of members
+ * or of the deployment.
+ */
 export function createFleet(host: FleetHost): Fleet {
   const ownership = createOwnership(host);
-  const early = createEarlyAsks();
+  const earlyRequesters = createEarlyRequesters();
   const placer = createPlacer(host);
-  const wire = createCounterWire(host.getDeployment);
+  const counterCodec = createCounterCodec(host.getDeployment);
   const memberWatch = createMemberWatch(host.membership);
 
   const links = createLinks(host, {
@@ -49,16 +53,16 @@
       return links.trySend(peer, frame) || host.trySendBack(peer, frame);
     },
     onControlSent: host.onControlSent,
-    onUndelivered: takeBackGrants,
+    onUndelivered: reclaimGrants,
   });
 
   const exchange = host.policy.createExchange(host, {
     sendReport(peer, report) {
       links.ensure(peer);
-      outbox.add(peer, "counterReports", wire.encodeReport(report));
+      outbox.add(peer, "counterReports", counterCodec.encodeReport(report));
     },
     sendView(peer, view) {
-      outbox.add(peer, "counterViews", wire.encodeView(view));
+      outbox.add(peer, "counterViews", counterCodec.encodeView(view));
     },
   });
 
@@ -66,8 +70,8 @@
     getLeaf: exchange.getLeaf,
     trySendGrant(entryHost, grant) {
       if (entryHost === host.id) {
-        // Deferred, so that an owner is never called from its own grant while
-        // it still walks its wants.
+        // Deferred, so that an owner is not called back while it iterates over
+        // its wants.
         host.defer(() => slots.receiveGrant(grant));
         return true;
       }
@@ -92,32 +96,33 @@
       const owner = ownership.get(req.upstream);
       if (owner === undefined) return;
       if (owner === host.id) {
-        receivers.onSlotRequest(host.id, req);
+        handlers.onSlotRequest(host.id, req);
         return;
       }
       links.ensure(owner);
-      // A link that opens tells the owner all; what is sent before is dropped.
+      // When the link opens, the slot client sends its full state to the owner,
+      // so messages before that need not be queued.
       if (!links.isOpen(owner)) return;
       outbox.add(owner, "slotRequests", toWireRequest(req));
     },
     sendRelease(release) {
       const owner = ownership.get(release.upstream);
-      if (owner === host.id) receivers.onRelease(host.id, release);
+      if (owner === host.id) handlers.onRelease(host.id, release);
       else if (owner !== undefined) addRelease(owner, release);
     },
     sendKeptUses(uses) {
       const owner = ownership.get(uses.upstream);
-      if (owner === host.id) receivers.onKeptUses(host.id, uses);
+      if (owner === host.id) handlers.onKeptUses(host.id, uses);
       else if (owner !== undefined) {
         outbox.add(owner, "keptUses", toWireUses(uses));
       }
     },
   });
 
-  const receivers: Receivers = {
+  const handlers: FrameHandlers = {
     onSlotRequest(from, req) {
       const owner = owned.tryGet(req.upstream);
-      if (owner === undefined) early.add(req.upstream, from);
+      if (owner === undefined) earlyRequesters.add(req.upstream, from);
       else owner.receiveRequest(from, req);
     },
     onRelease: (from, release) =>
@@ -125,15 +130,17 @@
     onKeptUses: (_from, uses) =>
       owned.tryGet(uses.upstream)?.receiveKeptUses(uses),
     onGrant(from, grant) {
-      // A host that lost the ownership may not know it yet; the new owner did
-      // not grant this slot and must not see its use.
+      // A host that is no longer the owner may not know it yet and may still
+      // grant. The slot is returned to it unused: the new owner did not grant
+      // the slot and must not get its release.
       if (ownership.get(grant.upstream) === from) slots.receiveGrant(grant);
       else addRelease(from, toUnused(grant));
     },
     onRecall: (_from, recall) => slots.receiveRecall(recall),
     onReport: (from, report) =>
-      exchange.receiveReport(from, wire.decodeReport(report)),
-    onView: (from, view) => exchange.receiveView(from, wire.decodeView(view)),
+      exchange.receiveReport(from, counterCodec.decodeReport(report)),
+    onView: (from, view) =>
+      exchange.receiveView(from, counterCodec.decodeView(view)),
   };
 
   function addRelease(owner: string, release: Release): void {
@@ -147,24 +154,27 @@
 
   function receive(peer: string, frame: Frame): void {
     host.hybridClock.receive(frame.hlc);
-    receiveFrame(peer, frame, receivers);
+    receiveFrame(peer, frame, handlers);
   }
 
-  /** The link broke between grant and flush: the slots are free at once. */
-  function takeBackGrants(peer: string, frame: Frame): void {
+  /**
+   * Returns grants to their owners when the link broke before the flush, so
+   * that the slots are free at once.
+   */
+  function reclaimGrants(peer: string, frame: Frame): void {
     for (const grant of frame.grants) {
       owned.tryGet(grant.upstream)?.receiveRelease(peer, toUnused(grant));
     }
   }
 
-  function takeOver(upstream: Upstream, mayHaveOther: boolean): void {
-    owned.take(upstream, mayHaveOther);
-    for (const entryHost of early.take(upstream.id)) {
+  function takeOver(upstream: Upstream, mayHavePreviousOwner: boolean): void {
+    owned.acquire(upstream, mayHavePreviousOwner);
+    for (const entryHost of earlyRequesters.take(upstream.id)) {
       owned.tryGet(upstream.id)?.requestResync(entryHost);
     }
   }
 
-  function changeOwner({ upstream, owner, previous }: OwnerChange): void {
+  function applyOwnerChange({ upstream, owner, previous }: OwnerChange): void {
     host.recorder.record({
       kind: "owner-changed",
       upstream: upstream.id,
@@ -175,9 +185,9 @@
     slots.resync(upstream.id);
   }
 
-  function forgetHost(peer: string): void {
-    owned.forgetHost(peer);
-    exchange.forgetHost(peer);
+  function removeHost(peer: string): void {
+    owned.removeHost(peer);
+    exchange.removeHost(peer);
   }
 
   return {
@@ -185,11 +195,11 @@
     receiveFrame: receive,
     reconcile() {
       for (const change of memberWatch.takeChanges()) {
-        if (change.kind === "returned") owned.askToRedeclare(change.host);
-        else forgetHost(change.host);
+        if (change.kind === "returned") owned.requestResync(change.host);
+        else removeHost(change.host);
       }
-      for (const change of ownership.update()) changeOwner(change);
-      owned.followDeclared();
+      for (const change of ownership.update()) applyOwnerChange(change);
+      owned.reconcileWithDeployment();
       links.reconcile();
     },
     flush() {
--- a/src/forwarding/forward.ts
+++ b/src/forwarding/forward.ts
@@ -111,7 +111,7 @@
   call.progress.triedUpstreams.add(upstream.id);
   logAttempt(host, call, picked);
   health.beginRequest(upstream.id);
-  host.load.begin(upstream.id);
+  host.load.beginRequest(upstream.id);
   const headTimeoutMs = getHeadTimeoutMs(host, call);
   return attempt(host, call, { upstream, headTimeoutMs }).pipe(
     Effect.tap(() =>
@@ -131,7 +131,7 @@
     Effect.ensuring(Effect.sync(() => {
       call.progress.endPrefill();
       health.endRequest(upstream.id);
-      host.load.end(upstream.id);
+      host.load.endRequest(upstream.id);
     })),
   );
 }
--- a/src/measure/config_spread.ts
+++ b/src/measure/config_spread.ts
@@ -138,7 +138,7 @@
     simulation.hosts.push(createHost(simulation, self, random));
   }
   for (const host of simulation.hosts) {
-    for (const self of members) host.membership.learn(self);
+    for (const self of members) host.membership.applyUpdate(self);
     startTasks(simulation, host, random);
   }
   return simulation;
