--- a/src/queue/shared_capacity_test.ts
+++ b/src/queue/shared_capacity_test.ts
@@ -50,8 +50,8 @@
  */
 function simulate(options: SimulationOptions): readonly PromptCounts[] {
   const { promptTokens } = options;
-  const agenda = createVirtualScheduler();
-  const { clock } = agenda;
+  const scheduler = createVirtualScheduler();
+  const { clock } = scheduler;
   const random = createRandom(1);
   const readUntilMs = new Map<string, number>();
   const asked = options.teams.map(() => 0);
@@ -116,7 +116,7 @@
       readUntilMs.set(upstream, endMs);
       answers++;
       const isLate = answers % 100 < options.lateShares[hostAt]! * 100;
-      agenda.after(endMs - startedMs + LINK_MS, () => {
+      scheduler.after(endMs - startedMs + LINK_MS, () => {
         view.endPrefill(upstream, promptTokens);
         pacing.recordFirstEvent(queuedTokens, clock.monotonicMs() - startedMs);
         pacing.recordPause(isLate);
@@ -157,25 +157,25 @@
   const perMs = options.demandFactor * TOKENS_PER_MS * UPSTREAMS.length;
   const periodMs = promptTokens * options.teams.length / perMs;
   options.teams.forEach(({ hosts: used, weight = 1 }, at) => {
-    agenda.every(periodMs / weight, () => {
+    scheduler.every(periodMs / weight, () => {
       hosts[used[asked[at]! % used.length]!]!.submit(at);
     });
   });
   hosts.forEach((host, at) => {
-    agenda.after(at, () => agenda.every(TICK_MS, host.queue.tick));
+    scheduler.after(at, () => scheduler.every(TICK_MS, host.queue.tick));
   });
-  agenda.every(REPORT_MS, () => {
+  scheduler.every(REPORT_MS, () => {
     for (const { reporter } of hosts) {
       for (const { to, report } of reporter.createReports()) {
         const receivers = hosts
           .filter((_, at) => to.includes(peers[at]!.peerAddress));
-        agenda.after(LINK_MS, () => {
+        scheduler.after(LINK_MS, () => {
           for (const each of receivers) each.reporter.receive(report);
         });
       }
     }
   });
-  agenda.runUntil(SIMULATED_MS);
+  scheduler.runUntil(SIMULATED_MS);
   return options.teams.map((_, at) => ({
     asked: asked[at]!,
     begun: begun[at]!,
