--- a/src/measure/prompt_kinds.ts
+++ b/src/measure/prompt_kinds.ts
@@ -14,7 +14,7 @@
   readonly perSecond: number;
   readonly sharedTokens: number;
   /** Shared parts, each asked for as often. */
-  readonly parts: number;
+  readonly sharedPrefixes: number;
   readonly ownTokens: number;
   readonly outputTokens: number;
   /** Time to the first event that is on time, in ms. */
@@ -27,7 +27,7 @@
     name: "survey",
     perSecond: 23,
     sharedTokens: 13_300,
-    parts: 51,
+    sharedPrefixes: 51,
     ownTokens: 3_720,
     outputTokens: 120,
     targetMs: 800,
@@ -36,7 +36,7 @@
     name: "summary",
     perSecond: 21,
     sharedTokens: 6_300,
-    parts: 47,
+    sharedPrefixes: 47,
     ownTokens: 2_890,
     outputTokens: 50,
     targetMs: 800,
@@ -45,7 +45,7 @@
     name: "chat",
     perSecond: 44,
     sharedTokens: 350,
-    parts: 97,
+    sharedPrefixes: 97,
     ownTokens: 1_110,
     outputTokens: 170,
     targetMs: 600,
@@ -55,30 +55,30 @@
 /** A prompt as it is drawn. */
 export interface DrawnPrompt {
   readonly kind: PromptKind;
-  readonly part: string;
+  readonly sharedPrefix: string;
   readonly ownTokens: number;
   readonly outputTokens: number;
 }
 
 /** Spread of the logarithm of sizes, and the largest in means. */
 const SIZE_SPREAD = 1.05;
-const MAX_OWN = 14;
-const MAX_OUTPUT = 4;
+const MAX_OWN_FACTOR = 14;
+const MAX_OUTPUT_FACTOR = 4;
 
 /** Draws a prompt of the kind. */
 export function drawPrompt(kind: PromptKind, random: Random): DrawnPrompt {
   return {
     kind,
-    part: `${kind.name}/${Math.floor(random() * kind.parts)}`,
-    ownTokens: drawSize(kind.ownTokens, MAX_OWN, random),
-    outputTokens: drawSize(kind.outputTokens, MAX_OUTPUT, random),
+    sharedPrefix: `${kind.name}/${Math.floor(random() * kind.sharedPrefixes)}`,
+    ownTokens: drawSize(kind.ownTokens, MAX_OWN_FACTOR, random),
+    outputTokens: drawSize(kind.outputTokens, MAX_OUTPUT_FACTOR, random),
   };
 }
 
 /** A size around the mean, by a logarithmic normal distribution. */
-function drawSize(mean: number, most: number, random: Random): number {
+function drawSize(mean: number, maxFactor: number, random: Random): number {
   const normal = Math.sqrt(-2 * Math.log(1 - random())) *
     Math.cos(2 * Math.PI * random());
   const factor = Math.exp(SIZE_SPREAD * normal - SIZE_SPREAD ** 2 / 2);
-  return Math.ceil(mean * Math.min(most, factor));
+  return Math.ceil(mean * Math.min(maxFactor, factor));
 }
--- a/src/measure/prompt_load.ts
+++ b/src/measure/prompt_load.ts
@@ -14,11 +14,11 @@
 import { getReadingMs, wideEngine } from "../testing/emulated_engine.ts";
 import type { ScenarioOptions } from "./main.ts";
 import { getMeans, type PromptResult } from "./prompt_result.ts";
-import { playPrompts } from "./prompt_world.ts";
+import { simulatePrompts } from "./prompt_simulation.ts";
 import { mapValues, type Report } from "./report.ts";
 
-const FACTOR = 1;
-const FLOOD_SHARE = 0.5;
+const LOAD_FACTOR = 1;
+const OVERLOADING_TEAM_SHARE = 0.5;
 
 /** Runs with seeds after the one given; one run's figures differ by 0.03. */
 const RUNS = 4;
@@ -33,10 +33,13 @@
   /** What an upstream may have to read at once, if it isn't learned. */
   readonly limitTokens?: number;
   /** What a prompt counts for, if not its tokens. */
-  readonly getReading?: (tokens: number, keptTokens: number) => number;
+  readonly countPrefillTokens?: (
+    tokens: number,
+    cachedTokens: number,
+  ) => number;
 }
 
-const ours: PromptPolicy = {
+const routerPolicy: PromptPolicy = {
   queue: defaultPromptQueueOptions,
   isLoadShared: true,
 };
@@ -46,25 +49,25 @@
 }
 
 /** A prompt counts for all that it has to read. */
-const countedWhole: PromptQueueOptions = {
+const withoutCountLimit: PromptQueueOptions = {
   ...defaultPromptQueueOptions,
   maxCountedShare: Infinity,
 };
 
 /** Counts ms of reading, by the sheet of one deployment's engines. */
-const countedByOneSheet: PromptPolicy = {
-  queue: { ...countedWhole, negligibleTokens: 15 },
+const countedInPrefillMs: PromptPolicy = {
+  queue: { ...withoutCountLimit, negligibleTokens: 15 },
   isLoadShared: true,
   limitTokens: 150,
-  getReading: (tokens, keptTokens) =>
-    Math.ceil(getReadingMs(wideEngine, tokens, keptTokens)),
+  countPrefillTokens: (tokens, cachedTokens) =>
+    Math.ceil(getReadingMs(wideEngine, tokens, cachedTokens)),
 };
 
 /** Twice as much being read at an upstream, the oldest first. */
 export const earlierPolicy: PromptPolicy = {
-  ...countedByOneSheet,
+  ...countedInPrefillMs,
   queue: {
-    ...countedByOneSheet.queue,
+    ...countedInPrefillMs.queue,
     spilloverShare: 0.25,
     refusesEarly: false,
     yieldsToUnderserved: false,
@@ -74,58 +77,58 @@
 };
 
 /** A limit fixed for the engines of one deployment. */
-export const fixedPolicy: PromptPolicy = countedByOneSheet;
+export const fixedLimitPolicy: PromptPolicy = countedInPrefillMs;
 
 const baselines: Readonly<Record<string, PromptPolicy>> = {
   earlier: earlierPolicy,
-  fixed: fixedPolicy,
-  counted_whole: { ...ours, queue: countedWhole },
+  fixed: fixedLimitPolicy,
+  counted_whole: { ...routerPolicy, queue: withoutCountLimit },
   oldest_first: {
-    ...ours,
+    ...routerPolicy,
     queue: { ...defaultPromptQueueOptions, compare: compareOldestFirst },
   },
   floods_yield_nothing: {
-    ...ours,
+    ...routerPolicy,
     queue: {
       ...defaultPromptQueueOptions,
       overShareLimit: defaultPromptQueueOptions.limit,
     },
   },
   sparse_yield_nothing: {
-    ...ours,
+    ...routerPolicy,
     queue: {
       ...defaultPromptQueueOptions,
       inefficientLimit: defaultPromptQueueOptions.limit,
     },
   },
   never_elsewhere: {
-    ...ours,
+    ...routerPolicy,
     queue: { ...defaultPromptQueueOptions, spilloverShare: Infinity },
   },
   never_refused_early: {
-    ...ours,
+    ...routerPolicy,
     queue: { ...defaultPromptQueueOptions, refusesEarly: false },
   },
   nothing_left_to_underserved: {
-    ...ours,
+    ...routerPolicy,
     queue: { ...defaultPromptQueueOptions, yieldsToUnderserved: false },
   },
   all_slots: {
-    ...ours,
+    ...routerPolicy,
     queue: {
       ...defaultPromptQueueOptions,
       limit: { slotShare: 1, prefillShare: 1 },
     },
   },
-  fixed_half: { ...ours, limitTokens: 7_000 },
-  fixed_wide: { ...ours, limitTokens: 56_000 },
-  each_host_alone: { ...ours, isLoadShared: false },
+  fixed_half: { ...routerPolicy, limitTokens: 7_000 },
+  fixed_wide: { ...routerPolicy, limitTokens: 56_000 },
+  each_host_alone: { ...routerPolicy, isLoadShared: false },
 };
 
 /** Runs the scenario with the queue's policy and with each baseline. */
 export function measurePromptLoad(options: ScenarioOptions): Report {
-  const result = playAll(options, ours);
-  const others = mapValues(baselines, (policy) => playAll(options, policy));
+  const result = simulateAll(options, routerPolicy);
+  const others = mapValues(baselines, (policy) => simulateAll(options, policy));
   const getFigure = (name: keyof PromptResult) => ({
     name: `${name}_share`,
     value: result[name],
@@ -149,15 +152,15 @@
   };
 }
 
-function playAll({ seed, hosts }: ScenarioOptions, policy: PromptPolicy) {
+function simulateAll({ seed, hosts }: ScenarioOptions, policy: PromptPolicy) {
   const seeds = Array.from({ length: RUNS }, (_, at) => seed + at);
   return getMeans(seeds.map((each) =>
-    playPrompts({
+    simulatePrompts({
       ...policy,
       seed: each,
       hosts,
-      factor: FACTOR,
-      floodShare: FLOOD_SHARE,
+      factor: LOAD_FACTOR,
+      overloadingTeamShare: OVERLOADING_TEAM_SHARE,
       engine: wideEngine,
       pauseTargetMs: PAUSE_TARGET_MS,
     })
--- a/src/measure/prompt_result.ts
+++ b/src/measure/prompt_result.ts
@@ -5,7 +5,7 @@
  */
 
 /** One prompt, after the play. */
-export interface PlayedPrompt {
+export interface SimulatedPrompt {
   readonly team: string;
   readonly ownTokens: number;
   readonly isServed: boolean;
@@ -25,7 +25,7 @@
 }
 
 /** Name of the team that floods. */
-export const FLOOD = "flood";
+export const OVERLOADING_TEAM = "flood";
 
 /** A prompt with more tokens of its own counts as long. */
 const LONG_TOKENS = 13_000;
@@ -43,17 +43,17 @@
 }
 
 /** Shares over all that was meant. */
-export function summarise(meant: readonly PlayedPrompt[]): PromptResult {
+export function summarise(prompts: readonly SimulatedPrompt[]): PromptResult {
   const getShare = (
-    all: readonly PlayedPrompt[],
-    has: (prompt: PlayedPrompt) => boolean,
+    all: readonly SimulatedPrompt[],
+    has: (prompt: SimulatedPrompt) => boolean,
   ) => all.filter(has).length / Math.max(1, all.length);
-  const calm = meant.filter((each) => each.team !== FLOOD);
-  const long = meant.filter((each) => each.ownTokens >= LONG_TOKENS);
+  const otherTeams = prompts.filter((each) => each.team !== OVERLOADING_TEAM);
+  const longPrompts = prompts.filter((each) => each.ownTokens >= LONG_TOKENS);
   return {
-    onTime: getShare(meant, (each) => each.isOnTime),
-    served: getShare(meant, (each) => each.isServed),
-    calmOnTime: getShare(calm, (each) => each.isOnTime),
-    longServed: getShare(long, (each) => each.isServed),
+    onTime: getShare(prompts, (each) => each.isOnTime),
+    served: getShare(prompts, (each) => each.isServed),
+    calmOnTime: getShare(otherTeams, (each) => each.isOnTime),
+    longServed: getShare(longPrompts, (each) => each.isServed),
   };
 }
--- a/src/measure/prompt_world.ts
+++ b/src/measure/prompt_simulation.ts
@@ -36,35 +36,35 @@
 import { createVirtualScheduler } from "./virtual_scheduler.ts";
 import { type DrawnPrompt, drawPrompt, promptKinds } from "./prompt_kinds.ts";
 import {
-  FLOOD,
-  type PlayedPrompt,
+  OVERLOADING_TEAM,
   type PromptResult,
+  type SimulatedPrompt,
   summarise,
 } from "./prompt_result.ts";
 import { createRandom } from "./random.ts";
 
 /** What is played. */
-export interface PromptWorldOptions {
+export interface PromptSimulationOptions {
   readonly seed: number;
   readonly hosts: number;
   /** Load, in that of a heavy day. */
   readonly factor: number;
   /** Share of the requests that one team sends. */
-  readonly floodShare: number;
+  readonly overloadingTeamShare: number;
   readonly queue: PromptQueueOptions;
   /** Whether hosts tell each other their load. */
   readonly isLoadShared: boolean;
   /** What an upstream may have to read at once, if it isn't learned. */
   readonly limitTokens?: number | undefined;
   /** What a prompt counts for; the program's own count where absent. */
-  readonly getReading?: typeof getPrefillTokens | undefined;
+  readonly countPrefillTokens?: typeof getPrefillTokens | undefined;
   readonly engine: EngineFigures;
   /** Longest pause between two events that is on time, in ms. */
   readonly pauseTargetMs: number;
 }
 
 const ENGINES = 6;
-const PLAYED_MS = 20_000;
+const SIMULATED_MS = 20_000;
 const TICK_MS = 10;
 const REPORT_MS = 100;
 
@@ -72,7 +72,7 @@
 const LINK_MS = 8;
 
 /** Tries of one request; what is refused twice is given up. */
-const MAX_TRIES = 2;
+const MAX_ATTEMPTS = 2;
 
 /** Shortest target of a kind, in ms. */
 const TIGHTEST_TARGET_MS = Math.min(
@@ -80,27 +80,27 @@
 );
 
 /** An answer without a late pause counts once in so long, in ms. */
-const PAUSE_NOTE_MS = 1_000;
+const PAUSE_SAMPLE_MS = 1_000;
 
 /** Teams besides the one that floods. */
-const CALM_TEAMS = 15;
+const OTHER_TEAMS = 15;
 
 /** Tokens a second that the operators of the deployments state. */
 const STATED_CAPACITY = 238_000;
 
-interface Meant extends DrawnPrompt, PlayedPrompt {
+interface SimulatedRequest extends DrawnPrompt, SimulatedPrompt {
   readonly team: string;
-  readonly meantMs: number;
+  readonly intendedMs: number;
   /** Tokens to read where the shared part is kept, attention counted. */
-  readonly ownReading: number;
-  tries: number;
+  readonly cachedPrefillTokens: number;
+  attempts: number;
   isServed: boolean;
   isOnTime: boolean;
 }
 
 interface Host {
   readonly view: LoadView;
-  readonly sums: LoadReporter;
+  readonly loadReporter: LoadReporter;
   readonly queue: PromptQueue;
   readonly pacing: Pacing;
 }
@@ -109,8 +109,10 @@
 const SERVICE_DIGEST = getNameDigest(SERVICE);
 
 /** Plays twenty seconds. */
-export function playPrompts(options: PromptWorldOptions): PromptResult {
-  const { getReading = getPrefillTokens } = options;
+export function simulatePrompts(
+  options: PromptSimulationOptions,
+): PromptResult {
+  const { countPrefillTokens = getPrefillTokens } = options;
   const random = createRandom(options.seed);
   const scheduler = createVirtualScheduler();
   const { clock } = scheduler;
@@ -137,7 +139,7 @@
       getRemoteStats: () => view.getOthersLearned(SERVICE),
       onChanged: () => {},
     });
-    const sums = createLoadReporter({
+    const loadReporter = createLoadReporter({
       clock,
       self,
       getHosts: () => peers,
@@ -145,9 +147,9 @@
       createOwnContent: view.createOwnContent,
       onOthersLoad: view.receive,
     });
-    return { view, sums, pacing, queue: createQueue(view, pacing) };
+    return { view, loadReporter, pacing, queue: createQueue(view, pacing) };
   });
-  const meant: Meant[] = [];
+  const requests: SimulatedRequest[] = [];
 
   /** The world moves by whole milliseconds. */
   function runAt(atMs: number, run: () => void): void {
@@ -181,23 +183,25 @@
 
   function arrive(drawn: DrawnPrompt): void {
     const { kind, ownTokens } = drawn;
-    const isFlood = random() < options.floodShare;
-    const req: Meant = {
+    const isOverloading = random() < options.overloadingTeamShare;
+    const req: SimulatedRequest = {
       ...drawn,
-      team: isFlood ? FLOOD : `team-${Math.floor(random() * CALM_TEAMS)}`,
-      meantMs: nowMs(),
-      ownReading: getReading(ownTokens, kind.sharedTokens),
-      tries: 0,
+      team: isOverloading
+        ? OVERLOADING_TEAM
+        : `team-${Math.floor(random() * OTHER_TEAMS)}`,
+      intendedMs: nowMs(),
+      cachedPrefillTokens: countPrefillTokens(ownTokens, kind.sharedTokens),
+      attempts: 0,
       isServed: false,
       isOnTime: false,
     };
-    meant.push(req);
+    requests.push(req);
     send(req);
   }
 
-  function send(req: Meant): void {
-    req.tries++;
-    const { kind, ownReading } = req;
+  function send(req: SimulatedRequest): void {
+    req.attempts++;
+    const { kind, cachedPrefillTokens } = req;
     const host = hosts[Math.floor(random() * hosts.length)]!;
     const { view, queue } = host;
     const prompt = toPrompt(req);
@@ -205,20 +209,20 @@
     const workTokens = getWorkTokens(prompt);
     view.recordAsked(req.team, size);
     view.recordWork(size, workTokens);
-    const early = queue.tryRefuseEarly({
+    const earlyRefusal = queue.tryRefuseEarly({
       team: req.team,
       route: kind.name,
       targetMs: kind.targetMs,
     });
-    if (early !== undefined) return comeBack(req, early);
-    const wholeReading = getReading(prompt.promptTokens, 0);
-    const choices = rankByRendezvous(req.part, engineIds)
+    if (earlyRefusal !== undefined) return retryLater(req, earlyRefusal);
+    const uncachedPrefillTokens = countPrefillTokens(prompt.promptTokens, 0);
+    const rankedUpstreams = rankByRendezvous(req.sharedPrefix, engineIds)
       .map((upstream, at) => ({
         upstream,
-        readingTokens: at === 0 ? ownReading : wholeReading,
+        readingTokens: at === 0 ? cachedPrefillTokens : uncachedPrefillTokens,
       }));
     queue.add({
-      request: `request-${meant.length}`,
+      request: `request-${requests.length}`,
       team: req.team,
       arrivedMs: nowMs(),
       targetMs: kind.targetMs,
@@ -226,41 +230,44 @@
       route: kind.name,
       serviceTokens: size,
       workTokens,
-      getUpstreams: () => choices,
+      getUpstreams: () => rankedUpstreams,
       isCallerConnected: () => true,
       start: (engine, reading) => run(req, host, engine, reading),
-      refuse: (refusal) => comeBack(req, refusal),
+      refuse: (refusal) => retryLater(req, refusal),
     });
   }
 
-  function comeBack(req: Meant, { retryAfterMs }: PromptRefusal): void {
-    if (req.tries >= MAX_TRIES) return;
+  function retryLater(
+    req: SimulatedRequest,
+    { retryAfterMs }: PromptRefusal,
+  ): void {
+    if (req.attempts >= MAX_ATTEMPTS) return;
     runAt(nowMs() + retryAfterMs, () => send(req));
   }
 
   function run(
-    req: Meant,
+    req: SimulatedRequest,
     { view, pacing }: Host,
     engine: string,
     { readingTokens, queuedTokens }: PrefillTokens,
   ): void {
     const { kind } = req;
     const startedMs = nowMs();
-    let notedMs = startedMs;
+    let sampledMs = startedMs;
     let isPauseLate = false;
 
-    function notePause(pauseMs: number, atMs: number): void {
+    function samplePause(pauseMs: number, atMs: number): void {
       if (isPauseLate) return;
       isPauseLate = pauseMs > options.pauseTargetMs;
-      if (!isPauseLate && atMs - notedMs < PAUSE_NOTE_MS) return;
-      notedMs = atMs;
+      if (!isPauseLate && atMs - sampledMs < PAUSE_SAMPLE_MS) return;
+      sampledMs = atMs;
       pacing.recordPause(isPauseLate);
     }
 
     let lastMs: number | undefined;
     let isOnTime = true;
     engines.get(engine)!.add({
-      sharedPart: req.part,
+      sharedPart: req.sharedPrefix,
       sharedTokens: kind.sharedTokens,
       ownTokens: req.ownTokens,
       outputTokens: req.outputTokens,
@@ -271,11 +278,11 @@
             view.endPrefill(engine, readingTokens);
             pacing.recordFirstEvent(queuedTokens, nowMs() - startedMs);
           });
-        } else notePause(atMs - lastMs, atMs);
-        const limitMs = lastMs === undefined
+        } else samplePause(atMs - lastMs, atMs);
+        const targetMs = lastMs === undefined
           ? kind.targetMs
           : options.pauseTargetMs;
-        if (atMs - (lastMs ?? req.meantMs) > limitMs) isOnTime = false;
+        if (atMs - (lastMs ?? req.intendedMs) > targetMs) isOnTime = false;
         lastMs = atMs;
       },
       onEnd(atMs) {
@@ -287,17 +294,19 @@
   }
 
   function report(from: Host): void {
-    for (const { to, report: told } of from.sums.createReports()) {
+    for (
+      const { to, report: loadReport } of from.loadReporter.createReports()
+    ) {
       const receivers = hosts.filter((_, at) =>
         to.includes(peers[at]!.peerAddress)
       );
       runAt(nowMs() + LINK_MS, () => {
-        for (const each of receivers) each.sums.receive(told);
+        for (const each of receivers) each.loadReporter.receive(loadReport);
       });
     }
   }
 
-  for (; nowMs() < PLAYED_MS; clock.advance(1)) {
+  for (; nowMs() < SIMULATED_MS; clock.advance(1)) {
     for (const kind of promptKinds) {
       const isDue = random() * 1_000 < kind.perSecond * options.factor;
       if (isDue) arrive(drawPrompt(kind, random));
@@ -310,17 +319,17 @@
     });
     for (const engine of engines.values()) engine.advance(nowMs());
   }
-  return summarise(meant);
+  return summarise(requests);
 }
 
 function toPrompt(drawn: DrawnPrompt): Prompt {
-  const { kind, part, ownTokens, outputTokens } = drawn;
+  const { kind, sharedPrefix, ownTokens, outputTokens } = drawn;
   return {
     model: "model",
     promptTokens: kind.sharedTokens + ownTokens,
     maxOutputTokens: outputTokens,
     parts: [
-      { id: part, tokens: kind.sharedTokens },
+      { id: sharedPrefix, tokens: kind.sharedTokens },
       { id: "own", tokens: ownTokens },
     ],
   };
--- a/src/queue/prompt_load_test.ts
+++ b/src/queue/prompt_load_test.ts
@@ -2,11 +2,11 @@
 import { test } from "node:test";
 import {
   earlierPolicy,
-  fixedPolicy,
+  fixedLimitPolicy,
   type PromptPolicy,
 } from "../measure/prompt_load.ts";
 import { getMeans, type PromptResult } from "../measure/prompt_result.ts";
-import { playPrompts } from "../measure/prompt_world.ts";
+import { simulatePrompts } from "../measure/prompt_simulation.ts";
 import {
   type EngineFigures,
   narrowEngine,
@@ -46,13 +46,13 @@
   engines: Engines = wide,
 ): PromptResult {
   return getMeans(SEEDS.map((seed) =>
-    playPrompts({
+    simulatePrompts({
       ...policy,
       ...engines,
       seed,
       hosts: 7,
       factor,
-      floodShare: 0.1,
+      overloadingTeamShare: 0.1,
     })
   ));
 }
@@ -110,7 +110,7 @@
   // which the limit was fixed, under overload, 0.41 and 0.58.
   const loads = [[0.7, narrow], [1.3, wide]] as const;
   for (const [factor, engines] of loads) {
-    const before = simulateAll(fixedPolicy, factor, engines).longServed;
+    const before = simulateAll(fixedLimitPolicy, factor, engines).longServed;
     const after = simulateAll(currentPolicy, factor, engines).longServed;
     ok(after > before + 0.05, `${after}, before ${before}`);
   }
