--- a/src/measure/prompt_kinds.ts
+++ b/src/measure/prompt_kinds.ts
@@ -1,27 +1,30 @@
 /**
- * The prompts of the deployments, as their sheets state them: kinds, sizes and how
- * much sizes vary.
+ * Kinds of prompts in the deployments, with their sizes, the variation of the
+ * sizes and their rates, as the data sheets of the deployments state them.
  *
  * @module
  */
 
 import type { Random } from "./random.ts";
 
-/** A kind of prompt; sizes are means. */
+/** A kind of prompt. */
 export interface PromptKind {
   readonly name: "survey" | "summary" | "chat";
-  /** Requests a second of a heavy day. */
+  /** Requests per second on a heavy day. */
   readonly perSecond: number;
+  /** Tokens of the prefix that prompts share; the same for all of a kind. */
   readonly sharedTokens: number;
-  /** Shared parts, each asked for as often. */
+  /** Number of shared prefixes, each used equally often. */
   readonly sharedPrefixes: number;
+  /** Mean tokens of the unshared suffix. */
   readonly ownTokens: number;
+  /** Mean tokens of the answer. */
   readonly outputTokens: number;
-  /** Time to the first event that is on time, in ms. */
+  /** Target time to the first event of the answer, in ms. */
   readonly targetMs: number;
 }
 
-/** The kinds of the deployments with their heavy days' rates. */
+/** Kinds of prompts, with their rates on a heavy day. */
 export const promptKinds: readonly PromptKind[] = [
   {
     name: "survey",
@@ -52,20 +55,23 @@
   },
 ];
 
-/** A prompt as it is drawn. */
+/** A prompt with a random shared prefix and random sizes. */
 export interface DrawnPrompt {
   readonly kind: PromptKind;
+  /** Id of the shared prefix. */
   readonly sharedPrefix: string;
   readonly ownTokens: number;
   readonly outputTokens: number;
 }
 
-/** Spread of the logarithm of sizes, and the largest in means. */
+/** Standard deviation of the logarithm of sizes. */
 const SIZE_SPREAD = 1.05;
+
+/** Largest sizes of suffixes and answers, as multiples of the mean. */
 const MAX_OWN_FACTOR = 14;
 const MAX_OUTPUT_FACTOR = 4;
 
-/** Draws a prompt of the kind. */
+/** Draws a random prompt of the kind. */
 export function drawPrompt(kind: PromptKind, random: Random): DrawnPrompt {
   return {
     kind,
@@ -75,7 +81,7 @@
   };
 }
 
-/** A size around the mean, by a logarithmic normal distribution. */
+/** Draws a size from a log-normal distribution with the mean, cut off above. */
 function drawSize(mean: number, maxFactor: number, random: Random): number {
   const normal = Math.sqrt(-2 * Math.log(1 - random())) *
     Math.cos(2 * Math.PI * random());
--- a/src/measure/prompt_load.ts
+++ b/src/measure/prompt_load.ts
@@ -1,7 +1,8 @@
 /**
- * Scenario `prompt-load`: a heavy day's prompts, half of them from one team, before
- * six engines. Compares the queue's policy with earlier ones and with hosts that
- * know only their own load, in the same run.
+ * Scenario `prompt-load`: the prompts of a heavy day, half of them from one
+ * team, on six engines. Compares the policy of the queue with variants of it,
+ * with a policy that serves the oldest prompt first, and with hosts that know
+ * only their own load.
  *
  * @module
  */
@@ -17,22 +18,27 @@
 import { simulatePrompts } from "./prompt_simulation.ts";
 import { mapValues, type Report } from "./report.ts";
 
+/** Load, relative to a heavy day. */
 const LOAD_FACTOR = 1;
+/** Share of the prompts that one team sends. */
 const OVERLOADING_TEAM_SHARE = 0.5;
 
-/** Runs with seeds after the one given; one run's figures differ by 0.03. */
+/**
+ * Number of runs with consecutive seeds: figures of single runs differ by 0.03.
+ */
 const RUNS = 4;
 
-/** Longest pause that is on time beside the engines played, in ms. */
+/** Target for the pauses between events with the simulated engines, in ms. */
 const PAUSE_TARGET_MS = 400;
 
-/** A queue's policy, for comparison. */
+/** A policy to compare. */
 export interface PromptPolicy {
   readonly queue: PromptQueueOptions;
+  /** Whether hosts report their load to each other. */
   readonly isLoadShared: boolean;
-  /** What an upstream may have to read at once, if it isn't learned. */
+  /** Fixed prefill limit of an upstream; learned if absent. */
   readonly limitTokens?: number;
-  /** What a prompt counts for, if not its tokens. */
+  /** Weight of a prompt in the prefill limit; the router's count if absent. */
   readonly countPrefillTokens?: (
     tokens: number,
     cachedTokens: number,
@@ -48,13 +54,16 @@
   return a.arrivedMs - b.arrivedMs;
 }
 
-/** A prompt counts for all that it has to read. */
+/** Counts all tokens of a prompt, however long it is. */
 const withoutCountLimit: PromptQueueOptions = {
   ...defaultPromptQueueOptions,
   maxCountedShare: Infinity,
 };
 
-/** Counts ms of reading, by the sheet of one deployment's engines. */
+/**
+ * Counts prompts in ms of prefill and limits them to 150 ms, a value that fits
+ * the engines of one deployment.
+ */
 const countedInPrefillMs: PromptPolicy = {
   queue: { ...withoutCountLimit, negligibleTokens: 15 },
   isLoadShared: true,
@@ -63,7 +72,10 @@
     Math.ceil(getReadingMs(wideEngine, tokens, cachedTokens)),
 };
 
-/** Twice as much being read at an upstream, the oldest first. */
+/**
+ * Serves the oldest prompt first, with twice the fixed limit, and refuses no
+ * prompt early.
+ */
 export const earlierPolicy: PromptPolicy = {
   ...countedInPrefillMs,
   queue: {
@@ -76,9 +88,10 @@
   limitTokens: 300,
 };
 
-/** A limit fixed for the engines of one deployment. */
+/** Uses the fixed limit for the engines of one deployment. */
 export const fixedLimitPolicy: PromptPolicy = countedInPrefillMs;
 
+/** Policies to compare with, by their names in reports. */
 const baselines: Readonly<Record<string, PromptPolicy>> = {
   earlier: earlierPolicy,
   fixed: fixedLimitPolicy,
@@ -125,7 +138,7 @@
   each_host_alone: { ...routerPolicy, isLoadShared: false },
 };
 
-/** Runs the scenario with the queue's policy and with each baseline. */
+/** Runs the scenario with the policy of the queue and with each baseline. */
 export function measurePromptLoad(options: ScenarioOptions): Report {
   const result = simulateAll(options, routerPolicy);
   const others = mapValues(baselines, (policy) => simulateAll(options, policy));
--- a/src/measure/prompt_result.ts
+++ b/src/measure/prompt_result.ts
@@ -1,36 +1,42 @@
 /**
- * What callers got of the prompts that were played.
+ * Results of a prompt simulation, as its callers see them.
  *
  * @module
  */
 
-/** One prompt, after the play. */
+/** A prompt after the simulation. */
 export interface SimulatedPrompt {
   readonly team: string;
+  /** Tokens of the unshared suffix. */
   readonly ownTokens: number;
   readonly isServed: boolean;
-  /** First event and all pauses within their targets. */
+  /**
+   * Whether the first event and all pauses between events met their targets.
+   */
   readonly isOnTime: boolean;
 }
 
-/** What callers got, as shares of the requests that they meant. */
+/** Shares of prompts, retries of one prompt counted as one. */
 export interface PromptResult {
-  /** First event and all pauses on time, refusals before it counted. */
+  /** Share on time, where the time of refused attempts counts too. */
   readonly onTime: number;
+  /** Share that was answered. */
   readonly served: number;
-  /** Of the teams that don't flood, on time. */
+  /**
+   * Share on time among the prompts of teams that do not overload the fleet.
+   */
   readonly calmOnTime: number;
-  /** Of the prompts that take longest to read, served. */
+  /** Share answered among the longest prompts. */
   readonly longServed: number;
 }
 
-/** Name of the team that floods. */
+/** Id of the team that sends far more than its share. */
 export const OVERLOADING_TEAM = "flood";
 
-/** A prompt with more tokens of its own counts as long. */
+/** Tokens of the unshared suffix from which a prompt is one of the longest. */
 const LONG_TOKENS = 13_000;
 
-/** Means over results, figure by figure. */
+/** Returns the mean of each figure over the results. */
 export function getMeans(results: readonly PromptResult[]): PromptResult {
   const getMean = (name: keyof PromptResult) =>
     results.reduce((sum, each) => sum + each[name], 0) / results.length;
@@ -42,7 +48,7 @@
   };
 }
 
-/** Shares over all that was meant. */
+/** Computes the shares over all prompts. */
 export function summarise(prompts: readonly SimulatedPrompt[]): PromptResult {
   const getShare = (
     all: readonly SimulatedPrompt[],
--- a/src/measure/prompt_simulation.ts
+++ b/src/measure/prompt_simulation.ts
@@ -1,7 +1,7 @@
 /**
- * Hosts with the real queue and the real view of the fleet's load before emulated
- * engines, in virtual time: prompts come at random, wait, are refused and come
- * back once. For comparing policies.
+ * Simulation of hosts and emulated engines in virtual time, for the comparison
+ * of queue policies. Each host runs the real prompt queue, pacing and load
+ * view. Prompts arrive at random; callers retry a refused prompt once.
  *
  * @module
  */
@@ -43,55 +43,61 @@
 } from "./prompt_result.ts";
 import { createRandom } from "./random.ts";
 
-/** What is played. */
+/** Options of a simulation. */
 export interface PromptSimulationOptions {
   readonly seed: number;
   readonly hosts: number;
-  /** Load, in that of a heavy day. */
+  /** Load, relative to a heavy day. */
   readonly factor: number;
-  /** Share of the requests that one team sends. */
+  /** Share of the prompts that one team sends. */
   readonly overloadingTeamShare: number;
   readonly queue: PromptQueueOptions;
-  /** Whether hosts tell each other their load. */
+  /** Whether hosts report their load to each other. */
   readonly isLoadShared: boolean;
-  /** What an upstream may have to read at once, if it isn't learned. */
+  /** Fixed prefill limit of an upstream; learned if absent. */
   readonly limitTokens?: number | undefined;
-  /** What a prompt counts for; the program's own count where absent. */
+  /** Weight of a prompt in the prefill limit; the router's count if absent. */
   readonly countPrefillTokens?: typeof getPrefillTokens | undefined;
   readonly engine: EngineFigures;
-  /** Longest pause between two events that is on time, in ms. */
+  /** Target for the pauses between two events of an answer, in ms. */
   readonly pauseTargetMs: number;
 }
 
 const ENGINES = 6;
 const SIMULATED_MS = 20_000;
+/** Period of a host's scheduling passes. */
 const TICK_MS = 10;
+/** Period of a host's load reports. */
 const REPORT_MS = 100;
 
-/** From one host to another, in ms. */
+/** Delay of a message between a host and an engine or another host, in ms. */
 const LINK_MS = 8;
 
-/** Tries of one request; what is refused twice is given up. */
+/** Attempts of a prompt; callers do not retry after the second refusal. */
 const MAX_ATTEMPTS = 2;
 
-/** Shortest target of a kind, in ms. */
+/** Shortest target of all kinds for the first event, in ms. */
 const TIGHTEST_TARGET_MS = Math.min(
   ...promptKinds.map((kind) => kind.targetMs),
 );
 
-/** An answer without a late pause counts once in so long, in ms. */
+/**
+ * Period in which an answer without a late pause gives one sample to the
+ * pacing, in ms. The first late pause of an answer gives a sample at once.
+ */
 const PAUSE_SAMPLE_MS = 1_000;
 
-/** Teams besides the one that floods. */
+/** Number of teams other than the overloading one. */
 const OTHER_TEAMS = 15;
 
-/** Tokens a second that the operators of the deployments state. */
+/** Tokens per second of the engines, as operators state them. */
 const STATED_CAPACITY = 238_000;
 
 interface SimulatedRequest extends DrawnPrompt, SimulatedPrompt {
   readonly team: string;
+  /** Time of the first attempt, from which delays are measured. */
   readonly intendedMs: number;
-  /** Tokens to read where the shared part is kept, attention counted. */
+  /** Prefill tokens at an engine that has cached the shared prefix. */
   readonly cachedPrefillTokens: number;
   attempts: number;
   isServed: boolean;
@@ -108,7 +114,7 @@
 const SERVICE = "model";
 const SERVICE_DIGEST = getNameDigest(SERVICE);
 
-/** Plays twenty seconds. */
+/** Simulates twenty seconds. */
 export function simulatePrompts(
   options: PromptSimulationOptions,
 ): PromptResult {
@@ -151,7 +157,7 @@
   });
   const requests: SimulatedRequest[] = [];
 
-  /** The world moves by whole milliseconds. */
+  /** Schedules the callback, rounded up to the simulation's step of 1 ms. */
   function runAt(atMs: number, run: () => void): void {
     scheduler.after(Math.ceil(atMs) - nowMs(), run);
   }
