--- a/src/measure/control_traffic.ts
+++ b/src/measure/control_traffic.ts
@@ -75,7 +75,10 @@
  */
 export function measureControlTraffic(options: ScenarioOptions): Report {
   const sizes = getSizes(options.hosts);
-  const ours = run(options, { sizes, createPolicy: createRouterPolicy });
+  const routerResult = run(options, {
+    sizes,
+    createPolicy: createRouterPolicy,
+  });
   const broadcast = run(options, {
     sizes,
     createPolicy: baselines.broadcast!,
@@ -83,7 +86,7 @@
   const { pingIntervalMs: pingMs, idlePingIntervalMs: idlePingMs } =
     defaultPeerLinkOptions;
   const getPings = (periodMs: number) =>
-    2 * ours.links * PING_BYTES * 1_000 / periodMs;
+    2 * routerResult.links * PING_BYTES * 1_000 / periodMs;
   const figure = (name: string, value: number, baseline?: number): Figure => ({
     name,
     value,
@@ -96,7 +99,7 @@
       {
         ...figure(
           "control_bytes_per_request",
-          ours.bytesPerRequest,
+          routerResult.bytesPerRequest,
           broadcast.bytesPerRequest,
         ),
         bound: { kind: "at-most", value: broadcast.bytesPerRequest / 5 },
@@ -104,22 +107,26 @@
       {
         ...figure(
           "control_bytes_per_second_per_daemon",
-          ours.bytesPerHost * sizes.services,
+          routerResult.bytesPerHost * sizes.services,
           broadcast.bytesPerHost * sizes.services,
         ),
         bound: { kind: "at-most", value: TARGET_BYTES_PER_SECOND },
       },
       figure(
         "control_bytes_per_second_of_busiest_daemon_in_one_service",
-        ours.busiestHostBytes,
+        routerResult.busiestHostBytes,
         broadcast.busiestHostBytes,
       ),
       figure(
         "regional_link_share",
-        ours.crossRegionShare,
+        routerResult.crossRegionShare,
         broadcast.crossRegionShare,
       ),
-      figure("links_per_daemon_in_one_service", ours.links, broadcast.links),
+      figure(
+        "links_per_daemon_in_one_service",
+        routerResult.links,
+        broadcast.links,
+      ),
       figure(
         "ping_bytes_per_second_in_one_service_all_links_needed",
         getPings(pingMs),
@@ -128,7 +135,7 @@
         "ping_bytes_per_second_in_one_service_no_link_needed",
         getPings(idlePingMs / 2),
       ),
-      ...[...ours.byKind].map(([kind, bytes]) =>
+      ...[...routerResult.byKind].map(([kind, bytes]) =>
         figure(`payload_bytes_per_request_${kind}`, bytes)
       ),
     ],
--- a/src/measure/fairness.ts
+++ b/src/measure/fairness.ts
@@ -42,14 +42,17 @@
 
 /** Runs the scenario with the router's policy and with each baseline. */
 export function measureFairness(options: ScenarioOptions): Report {
-  const ours = run(options, createRouterPolicy);
-  const others = mapValues(baselines, (policy) => run(options, policy));
-  const gaps = mapValues(others, (result) => result.gap);
+  const routerResult = run(options, createRouterPolicy);
+  const baselineResults = mapValues(
+    baselines,
+    (policy) => run(options, policy),
+  );
+  const gaps = mapValues(baselineResults, (result) => result.gap);
   const derived = getGapBound({
     weights: TEAM_WEIGHTS,
     largestCost: LARGEST_COST,
     slots: FLEET_SLOTS,
-    servicePerSecond: ours.servicePerSecond,
+    servicePerSecond: routerResult.servicePerSecond,
     lagSeconds: LAG_SECONDS,
     crossRegionPenaltyRequests: FAR_PENALTY_REQUESTS,
   });
@@ -59,20 +62,23 @@
     figures: [
       {
         name: "fairness_gap_tokens",
-        value: ours.gap,
+        value: routerResult.gap,
         baselines: gaps,
         bound: { kind: "at-most", value: gaps.hostAlone! / 5 },
       },
       {
         name: "fairness_gap_against_derived_bound_tokens",
-        value: ours.gap,
+        value: routerResult.gap,
         baselines: {},
         bound: { kind: "at-most", value: derived },
       },
       {
         name: "control_bytes_per_request",
-        value: ours.bytesPerRequest,
-        baselines: mapValues(others, (result) => result.bytesPerRequest),
+        value: routerResult.bytesPerRequest,
+        baselines: mapValues(
+          baselineResults,
+          (result) => result.bytesPerRequest,
+        ),
       },
     ],
   };
--- a/src/measure/flood.ts
+++ b/src/measure/flood.ts
@@ -58,7 +58,10 @@
 export function measureFlood(options: ScenarioOptions): Report {
   const withoutFlood = run(options, createRouterPolicy, false);
   const withFlood = run(options, createRouterPolicy, true);
-  const others = mapValues(baselines, (policy) => run(options, policy, true));
+  const baselineResults = mapValues(
+    baselines,
+    (policy) => run(options, policy, true),
+  );
   return {
     scenario: "flood",
     ...options,
@@ -68,7 +71,7 @@
         value: withFlood.longestMs,
         baselines: {
           withoutFlood: withoutFlood.longestMs,
-          ...mapValues(others, (result) => result.longestMs),
+          ...mapValues(baselineResults, (result) => result.longestMs),
         },
         bound: {
           kind: "at-most",
@@ -81,13 +84,13 @@
         value: withFlood.p99Ms,
         baselines: {
           withoutFlood: withoutFlood.p99Ms,
-          ...mapValues(others, (result) => result.p99Ms),
+          ...mapValues(baselineResults, (result) => result.p99Ms),
         },
       },
       {
         name: "small_team_unanswered_requests",
         value: withFlood.unanswered,
-        baselines: mapValues(others, (result) => result.unanswered),
+        baselines: mapValues(baselineResults, (result) => result.unanswered),
         bound: { kind: "at-most", value: 0 },
       },
     ],
--- a/src/measure/prompt_load.ts
+++ b/src/measure/prompt_load.ts
@@ -140,12 +140,15 @@
 
 /** Runs the scenario with the policy of the queue and with each baseline. */
 export function measurePromptLoad(options: ScenarioOptions): Report {
-  const result = simulateAll(options, routerPolicy);
-  const others = mapValues(baselines, (policy) => simulateAll(options, policy));
+  const routerResult = simulateAll(options, routerPolicy);
+  const baselineResults = mapValues(
+    baselines,
+    (policy) => simulateAll(options, policy),
+  );
   const getFigure = (name: keyof PromptResult) => ({
     name: `${name}_share`,
-    value: result[name],
-    baselines: mapValues(others, (each) => each[name]),
+    value: routerResult[name],
+    baselines: mapValues(baselineResults, (each) => each[name]),
   });
   return {
     scenario: "prompt-load",
@@ -153,13 +156,13 @@
     figures: [
       {
         ...getFigure("onTime"),
-        bound: { kind: "at-least", value: others.earlier!.onTime },
+        bound: { kind: "at-least", value: baselineResults.earlier!.onTime },
       },
       getFigure("calmOnTime"),
       getFigure("served"),
       {
         ...getFigure("longServed"),
-        bound: { kind: "at-least", value: result.served / 2 },
+        bound: { kind: "at-least", value: routerResult.served / 2 },
       },
     ],
   };
--- a/src/measure/slow_upstream.ts
+++ b/src/measure/slow_upstream.ts
@@ -48,7 +48,7 @@
 
 /** Runs the scenario with the adaptive limit and with the static one. */
 export function measureSlowUpstream(options: ScenarioOptions): Report {
-  const ours = runCase(options, createRouterPolicy);
+  const adaptiveLimit = runCase(options, createRouterPolicy);
   const staticLimit = runCase(options, createStaticLimitPolicy);
   const figure = (
     name: string,
@@ -56,7 +56,7 @@
     bound?: { kind: "at-most" | "at-least"; value: number },
   ) => ({
     name,
-    value: get(ours),
+    value: get(adaptiveLimit),
     baselines: { staticLimit: get(staticLimit) },
     bound,
   });
--- a/src/measure/utilisation.ts
+++ b/src/measure/utilisation.ts
@@ -40,7 +40,7 @@
 
 /** Runs the scenario with the router's policy and with each baseline. */
 export function measureUtilisation(options: ScenarioOptions): Report {
-  const others = mapValues(
+  const baselineRatios = mapValues(
     baselines,
     (policy) => measureUtilisationRatio(options, policy),
   );
@@ -51,7 +51,7 @@
       {
         name: "use_while_work_waits_ratio",
         value: measureUtilisationRatio(options, createRouterPolicy),
-        baselines: others,
+        baselines: baselineRatios,
         bound: { kind: "at-least", value: 0.98 },
       },
       {
