--- a/src/measure/fleet_fixture.ts
+++ b/src/measure/fleet_fixture.ts
@@ -374,9 +374,7 @@
     });
     return { id, dataCentre };
   });
-  for (const placement of hostPlacements) {
-    startHost(placement.id, placement.dataCentre);
-  }
+  for (const each of hostPlacements) startHost(each.id, each.dataCentre);
   reconcileAll();
 
   const hosts = hostPlacements.map(({ id, dataCentre }): FixtureHost => ({
--- a/src/measure/membership_fixture.ts
+++ b/src/measure/membership_fixture.ts
@@ -83,12 +83,13 @@
 /**
  * Datagrams that the socket of a paused process holds; further ones are lost.
  */
-const SOCKET_BUFFER_DATAGRAMS = 200;
+const SOCKET_BUFFER = 200;
 
 interface Node {
   readonly membership: Membership;
   readonly facts: Set<string>;
-  readonly pendingDatagrams: (() => void)[];
+  /** Datagrams in the socket of the paused process. */
+  readonly unread: (() => void)[];
   pausedUntilMs: number;
   isUp: boolean;
 }
@@ -175,9 +176,7 @@
         const receive = () =>
           node.membership.receive(decode(), addressOf.get(from)!);
         if (node.pausedUntilMs <= clock.monotonicMs()) receive();
-        else if (node.pendingDatagrams.length < SOCKET_BUFFER_DATAGRAMS) {
-          node.pendingDatagrams.push(receive);
-        }
+        else if (node.unread.length < SOCKET_BUFFER) node.unread.push(receive);
       },
     );
   }
@@ -198,7 +197,7 @@
     const node: Node = {
       membership,
       facts,
-      pendingDatagrams: [],
+      unread: [],
       pausedUntilMs: 0,
       isUp: true,
     };
@@ -211,7 +210,7 @@
         return;
       }
       membership.tick();
-      for (const receive of node.pendingDatagrams.splice(0)) receive();
+      for (const receive of node.unread.splice(0)) receive();
       scheduler.after(periodMs, tick);
     };
     scheduler.after(random() * periodMs, tick);
