--- a/src/measure/control_traffic.ts
+++ b/src/measure/control_traffic.ts
@@ -1,14 +1,18 @@
 /**
- * Scenario `control-traffic`: what the hosts say to each other while a tenth of
- * the teams is backlogged and the others send what they always do. With many
- * hosts it runs one of the eleven services of the goal size.
+ * Scenario `control-traffic`: measures the control messages between hosts while
+ * a tenth of the teams are backlogged and the others send their usual load.
+ * From 50 hosts on it runs one of the eleven services of the target size.
  *
  * @module
  */
 
 import { defaultPeerLinkOptions } from "../peers/mod.ts";
-import { baselines, createOurs, type CreatePolicy } from "./baselines.ts";
-import { FLEET_SLOTS, pickHomes, TEAM_WEIGHTS } from "./contended.ts";
+import {
+  baselines,
+  type CreatePolicy,
+  createRouterPolicy,
+} from "./baselines.ts";
+import { FLEET_SLOTS, pickEntryHosts, TEAM_WEIGHTS } from "./contended.ts";
 import {
   createFleetFixture,
   defaultFixtureTimes,
@@ -27,44 +31,54 @@
   SERVICE,
 } from "./workload.ts";
 
-/** From here on the run stands for one service of the goal size. */
-const MANY_HOSTS = 50;
-const GOAL_SERVICES = 11;
+/**
+ * Number of hosts from which a run represents one service of the target size.
+ */
+const TARGET_SIZE_MIN_HOSTS = 50;
+const TARGET_SERVICES = 11;
+/** Share of the teams that are backlogged. */
 const BACKLOGGED_SHARE = 0.1;
 
-/** The teams that are not backlogged use so much of the fleet. */
-const OTHERS_USE = 0.6;
+/** Share of the fleet that the other teams use. */
+const BACKGROUND_UTILISATION = 0.6;
 
-/** Mean time of a request in a slot, in seconds, at the mixed costs. */
-const MEAN_SECONDS = 1.76;
+/** Mean time that a request with mixed costs uses a slot, in seconds. */
+const MEAN_REQUEST_SECONDS = 1.76;
 
-/** A ping or a pong is a frame of two bytes. */
+/** A ping or a pong is a frame of two bytes, in a packet of its own. */
 const PING_BYTES = PACKET_BYTES + 2;
 
-const GOAL_BYTES_PER_SECOND = 3_000;
+const TARGET_BYTES_PER_SECOND = 3_000;
 
 interface Sizes extends DeploymentSizes {
   readonly warmUpMs: number;
   readonly endMs: number;
-  /** Services of which the run stands for one. */
+  /** Number of services of the deployment, of which the run simulates one. */
   readonly services: number;
 }
 
 interface Result {
   readonly bytesPerRequest: number;
-  readonly farShare: number;
-  /** Frames and their packets, of one service, by the daemon in the mean. */
-  readonly bytesPerDaemon: number;
-  /** The same of the daemon that sent most. */
-  readonly mostBytes: number;
+  readonly crossRegionShare: number;
+  /**
+   * Mean bytes per second of a host for one service, packet headers included.
+   */
+  readonly bytesPerHost: number;
+  /** Bytes per second of the host that sent most, for one service. */
+  readonly busiestHostBytes: number;
   readonly links: number;
   readonly byKind: ReadonlyMap<string, number>;
 }
 
-/** Runs the scenario, and counters broadcast to all hosts beside it. */
+/**
+ * Runs the scenario with the router's policy and with the broadcast baseline.
+ */
 export function measureControlTraffic(options: ScenarioOptions): Report {
   const sizes = getSizes(options.hosts);
-  const ours = run(options, { sizes, createPolicy: createOurs });
+  const routerResult = run(options, {
+    sizes,
+    createPolicy: createRouterPolicy,
+  });
   const broadcast = run(options, {
     sizes,
     createPolicy: baselines.broadcast!,
@@ -72,7 +86,7 @@
   const { pingIntervalMs: pingMs, idlePingIntervalMs: idlePingMs } =
     defaultPeerLinkOptions;
   const getPings = (periodMs: number) =>
-    2 * ours.links * PING_BYTES * 1_000 / periodMs;
+    2 * routerResult.links * PING_BYTES * 1_000 / periodMs;
   const figure = (name: string, value: number, baseline?: number): Figure => ({
     name,
     value,
@@ -85,7 +99,7 @@
       {
         ...figure(
           "control_bytes_per_request",
-          ours.bytesPerRequest,
+          routerResult.bytesPerRequest,
           broadcast.bytesPerRequest,
         ),
         bound: { kind: "at-most", value: broadcast.bytesPerRequest / 5 },
@@ -93,18 +107,26 @@
       {
         ...figure(
           "control_bytes_per_second_per_daemon",
-          ours.bytesPerDaemon * sizes.services,
-          broadcast.bytesPerDaemon * sizes.services,
+          routerResult.bytesPerHost * sizes.services,
+          broadcast.bytesPerHost * sizes.services,
         ),
-        bound: { kind: "at-most", value: GOAL_BYTES_PER_SECOND },
+        bound: { kind: "at-most", value: TARGET_BYTES_PER_SECOND },
       },
       figure(
         "control_bytes_per_second_of_busiest_daemon_in_one_service",
-        ours.mostBytes,
-        broadcast.mostBytes,
+        routerResult.busiestHostBytes,
+        broadcast.busiestHostBytes,
+      ),
+      figure(
+        "regional_link_share",
+        routerResult.crossRegionShare,
+        broadcast.crossRegionShare,
+      ),
+      figure(
+        "links_per_daemon_in_one_service",
+        routerResult.links,
+        broadcast.links,
       ),
-      figure("regional_link_share", ours.farShare, broadcast.farShare),
-      figure("links_per_daemon_in_one_service", ours.links, broadcast.links),
       figure(
         "ping_bytes_per_second_in_one_service_all_links_needed",
         getPings(pingMs),
@@ -113,7 +135,7 @@
         "ping_bytes_per_second_in_one_service_no_link_needed",
         getPings(idlePingMs / 2),
       ),
-      ...[...ours.byKind].map(([kind, bytes]) =>
+      ...[...routerResult.byKind].map(([kind, bytes]) =>
         figure(`payload_bytes_per_request_${kind}`, bytes)
       ),
     ],
@@ -121,7 +143,7 @@
 }
 
 function getSizes(hosts: number): Sizes {
-  if (hosts < MANY_HOSTS) {
+  if (hosts < TARGET_SIZE_MIN_HOSTS) {
     return {
       regions: 2,
       dataCentresPerRegion: 2,
@@ -143,7 +165,7 @@
     expectedCost: 60,
     warmUpMs: 4_000,
     endMs: 10_000,
-    services: GOAL_SERVICES,
+    services: TARGET_SERVICES,
   };
 }
 
@@ -160,19 +182,20 @@
     createPolicy,
   });
   sendLoad(fixture, sizes, random);
-  fixture.agenda.runUntil(sizes.warmUpMs);
-  const before = count(fixture);
-  fixture.agenda.runUntil(sizes.endMs);
-  const after = count(fixture);
+  fixture.scheduler.runUntil(sizes.warmUpMs);
+  const before = readTotals(fixture);
+  fixture.scheduler.runUntil(sizes.endMs);
+  const after = readTotals(fixture);
   const requests = after.answered - before.answered;
   const seconds = (sizes.endMs - sizes.warmUpMs) / 1_000;
   const sent = after.sent.map((bytes, at) => bytes - before.sent[at]!);
   const bytes = after.bytes - before.bytes;
   return {
     bytesPerRequest: bytes / requests,
-    farShare: (after.farBytes - before.farBytes) / bytes,
-    bytesPerDaemon: bytes / hosts / seconds,
-    mostBytes: Math.max(...sent) / seconds,
+    crossRegionShare: (after.crossRegionBytes - before.crossRegionBytes) /
+      bytes,
+    bytesPerHost: bytes / hosts / seconds,
+    busiestHostBytes: Math.max(...sent) / seconds,
     links: fixture.hosts.reduce(
       (sum, each) => sum + each.fleet.getLinkCount(),
       0,
@@ -191,16 +214,16 @@
   const { hosts } = fixture;
   const slots = sizes.upstreams * sizes.slotsPerUpstream;
   const backlogged = Math.ceil(teams.length * BACKLOGGED_SHARE);
-  const othersRate = slots / MEAN_SECONDS * OTHERS_USE;
+  const backgroundRate = slots / MEAN_REQUEST_SECONDS * BACKGROUND_UTILISATION;
   teams.forEach((team, at) => {
     const isBacklogged = at % Math.floor(1 / BACKLOGGED_SHARE) === 1;
-    const homes = isBacklogged ? pickHomes(hosts.length, random) : [];
+    const entryHosts = isBacklogged ? pickEntryHosts(hosts.length, random) : [];
     const sender = {
       team: team.id,
       pickHost: () =>
         hosts[
           isBacklogged
-            ? homes[Math.floor(random() * homes.length)]!
+            ? entryHosts[Math.floor(random() * entryHosts.length)]!
             : Math.floor(random() * hosts.length)
         ]!,
       pickCost: () => pickMixedCost(random),
@@ -209,17 +232,17 @@
     if (isBacklogged) {
       keepBacklogged(fixture, sender, { depth: slots, untilMs });
     } else {
-      const perSecond = othersRate / (teams.length - backlogged);
+      const perSecond = backgroundRate / (teams.length - backlogged);
       sendAtRate(fixture, sender, { perSecond, untilMs, random });
     }
   });
 }
 
-function count(fixture: FleetFixture) {
-  const { bytes, farBytes, byKind } = fixture.getControl();
+function readTotals(fixture: FleetFixture) {
+  const { bytes, crossRegionBytes, byKind } = fixture.getControlTraffic();
   return {
     bytes,
-    farBytes,
+    crossRegionBytes,
     byKind: new Map(byKind),
     sent: fixture.hosts.map((each) => fixture.getSentBytes(each.id)),
     answered:
--- a/src/measure/fairness_test.ts
+++ b/src/measure/fairness_test.ts
@@ -1,7 +1,8 @@
 /**
- * The gap between backlogged teams stays under the derived bound: with uneven
- * spread, unequal weights, unknown costs and wrong hints, over a long time, and
- * after the regions were apart. And a request finds a free slot soon.
+ * Tests that the gap between backlogged teams stays within the derived bound,
+ * over time and after a network partition, with unevenly spread callers,
+ * unequal weights, unknown costs and wrong cost hints. Also tests that a
+ * request finds a free slot in time.
  *
  * @module
  */
@@ -10,10 +11,10 @@
 import { test } from "node:test";
 import fc from "fast-check";
 import { FAR_PENALTY_REQUESTS } from "../fleet/mod.ts";
-import { createOurs } from "./baselines.ts";
+import { createRouterPolicy } from "./baselines.ts";
 import {
   createContendedFleet,
-  createTodaysFleet,
+  createReferenceFleet,
   FLEET_SLOTS,
   LARGEST_COST,
   TEAM_WEIGHTS,
@@ -30,12 +31,13 @@
   slots: FLEET_SLOTS,
   servicePerSecond: FLEET_SLOTS * 1_000 / defaultFixtureTimes.tokenMs,
   lagSeconds: 3,
-  farPenaltyRequests: FAR_PENALTY_REQUESTS,
+  crossRegionPenaltyRequests: FAR_PENALTY_REQUESTS,
 });
 
 /**
- * After a cut the largest spread that is carried on, eight of the largest
- * requests, is worked off at the pace of one team's share, within 18 s.
+ * Time until the gap is within the bound after a partition heals. The largest
+ * difference that the counters keep, eight of the largest requests, is balanced
+ * at the rate of one team's share, which takes at most 18 s.
  */
 const HEALED_MS = 20_000;
 
@@ -43,7 +45,7 @@
   return createContendedFleet({
     seed,
     hosts: HOSTS,
-    createPolicy: createOurs,
+    createPolicy: createRouterPolicy,
     untilMs,
   });
 }
@@ -54,15 +56,15 @@
 ): number {
   const meter = createGapMeter(fixture.deployment.teams);
   for (let ms = fromMs; ms <= toMs; ms += 500) {
-    fixture.agenda.runUntil(ms);
+    fixture.scheduler.runUntil(ms);
     meter.sample(fixture.getService(SERVICE));
   }
   return meter.getGap();
 }
 
-test("the gap of backlogged teams stays under the bound and does not grow", () => {
-  // A firm that competes with another sees it served ahead of itself, a little
-  // further each minute.
+test("the gap of backlogged teams stays within the bound over time", () => {
+  // Guards against a drift of the counters, with which one team gets a little
+  // more service than a competing team in each minute.
   fc.assert(
     fc.property(fc.integer({ min: 1, max: 10_000 }), (seed) => {
       const fixture = createFixture(seed, 60_000);
@@ -75,9 +77,10 @@
   );
 });
 
-test("the gap is back under the bound soon after a cut of any length", () => {
-  // The regions lose each other; when they are one again, the teams of one
-  // region wait until an hour's difference is worked off.
+test("the gap is within the bound 20 s after a partition of any length", () => {
+  // Guards against counters that keep the whole difference of a long partition:
+  // when the partition heals, the teams of one region would wait until, for
+  // example, the difference of an hour is balanced.
   fc.assert(
     fc.property(
       fc.integer({ min: 1, max: 10_000 }),
@@ -86,10 +89,10 @@
         const healMs = 15_000 + cutMs;
         const fromMs = healMs + HEALED_MS;
         const fixture = createFixture(seed, fromMs + 20_000);
-        fixture.agenda.runUntil(15_000);
-        fixture.setCut(true);
-        fixture.agenda.runUntil(healMs);
-        fixture.setCut(false);
+        fixture.scheduler.runUntil(15_000);
+        fixture.setPartitioned(true);
+        fixture.scheduler.runUntil(healMs);
+        fixture.setPartitioned(false);
         const gap = measureGap(fixture, { fromMs, toMs: fromMs + 20_000 });
         assert.ok(gap <= BOUND, `gap ${gap} over ${BOUND}`);
       },
@@ -99,19 +102,19 @@
 });
 
 test("a request gets the one free slot of its region within 250 ms", () => {
-  // A caller waits although an engine has room, since the owners that its host
-  // asked first have none.
+  // Guards against a caller that waits although an engine has a free slot,
+  // because the owners that its host asks first have none.
   fc.assert(
     fc.property(
       fc.integer({ min: 1, max: 10_000 }),
       fc.nat(HOSTS - 1),
       (seed, at) => {
-        const fixture = createTodaysFleet({
+        const fixture = createReferenceFleet({
           seed,
           hosts: HOSTS,
-          createPolicy: createOurs,
+          createPolicy: createRouterPolicy,
         });
-        fixture.agenda.runUntil(1_000);
+        fixture.scheduler.runUntil(1_000);
         const region = (dataCentre: string) =>
           fixture.deployment.dataCentres
             .find((each) => each.id === dataCentre)!.region;
@@ -123,9 +126,9 @@
           const from = inRegion[made % inRegion.length]!;
           from.submit({ team: "team-1", service: SERVICE, cost: 1_000 });
         }
-        fixture.agenda.runUntil(3_000);
+        fixture.scheduler.runUntil(3_000);
         const req = host.submit({ team: "team-2", service: SERVICE, cost: 1 });
-        fixture.agenda.runUntil(3_250);
+        fixture.scheduler.runUntil(3_250);
         assert.notEqual(req.state, "waiting");
         const used = fixture.deployment.upstreams
           .find((each) => each.id === req.upstream)!;
--- a/src/measure/flood.ts
+++ b/src/measure/flood.ts
@@ -1,14 +1,18 @@
 /**
- * Scenario `flood`: one team sends a hundred times its share at every host while
- * the small teams send what they always do. Compares the small teams' waits with
- * those of the same run without the flood.
+ * Scenario `flood`: one team sends a hundred times its share through all hosts,
+ * while the other teams send their usual load. Compares the waiting times of
+ * the other teams ("small teams" in the figures) with a run without the flood.
  *
  * @module
  */
 
-import { baselines, createOurs, type CreatePolicy } from "./baselines.ts";
 import {
-  createTodaysFleet,
+  baselines,
+  type CreatePolicy,
+  createRouterPolicy,
+} from "./baselines.ts";
+import {
+  createReferenceFleet,
   FLEET_SLOTS,
   LARGEST_COST,
   TEAM_WEIGHTS,
@@ -22,22 +26,27 @@
 const END_MS = 60_000;
 const FLOOD_FACTOR = 100;
 
-/** Requests a second that all slots together serve, at the mixed costs. */
+/**
+ * Requests per second that all slots together serve: a request with the mean of
+ * the mixed costs takes 1.76 s.
+ */
 const FLEET_RATE = FLEET_SLOTS / 1.76;
 
-/** The other teams together use so much of the fleet, well below their share. */
-const OTHERS_USE = 0.6;
+/** Share of the fleet that the other teams use, well below their fair share. */
+const BACKGROUND_UTILISATION = 0.6;
 
-/** The flooding team's callers give up after this; the others wait longer. */
+/**
+ * Time-out of the flooding team's callers; those of other teams wait longer.
+ */
 const FLOOD_TIMEOUT_MS = 2_000;
 
 /**
- * A small team's longest wait under the flood, in terms of the time in which its
- * share of the fleet serves the largest request: it may have just had one, and
- * then waits until the others have had as much. Unfair would be a wait that
- * grows with the flood.
+ * How much longer a small team may wait than without the flood, in multiples of
+ * the time in which the team's share of the fleet serves the largest request.
+ * After such a request the team waits until other teams have received as much
+ * service, which is fair; a wait that grows with the flood would not be.
  */
-const MAX_WAIT_IN_LARGEST = 2;
+const MAX_EXTRA_WAIT_IN_LARGEST_REQUESTS = 2;
 
 interface Result {
   readonly longestMs: number;
@@ -45,47 +54,53 @@
   readonly unanswered: number;
 }
 
-/** Runs the scenario with the router's decisions and with each baseline. */
+/** Runs the scenario with the router's policy and with each baseline. */
 export function measureFlood(options: ScenarioOptions): Report {
-  const calm = run(options, createOurs, false);
-  const flooded = run(options, createOurs, true);
-  const others = mapValues(baselines, (policy) => run(options, policy, true));
+  const withoutFlood = run(options, createRouterPolicy, false);
+  const withFlood = run(options, createRouterPolicy, true);
+  const baselineResults = mapValues(
+    baselines,
+    (policy) => run(options, policy, true),
+  );
   return {
     scenario: "flood",
     ...options,
     figures: [
       {
         name: "small_team_longest_wait_ms",
-        value: flooded.longestMs,
+        value: withFlood.longestMs,
         baselines: {
-          withoutFlood: calm.longestMs,
-          ...mapValues(others, (result) => result.longestMs),
+          withoutFlood: withoutFlood.longestMs,
+          ...mapValues(baselineResults, (result) => result.longestMs),
         },
         bound: {
           kind: "at-most",
-          value: calm.longestMs + MAX_WAIT_IN_LARGEST * getLargestMs(),
+          value: withoutFlood.longestMs +
+            MAX_EXTRA_WAIT_IN_LARGEST_REQUESTS * getLargestRequestMs(),
         },
       },
       {
         name: "small_team_p99_wait_ms",
-        value: flooded.p99Ms,
+        value: withFlood.p99Ms,
         baselines: {
-          withoutFlood: calm.p99Ms,
-          ...mapValues(others, (result) => result.p99Ms),
+          withoutFlood: withoutFlood.p99Ms,
+          ...mapValues(baselineResults, (result) => result.p99Ms),
         },
       },
       {
         name: "small_team_unanswered_requests",
-        value: flooded.unanswered,
-        baselines: mapValues(others, (result) => result.unanswered),
+        value: withFlood.unanswered,
+        baselines: mapValues(baselineResults, (result) => result.unanswered),
         bound: { kind: "at-most", value: 0 },
       },
     ],
   };
 }
 
-/** Time in which a share of weight one serves the largest request. */
-function getLargestMs(): number {
+/**
+ * Time in which the share of a team with weight one serves the largest request.
+ */
+function getLargestRequestMs(): number {
   const totalWeight = TEAM_WEIGHTS.reduce((sum, each) => sum + each, 0);
   const tokensPerMs = FLEET_SLOTS / defaultFixtureTimes.tokenMs;
   return LARGEST_COST * totalWeight / tokensPerMs;
@@ -97,26 +112,29 @@
   isFlooded: boolean,
 ): Result {
   const random = createRandom(seed);
-  const fixture = createTodaysFleet({ seed, hosts, createPolicy });
-  sendOthers(fixture, random);
+  const fixture = createReferenceFleet({ seed, hosts, createPolicy });
+  sendBackgroundLoad(fixture, random);
   if (isFlooded) sendFlood(fixture, random);
-  fixture.agenda.runUntil(END_MS + 30_000);
-  const small = fixture.getRequests().filter((each) => each.team !== "team-1");
-  const waits = small.flatMap((each) =>
+  fixture.scheduler.runUntil(END_MS + 30_000);
+  const smallTeamRequests = fixture.getRequests().filter((each) =>
+    each.team !== "team-1"
+  );
+  const waits = smallTeamRequests.flatMap((each) =>
     each.startedMs === undefined ? [] : [each.startedMs - each.arrivedMs]
   ).sort((a, b) => a - b);
   return {
     longestMs: waits.at(-1)!,
     p99Ms: waits[Math.floor(waits.length * 0.99)]!,
-    unanswered: small.filter((each) => each.state !== "answered").length,
+    unanswered:
+      smallTeamRequests.filter((each) => each.state !== "answered").length,
   };
 }
 
-function sendOthers(fixture: FleetFixture, random: Random): void {
+function sendBackgroundLoad(fixture: FleetFixture, random: Random): void {
   const [, ...others] = fixture.deployment.teams;
   const weight = others.reduce((sum, team) => sum + team.weight, 0);
   for (const team of others) {
-    const rate = FLEET_RATE * OTHERS_USE * team.weight / weight;
+    const rate = FLEET_RATE * BACKGROUND_UTILISATION * team.weight / weight;
     sendAtRate(fixture, {
       team: team.id,
       pickHost: () => pickHost(fixture, random),
--- a/src/measure/saturation.ts
+++ b/src/measure/saturation.ts
@@ -1,7 +1,8 @@
 /**
- * Scenario `saturation`: twice the load that the fleet can serve, for minutes.
- * Goodput is what was answered before its deadline; a refusal must come at once
- * and what waits must be bounded. Baseline: all are let in and wait.
+ * Scenario `saturation`: two minutes at twice the load that the fleet can
+ * serve. Measures the goodput, which counts answers before their deadlines
+ * only, how many refusals come on arrival, and whether the queues stay bounded.
+ * Baseline: every request is admitted and waits until its deadline.
  *
  * @module
  */
@@ -13,34 +14,38 @@
   getGoodput,
   sendByWeight,
 } from "./admitted_load.ts";
-import { createOurs } from "./baselines.ts";
-import { createTodaysFleet, FLEET_SLOTS } from "./contended.ts";
+import { createRouterPolicy } from "./baselines.ts";
+import { createReferenceFleet, FLEET_SLOTS } from "./contended.ts";
 import type { ScenarioOptions } from "./main.ts";
 import { createRandom } from "./random.ts";
 import type { Report } from "./report.ts";
 
-/** Requests a second that the slots serve: a mean one takes 1.76 s. */
+/** Requests per second that the slots serve; a mean request takes 1.76 s. */
 const CAPACITY_PER_S = FLEET_SLOTS / 1.76;
 
 const TIMEOUT_MS = 20_000;
 const BODY_BYTES = 20_000;
 const WINDOW = { fromMs: 40_000, toMs: 160_000 };
 
-/** Runs one and two times the capacity, with and without refusals. */
+/**
+ * Runs the scenario at one and two times the capacity, and at two times without
+ * refusals.
+ */
 export function measureSaturation(options: ScenarioOptions): Report {
-  const single = runLoad(options, 1, true);
-  const double = runLoad(options, 2, true);
-  const unrefused = runLoad(options, 2, false);
-  const base = getGoodput(single, WINDOW);
-  const ratio = (load: AdmittedLoad) => getGoodput(load, WINDOW) / base;
+  const singleLoad = runLoad(options, 1, true);
+  const doubleLoad = runLoad(options, 2, true);
+  const withoutRefusals = runLoad(options, 2, false);
+  const base = getGoodput(singleLoad, WINDOW);
+  const getGoodputRatio = (load: AdmittedLoad) =>
+    getGoodput(load, WINDOW) / base;
   return {
     scenario: "saturation",
     ...options,
     figures: [
       {
         name: "goodput_at_2x_to_1x_ratio",
-        value: ratio(double),
-        baselines: { withoutRefusals: ratio(unrefused) },
+        value: getGoodputRatio(doubleLoad),
+        baselines: { withoutRefusals: getGoodputRatio(withoutRefusals) },
         bound: { kind: "at-least", value: 0.95 },
       },
       {
@@ -50,26 +55,30 @@
       },
       {
         name: "not_run_told_at_once_share",
-        value: getAtOnceShare(double),
-        baselines: { withoutRefusals: getAtOnceShare(unrefused) },
+        value: getImmediateRefusalShare(doubleLoad),
+        baselines: {
+          withoutRefusals: getImmediateRefusalShare(withoutRefusals),
+        },
         bound: { kind: "at-least", value: 0.9 },
       },
       {
         name: "admitted_answered_in_time_share",
-        value: getInTimeShare(double),
-        baselines: { withoutRefusals: getInTimeShare(unrefused) },
+        value: getInTimeShare(doubleLoad),
+        baselines: { withoutRefusals: getInTimeShare(withoutRefusals) },
         bound: { kind: "at-least", value: 0.9 },
       },
       {
         name: "most_waiting_at_a_host",
-        value: double.getMostWaiting().requests,
-        baselines: { withoutRefusals: unrefused.getMostWaiting().requests },
+        value: doubleLoad.getPeakWaiting().requests,
+        baselines: {
+          withoutRefusals: withoutRefusals.getPeakWaiting().requests,
+        },
         bound: { kind: "at-most", value: HOST_QUEUE_LIMIT.requests },
       },
       {
         name: "most_waiting_at_a_host_bytes",
-        value: double.getMostWaiting().bytes,
-        baselines: { withoutRefusals: unrefused.getMostWaiting().bytes },
+        value: doubleLoad.getPeakWaiting().bytes,
+        baselines: { withoutRefusals: withoutRefusals.getPeakWaiting().bytes },
         bound: { kind: "at-most", value: HOST_QUEUE_LIMIT.bytes },
       },
     ],
@@ -79,36 +88,40 @@
 function runLoad(
   { seed, hosts }: ScenarioOptions,
   factor: number,
-  refuses: boolean,
+  refusesCalls: boolean,
 ): AdmittedLoad {
   const random = createRandom(seed);
-  const fixture = createTodaysFleet({ seed, hosts, createPolicy: createOurs });
+  const fixture = createReferenceFleet({
+    seed,
+    hosts,
+    createPolicy: createRouterPolicy,
+  });
   const load = createAdmittedLoad(fixture, {
     random,
     bodyBytes: BODY_BYTES,
-    refuses,
+    refusesCalls,
   });
   sendByWeight(load, fixture, {
     perSecond: factor * CAPACITY_PER_S,
     timeoutMs: TIMEOUT_MS,
     random,
   });
-  fixture.agenda.runUntil(WINDOW.toMs);
+  fixture.scheduler.runUntil(WINDOW.toMs);
   return load;
 }
 
-/** Of the calls that did not run, those that were told so on arrival. */
-function getAtOnceShare(load: AdmittedLoad): number {
-  const notRun = load.getEnds().filter((end) =>
+/** Returns the share of refusals on arrival among the calls not answered. */
+function getImmediateRefusalShare(load: AdmittedLoad): number {
+  const notRun = load.getOutcomes().filter((end) =>
     end.result !== "answered" && end.arrivedMs >= WINDOW.fromMs
   );
-  const atOnce = notRun.filter((end) => end.result === "refused");
-  return notRun.length === 0 ? 1 : atOnce.length / notRun.length;
+  const refused = notRun.filter((end) => end.result === "refused");
+  return notRun.length === 0 ? 1 : refused.length / notRun.length;
 }
 
-/** Of the calls that were let in and have ended, those answered in time. */
+/** Returns the share of calls answered in time among the admitted ones. */
 function getInTimeShare(load: AdmittedLoad): number {
-  const admitted = load.getEnds().filter((end) =>
+  const admitted = load.getOutcomes().filter((end) =>
     end.result !== "refused" && end.arrivedMs >= WINDOW.fromMs
   );
   const inTime = admitted.filter((end) =>
--- a/src/measure/agenda.ts
+++ b/src/measure/virtual_scheduler.ts
@@ -1,41 +1,44 @@
 /**
- * Virtual time for measurements: what is due runs in order of its time, and the
- * manual clock moves to it. A run takes the same course on every machine.
+ * Scheduler in virtual time, for measurements and tests. It runs callbacks in
+ * the order of their due times and advances a manual clock to each due time, so
+ * that a run is the same on every machine.
  *
  * @module
  */
 
 import { createManualClock, type ManualClock } from "../core/mod.ts";
 
-interface Entry {
+interface ScheduledTask {
   readonly atMs: number;
   readonly order: number;
   readonly run: () => void;
 }
 
 /** Runs callbacks in virtual time. */
-export interface Agenda {
+export interface VirtualScheduler {
   readonly clock: ManualClock;
-  /** Runs the callback after so many virtual milliseconds. */
+  /** Runs the callback once, after the delay in virtual milliseconds. */
   after(ms: number, run: () => void): void;
-  /** Runs the callback again and again, first after one period. */
+  /** Runs the callback periodically, for the first time after one period. */
   every(periodMs: number, run: () => void): void;
-  /** Runs all that is due up to the virtual time given. */
+  /**
+   * Runs all callbacks that are due up to `endMs` and advances the clock to it.
+   */
   runUntil(endMs: number): void;
 }
 
-/** Makes an agenda that starts at zero. */
-export function createAgenda(): Agenda {
+/** Creates a scheduler whose virtual time starts at zero. */
+export function createVirtualScheduler(): VirtualScheduler {
   const clock = createManualClock();
-  // A binary heap by time, then by order of entry.
-  const heap: Entry[] = [];
+  // A binary heap, ordered by due time, then by order of scheduling.
+  const heap: ScheduledTask[] = [];
   let order = 0;
 
-  function isBefore(a: Entry, b: Entry): boolean {
+  function isBefore(a: ScheduledTask, b: ScheduledTask): boolean {
     return a.atMs < b.atMs || (a.atMs === b.atMs && a.order < b.order);
   }
 
-  function push(entry: Entry): void {
+  function push(entry: ScheduledTask): void {
     heap.push(entry);
     let at = heap.length - 1;
     while (at > 0) {
@@ -46,7 +49,7 @@
     }
   }
 
-  function pop(): Entry {
+  function pop(): ScheduledTask {
     const first = heap[0]!;
     const last = heap.pop()!;
     if (heap.length === 0) return first;
