--- a/src/entry/peers_test.ts
+++ b/src/entry/peers_test.ts
@@ -6,7 +6,7 @@
 import * as Effect from "effect/Effect";
 import * as Fiber from "effect/Fiber";
 import { systemClock } from "../core/mod.ts";
-import { block } from "../testing/block.ts";
+import { block } from "../testing/block_event_loop.ts";
 import { openPeers, type Peers } from "./peers.ts";
 import type { EntrySettings } from "./types.ts";
 
--- a/src/entry/platform_view_soak_test.ts
+++ b/src/entry/platform_view_soak_test.ts
@@ -1,6 +1,6 @@
 import { deepStrictEqual, ok } from "node:assert";
 import { test } from "node:test";
-import { playSoak, type SoakResult } from "../testing/knowledge_soak.ts";
+import { playSoak, type SoakResult } from "../testing/platform_view_soak.ts";
 
 const SEEDS = 25;
 
--- a/src/entry/platform_view_test.ts
+++ b/src/entry/platform_view_test.ts
@@ -5,7 +5,7 @@
   createKnowledgeFleet,
   type KnowledgeFleet,
   runFleet,
-} from "../testing/knowledge_fleet.ts";
+} from "../testing/platform_view_fleet.ts";
 
 /** A configuration must be in force at all hosts within this time, in ms. */
 const BOUND_MS = 2_500;
--- a/src/forwarding/blocked_loop_test.ts
+++ b/src/forwarding/blocked_loop_test.ts
@@ -3,7 +3,7 @@
 import { test } from "node:test";
 import { setTimeout as sleep } from "node:timers/promises";
 import type { Socket } from "node:net";
-import { block } from "../testing/block.ts";
+import { block } from "../testing/block_event_loop.ts";
 import {
   type Behaviour,
   createForwardFixture,
--- a/src/measure/table_soak.ts
+++ b/src/measure/table_soak.ts
@@ -6,8 +6,8 @@
  * @module
  */
 
-import { BOUND_MS } from "../testing/knowledge_checks.ts";
-import { playSoak, type SoakResult } from "../testing/knowledge_soak.ts";
+import { BOUND_MS } from "../testing/platform_view_checks.ts";
+import { playSoak, type SoakResult } from "../testing/platform_view_soak.ts";
 import type { ScenarioOptions } from "./main.ts";
 import type { Report } from "./report.ts";
 
--- a/src/testing/stand_in_upstream.ts
+++ b/src/testing/fake_upstream_server.ts
@@ -4,7 +4,7 @@
  * reports its load late. As a plain service it runs each call it gets, twice if
  * it is called twice; `GET /log` tells which calls ran.
  *
- * Usage: stand_in_upstream.js ID PORT engine|plain checks|ignores
+ * Usage: fake_upstream_server.js ID PORT engine|plain checks|ignores
  *
  * @module
  */
--- a/src/testing/fault_callers.ts
+++ b/src/testing/fault_callers.ts
@@ -7,7 +7,7 @@
 
 import { setTimeout as sleep } from "node:timers/promises";
 import type { Caller, CallerEnd, CallerRequest } from "./caller.ts";
-import type { FaultWorld } from "./fault_world.ts";
+import type { FaultWorld } from "./fault_environment.ts";
 
 const MAX_SENDINGS = 6;
 const MIN_PAUSE_MS = 200;
--- a/src/testing/fault_kinds.ts
+++ b/src/testing/fault_injections.ts
@@ -9,7 +9,7 @@
 import { setTimeout as sleep } from "node:timers/promises";
 import { type FileSet, readFileSet } from "../config/mod.ts";
 import { join } from "node:path";
-import type { FaultWorld } from "./fault_world.ts";
+import type { FaultWorld } from "./fault_environment.ts";
 import { waitFor } from "./fleet_processes.ts";
 
 /** The failures by name. */
--- a/src/testing/faults.ts
+++ b/src/testing/faults.ts
@@ -19,8 +19,8 @@
 } from "../proof/mod.ts";
 import { createCaller } from "./caller.ts";
 import { sendWork } from "./fault_callers.ts";
-import { faultKinds, type FaultName } from "./fault_kinds.ts";
-import { type FaultWorld, startFaultWorld } from "./fault_world.ts";
+import { faultKinds, type FaultName } from "./fault_injections.ts";
+import { type FaultWorld, startFaultWorld } from "./fault_environment.ts";
 import type { ExampleName } from "./fleet_processes.ts";
 import { handleInterrupts } from "./processes.ts";
 import { portShiftArg } from "./run_args.ts";
--- a/src/testing/fleet_processes.ts
+++ b/src/testing/fleet_processes.ts
@@ -126,7 +126,7 @@
       each.id === upstream.service
     )!;
     const port = getDirectAddress(id).split(":")[1]!;
-    return group.start(id, "testing/stand_in_upstream.js", {
+    return group.start(id, "testing/fake_upstream_server.js", {
       args: [id, port, service.kind, upstream.fencing],
       onLine: (line) => options.onUpstreamLine?.(id, line),
     });
@@ -139,7 +139,7 @@
     return group.start(place.id, "bin/azurestile_router.js", { args });
   }
 
-  group.start("platform", "testing/stand_in_platform.js", {
+  group.start("platform", "testing/fake_platform_server.js", {
     args: [platformAddress.split(":")[1]!],
   });
   for (const { id } of deployment.upstreams) startUpstream(id);
--- a/src/testing/knowledge_checks.ts
+++ b/src/testing/platform_view_checks.ts
@@ -7,7 +7,7 @@
 
 import { getOrCreate } from "../core/mod.ts";
 import type { PlatformView } from "../entry/platform_view.ts";
-import type { KnowledgeFleet } from "./knowledge_fleet.ts";
+import type { KnowledgeFleet } from "./platform_view_fleet.ts";
 
 /** A change that the platform has accepted. */
 interface Accepted {
--- a/src/testing/knowledge_soak.ts
+++ b/src/testing/platform_view_soak.ts
@@ -8,9 +8,9 @@
 import * as Effect from "effect/Effect";
 import { READER_COUNT, TABLE_NAMES } from "../discovery/mod.ts";
 import { createRandom, type Random } from "../measure/random.ts";
-import { createTroubles } from "./fleet_troubles.ts";
-import { createKnowledgeChecks } from "./knowledge_checks.ts";
-import { createKnowledgeFleet, runFleet } from "./knowledge_fleet.ts";
+import { createTroubles } from "./simulated_faults.ts";
+import { createKnowledgeChecks } from "./platform_view_checks.ts";
+import { createKnowledgeFleet, runFleet } from "./platform_view_fleet.ts";
 
 /** What is played. */
 export interface SoakOptions {
--- a/src/testing/fleet_troubles.ts
+++ b/src/testing/simulated_faults.ts
@@ -11,7 +11,7 @@
 import { TABLE_NAMES, type TableName } from "../discovery/mod.ts";
 import type { Random } from "../measure/random.ts";
 import type { Treatment } from "./fake_tables.ts";
-import type { KnowledgeFleet } from "./knowledge_fleet.ts";
+import type { KnowledgeFleet } from "./platform_view_fleet.ts";
 
 /**
  * `away`: the platform answers no host. `one-table`: it answers no host that asks
--- a/src/upstreams/http_upstreams_test.ts
+++ b/src/upstreams/http_upstreams_test.ts
@@ -3,7 +3,7 @@
 import { test } from "node:test";
 import * as Effect from "effect/Effect";
 import { listen, type ListeningServer } from "../entry/servers.ts";
-import { block } from "../testing/block.ts";
+import { block } from "../testing/block_event_loop.ts";
 import {
   createHttpUpstreams,
   STREAM_IDLE_TIMEOUT_MS,
