--- a/src/entry/peers_test.ts
+++ b/src/entry/peers_test.ts
@@ -6,7 +6,7 @@
 import * as Effect from "effect/Effect";
 import * as Fiber from "effect/Fiber";
 import { systemClock } from "../core/mod.ts";
-import { block } from "../testing/block_event_loop.ts";
+import { blockEventLoop } from "../testing/block_event_loop.ts";
 import { openPeers, type Peers } from "./peers.ts";
 import type { EntrySettings } from "./types.ts";
 
@@ -64,7 +64,7 @@
     if (pauses === 0) return;
     pauses--;
     // Blocks after the probe is sent and before its reply is read.
-    process.nextTick(() => block(700));
+    process.nextTick(() => blockEventLoop(700));
   };
   const open = (at: number) =>
     openHost(addresses[at]!, {
--- a/src/forwarding/blocked_loop_test.ts
+++ b/src/forwarding/blocked_loop_test.ts
@@ -3,7 +3,7 @@
 import { test } from "node:test";
 import { setTimeout as sleep } from "node:timers/promises";
 import type { Socket } from "node:net";
-import { block } from "../testing/block_event_loop.ts";
+import { blockEventLoop } from "../testing/block_event_loop.ts";
 import {
   type Behaviour,
   createForwardFixture,
@@ -42,7 +42,7 @@
       using _looks = fixture.startLooks();
       const sockets = await openQueuedCalls(fixture);
       sockets.forEach(closes[kind]);
-      block(turnMs);
+      blockEventLoop(turnMs);
       fixture.delay.inFlight = 0;
       await sleep(100);
       strictEqual(fixture.arrivals.length, 0);
@@ -57,7 +57,7 @@
   });
   using _looks = fixture.startLooks();
   await openQueuedCalls(fixture);
-  block(200);
+  blockEventLoop(200);
   fixture.delay.inFlight = 0;
   await sleep(100);
   deepStrictEqual(fixture.arrivals, Array(CALLERS).fill("up-0"));
@@ -73,7 +73,7 @@
 ): Behaviour {
   return (socket, { id }) => {
     socket.write(text(id));
-    block(forMs);
+    blockEventLoop(forMs);
   };
 }
 
@@ -119,7 +119,7 @@
     // Timers that fall due in the meantime run next, as after any blocked turn.
     const sendNext = () => {
       socket.write("f\r\nid: 2\ndata: b\n\n\r\n0\r\n\r\n");
-      block(1_800);
+      blockEventLoop(1_800);
     };
     setTimeout(() => setImmediate(sendNext), 50);
   };
@@ -156,7 +156,7 @@
     queueMicrotask(() =>
       process.nextTick(() => {
         onBlocked();
-        block(forMs);
+        blockEventLoop(forMs);
       })
     );
   };
--- a/src/testing/block_event_loop.ts
+++ b/src/testing/block_event_loop.ts
@@ -7,7 +7,7 @@
 import { performance } from "node:perf_hooks";
 
 /** Keeps this process from reading anything for so long, in ms. */
-export function block(forMs: number): void {
-  const untilMs = performance.now() + forMs;
+export function blockEventLoop(durationMs: number): void {
+  const untilMs = performance.now() + durationMs;
   while (performance.now() < untilMs);
 }
--- a/src/testing/caller.ts
+++ b/src/testing/caller.ts
@@ -29,7 +29,7 @@
  * How the request ended for the caller: "lost" when its connection ended without
  * a final answer, "silent" when none came long after the deadline.
  */
-export interface CallerEnd {
+export interface CallerResult {
   /** Public address of the host; empty when none was reached. */
   readonly address: string;
   /** The request's id at the system; empty when it was never told. */
@@ -47,19 +47,19 @@
 
 /** Sends requests of all teams through the hosts that `where` names. */
 export interface Caller {
-  send(req: CallerRequest): Promise<CallerEnd>;
+  send(req: CallerRequest): Promise<CallerResult>;
 }
 
 /** A final answer that is later than this after the deadline never comes. */
-const GRACE_MS = 10_000;
+const RESPONSE_GRACE_MS = 10_000;
 
-interface KnownHosts {
+interface CachedHosts {
   readonly addresses: readonly string[];
-  readonly untilMs: number;
+  readonly expiresMs: number;
 }
 
 /** A seed that is cut off or paused answers nothing. */
-const ASK_TIMEOUT_MS = 2_000;
+const WHERE_TIMEOUT_MS = 2_000;
 
 /** Which of the named addresses a team's callers use. */
 export type ChooseHosts = (
@@ -73,14 +73,14 @@
   random: () => number,
   options: { choose?: ChooseHosts } = {},
 ): Caller {
-  const known = new Map<string, KnownHosts>();
+  const cachedHosts = new Map<string, CachedHosts>();
 
   function pick(addresses: readonly string[]): string {
     return addresses[Math.floor(random() * addresses.length)]!;
   }
 
   /** Asks one seed after the other: one of them may be down. */
-  async function askWhere(
+  async function fetchHosts(
     team: string,
   ): Promise<{ seed: string; res: Response }> {
     const first = pick(seeds);
@@ -90,7 +90,7 @@
       try {
         const res = await fetch(`http://${seed}/where`, {
           headers: { authorization: `Bearer ${getTeamKey(team)}` },
-          signal: AbortSignal.timeout(ASK_TIMEOUT_MS),
+          signal: AbortSignal.timeout(WHERE_TIMEOUT_MS),
         });
         if (res.ok) return { seed, res };
         failure = `Status ${res.status} from ${seed}`;
@@ -101,20 +101,20 @@
     throw failure;
   }
 
-  async function getAddress(team: string): Promise<string> {
-    const kept = known.get(team);
-    if (kept !== undefined && Date.now() < kept.untilMs) {
-      return pick(kept.addresses);
+  async function chooseAddress(team: string): Promise<string> {
+    const cached = cachedHosts.get(team);
+    if (cached !== undefined && Date.now() < cached.expiresMs) {
+      return pick(cached.addresses);
     }
-    const { seed, res } = await askWhere(team);
+    const { seed, res } = await fetchHosts(team);
     const body = await res.json() as {
       ttlMs: number;
       hosts: { address: string }[];
     };
-    const named = body.hosts.map((host) => host.address)
+    const advertised = body.hosts.map((host) => host.address)
       .filter((address) => address !== "");
-    const addresses = options.choose?.(team, named) ?? named;
-    known.set(team, { addresses, untilMs: Date.now() + body.ttlMs });
+    const addresses = options.choose?.(team, advertised) ?? advertised;
+    cachedHosts.set(team, { addresses, expiresMs: Date.now() + body.ttlMs });
     return pick(addresses.length > 0 ? addresses : [seed]);
   }
 
@@ -123,10 +123,10 @@
       const startMs = performance.now();
       let address = "";
       try {
-        address = await getAddress(req.team);
+        address = await chooseAddress(req.team);
         return await sendTo(address, req, startMs);
       } catch (err) {
-        known.delete(req.team);
+        cachedHosts.delete(req.team);
         return {
           address,
           request: "",
@@ -147,7 +147,7 @@
   address: string,
   req: CallerRequest,
   startMs: number,
-): Promise<CallerEnd> {
+): Promise<CallerResult> {
   const { tag, tokens, timeoutMs } = req;
   const res = await fetch(
     `http://${address}/v1/${req.service}/${req.operation}`,
@@ -162,7 +162,7 @@
           : { "idempotency-key": req.idempotencyKey }),
       },
       body: JSON.stringify({ tag, tokens, prompt: req.prompt ?? "" }),
-      signal: AbortSignal.timeout(timeoutMs + GRACE_MS),
+      signal: AbortSignal.timeout(timeoutMs + RESPONSE_GRACE_MS),
     },
   );
   const firstByteMs = performance.now() - startMs;
@@ -177,7 +177,7 @@
     status: res.status,
   };
   const isStream = res.headers.get("content-type") === "text/event-stream";
-  if (isStream) return { ...times, ...checkStream(text, req) };
+  if (isStream) return { ...times, ...validateStream(text, req) };
   const outcome = res.headers.get("azurestile-outcome") as Outcome | null;
   if (outcome === "answered") {
     const fault = text.includes(`"key":"${req.idempotencyKey}"`)
@@ -193,11 +193,11 @@
 }
 
 /** Checks that every token came once, in order, and is the request's own. */
-function checkStream(
+function validateStream(
   text: string,
   req: CallerRequest,
-): Pick<CallerEnd, "outcome" | "fault" | "detail"> {
-  let next = 0;
+): Pick<CallerResult, "outcome" | "fault" | "detail"> {
+  let nextToken = 0;
   let fault = "";
   let end: { outcome: Outcome } | undefined;
   const parser = createParser({
@@ -206,19 +206,19 @@
         end = JSON.parse(event.data);
         return;
       }
-      const expected = JSON.stringify({ text: `${req.tag}:${next} ` });
+      const expected = JSON.stringify({ text: `${req.tag}:${nextToken} ` });
       if (fault === "" && event.data !== expected) {
         fault = `Expected ${expected}, got ${event.data}`;
       }
-      next++;
+      nextToken++;
     },
   });
   parser.feed(text);
   if (end === undefined) {
     return { outcome: "lost", fault, detail: "No last event" };
   }
-  if (end.outcome === "answered" && next !== req.tokens) {
-    fault = `Expected ${req.tokens} tokens, got ${next}`;
+  if (end.outcome === "answered" && nextToken !== req.tokens) {
+    fault = `Expected ${req.tokens} tokens, got ${nextToken}`;
   }
   return { outcome: end.outcome, fault, detail: JSON.stringify(end) };
 }
--- a/src/testing/demo.ts
+++ b/src/testing/demo.ts
@@ -8,7 +8,11 @@
 import process from "node:process";
 import { setTimeout as sleep } from "node:timers/promises";
 import { defineCommand, runMain } from "citty";
-import { type CallerEnd, type CallerRequest, createCaller } from "./caller.ts";
+import {
+  type CallerRequest,
+  type CallerResult,
+  createCaller,
+} from "./caller.ts";
 import {
   type ExampleName,
   type FleetProcesses,
@@ -59,13 +63,13 @@
       `demo: ${args.deployment}, ${addresses.length} routers; first ask ` +
         `http://${addresses[0]}/where`,
     );
-    const isGood = await runTraffic(fleet, {
+    const hasPassed = await runTraffic(fleet, {
       perSecond: Number(args.rate),
       seconds: Number(args.seconds),
       seed: Number(args.seed),
       isStopped: () => isStopped,
     });
-    process.exitCode = isGood ? 0 : 1;
+    process.exitCode = hasPassed ? 0 : 1;
   },
 });
 
@@ -85,7 +89,7 @@
   );
   const nextRequest = createRequestSource(fleet.deployment, random);
   const summaries = new Map<string, TeamSummary>();
-  const faults: string[] = [];
+  const failures: string[] = [];
   let done = 0;
 
   const progress = setInterval(
@@ -96,20 +100,20 @@
     const req = nextRequest();
     const end = await caller.send(req);
     done++;
-    addEnd(summaries, req, end);
-    if (end.fault !== "") faults.push(`${req.tag}: ${end.fault}`);
+    recordResult(summaries, req, end);
+    if (end.fault !== "") failures.push(`${req.tag}: ${end.fault}`);
     else if (end.outcome !== "answered") {
-      faults.push(`${req.tag}: ${end.detail}`);
+      failures.push(`${req.tag}: ${end.detail}`);
     }
   }, options);
   clearInterval(progress);
   await sleep(200);
-  await printControl(fleet, done);
-  return printSummary(summaries, faults, await countDoubled(fleet));
+  await printControlTraffic(fleet, done);
+  return printSummary(summaries, failures, await countDuplicateRuns(fleet));
 }
 
 /** Prints the bytes of control frames by kind, from the routers' metrics. */
-async function printControl(
+async function printControlTraffic(
   fleet: FleetProcesses,
   requests: number,
 ): Promise<void> {
@@ -131,10 +135,10 @@
   );
 }
 
-function addEnd(
+function recordResult(
   summaries: Map<string, TeamSummary>,
   req: CallerRequest,
-  end: CallerEnd,
+  end: CallerResult,
 ): void {
   const summary = summaries.get(req.team) ?? {
     requests: 0,
@@ -158,9 +162,9 @@
 }
 
 /** Calls that may run at most once and ran more often, by the upstreams' logs. */
-async function countDoubled(fleet: FleetProcesses): Promise<number> {
+async function countDuplicateRuns(fleet: FleetProcesses): Promise<number> {
   const { services, upstreams } = fleet.deployment;
-  const once = new Set(
+  const atMostOnce = new Set(
     services.flatMap((service) =>
       service.operations.filter((each) => !each.idempotent)
         .map((each) => each.name)
@@ -171,7 +175,7 @@
     const res = await fetch(`http://${upstream.address}/log`);
     const log = await res.json() as { key: string; operation: string }[];
     for (const { key, operation } of log) {
-      if (once.has(operation)) runs.set(key, (runs.get(key) ?? 0) + 1);
+      if (atMostOnce.has(operation)) runs.set(key, (runs.get(key) ?? 0) + 1);
     }
   }
   return [...runs.values()].filter((count) => count > 1).length;
--- a/src/testing/fault_callers.ts
+++ b/src/testing/fault_callers.ts
@@ -6,7 +6,7 @@
  */
 
 import { setTimeout as sleep } from "node:timers/promises";
-import type { Caller, CallerEnd, CallerRequest } from "./caller.ts";
+import type { Caller, CallerRequest, CallerResult } from "./caller.ts";
 import type { FaultWorld } from "./fault_environment.ts";
 
 const MAX_SENDINGS = 6;
@@ -33,7 +33,7 @@
   caller: Caller,
   req: CallerRequest,
   sending: string,
-): Promise<CallerEnd> {
+): Promise<CallerResult> {
   world.observe({
     kind: "request-sent",
     sending,
--- a/src/upstreams/http_upstreams_test.ts
+++ b/src/upstreams/http_upstreams_test.ts
@@ -3,7 +3,7 @@
 import { test } from "node:test";
 import * as Effect from "effect/Effect";
 import { listen, type ListeningServer } from "../entry/servers.ts";
-import { block } from "../testing/block_event_loop.ts";
+import { blockEventLoop } from "../testing/block_event_loop.ts";
 import {
   createHttpUpstreams,
   STREAM_IDLE_TIMEOUT_MS,
@@ -20,7 +20,7 @@
   // Guards against reporting completed work to its caller as lost.
   await using upstream = await listen(LOOPBACK, (_req, res) => {
     res.end("done");
-    res.on("finish", () => block(500));
+    res.on("finish", () => blockEventLoop(500));
   });
   const answer = await Effect.runPromise(
     createHttpUpstreams().call({
@@ -43,7 +43,7 @@
     // Timers that fall due in the meantime run next, as after any blocked turn.
     const sendNext = () => {
       res.write("id: 2\ndata: b\n\n");
-      block(STREAM_IDLE_TIMEOUT_MS + 200);
+      blockEventLoop(STREAM_IDLE_TIMEOUT_MS + 200);
     };
     setTimeout(() => setImmediate(sendNext), 50);
   });
