--- a/src/measure/prompt_load.ts
+++ b/src/measure/prompt_load.ts
@@ -11,7 +11,7 @@
   type PromptQueueOptions,
   type WaitingPrompt,
 } from "../queue/mod.ts";
-import { getReadingMs, wideEngine } from "../testing/emulated_engine.ts";
+import { getPrefillMs, largeChunkEngine } from "../testing/emulated_engine.ts";
 import type { ScenarioOptions } from "./main.ts";
 import { getMeans, type PromptResult } from "./prompt_result.ts";
 import { playPrompts } from "./prompt_world.ts";
@@ -57,7 +57,7 @@
   isLoadShared: true,
   limitTokens: 150,
   getReading: (tokens, keptTokens) =>
-    Math.ceil(getReadingMs(wideEngine, tokens, keptTokens)),
+    Math.ceil(getPrefillMs(largeChunkEngine, tokens, keptTokens)),
 };
 
 /** Twice as much being read at an upstream, the oldest first. */
@@ -158,7 +158,7 @@
       hosts,
       factor: FACTOR,
       floodShare: FLOOD_SHARE,
-      engine: wideEngine,
+      engine: largeChunkEngine,
       pauseTargetMs: PAUSE_TARGET_MS,
     })
   ));
--- a/src/measure/prompt_world.ts
+++ b/src/measure/prompt_world.ts
@@ -31,7 +31,7 @@
 import {
   createEmulatedEngine,
   type EmulatedEngine,
-  type EngineFigures,
+  type EngineProfile,
 } from "../testing/emulated_engine.ts";
 import { createAgenda } from "./agenda.ts";
 import { type DrawnPrompt, drawPrompt, promptKinds } from "./prompt_kinds.ts";
@@ -58,7 +58,7 @@
   readonly limitTokens?: number | undefined;
   /** What a prompt counts for; the program's own count where absent. */
   readonly getReading?: typeof getPrefillTokens | undefined;
-  readonly engine: EngineFigures;
+  readonly engine: EngineProfile;
   /** Longest pause between two events that is on time, in ms. */
   readonly pauseTargetMs: number;
 }
@@ -260,11 +260,11 @@
     let lastMs: number | undefined;
     let isOnTime = true;
     engines.get(engine)!.add({
-      sharedPart: req.part,
-      sharedTokens: kind.sharedTokens,
-      ownTokens: req.ownTokens,
+      sharedPrefix: req.part,
+      prefixTokens: kind.sharedTokens,
+      suffixTokens: req.ownTokens,
       outputTokens: req.outputTokens,
-      onRead: () => {},
+      onPrefilled: () => {},
       onEvent(atMs) {
         if (lastMs === undefined) {
           runAt(atMs + LINK_MS, () => {
--- a/src/queue/prompt_load_test.ts
+++ b/src/queue/prompt_load_test.ts
@@ -8,9 +8,9 @@
 import { getMeans, type PromptResult } from "../measure/prompt_result.ts";
 import { playPrompts } from "../measure/prompt_world.ts";
 import {
-  type EngineFigures,
-  narrowEngine,
-  wideEngine,
+  type EngineProfile,
+  largeChunkEngine,
+  smallChunkEngine,
 } from "../testing/emulated_engine.ts";
 import { defaultPromptQueueOptions } from "./prompt_queue.ts";
 
@@ -23,12 +23,12 @@
 
 /** Engines, and the longest pause of their answers that is on time, in ms. */
 interface Engines {
-  readonly engine: EngineFigures;
+  readonly engine: EngineProfile;
   readonly pauseTargetMs: number;
 }
 
-const wide: Engines = { engine: wideEngine, pauseTargetMs: 400 };
-const narrow: Engines = { engine: narrowEngine, pauseTargetMs: 300 };
+const wide: Engines = { engine: largeChunkEngine, pauseTargetMs: 400 };
+const narrow: Engines = { engine: smallChunkEngine, pauseTargetMs: 300 };
 
 const ours: PromptPolicy = {
   queue: defaultPromptQueueOptions,
--- a/src/testing/emulated_engine.ts
+++ b/src/testing/emulated_engine.ts
@@ -9,16 +9,16 @@
  */
 
 /** What an engine does in which time. */
-export interface EngineFigures {
+export interface EngineProfile {
   /** A step without anything to read or to attend to, in ms. */
   readonly stepMs: number;
   /** What a step takes longer for each token of context, in ms. */
   readonly contextMsPerToken: number;
-  readonly readTokensPerMs: number;
+  readonly prefillTokensPerMs: number;
   /** Attention of a token that is read to one before it, in ms. */
   readonly attentionMsPerPair: number;
   /** Tokens of one prompt that are read in a step at most. */
-  readonly chunkTokens: number;
+  readonly maxChunkTokens: number;
   /** Tokens of one event of an answer. */
   readonly eventTokens: number;
   /** Most requests that are worked on at once. */
@@ -26,33 +26,33 @@
 }
 
 /** Engines that read much of a prompt between two steps. */
-export const wideEngine: EngineFigures = {
+export const largeChunkEngine: EngineProfile = {
   stepMs: 3.29,
   contextMsPerToken: 0.0262e-3,
-  readTokensPerMs: 93,
+  prefillTokensPerMs: 93,
   attentionMsPerPair: 0.442e-6,
-  chunkTokens: 4_096,
+  maxChunkTokens: 4_096,
   eventTokens: 5,
   slots: 48,
 };
 
 /** Engines that read half as fast, and little between two steps. */
-export const narrowEngine: EngineFigures = {
-  ...wideEngine,
+export const smallChunkEngine: EngineProfile = {
+  ...largeChunkEngine,
   stepMs: 3.82,
   contextMsPerToken: 0.00256e-3,
-  readTokensPerMs: 46,
+  prefillTokensPerMs: 46,
   attentionMsPerPair: 0.242e-6,
-  chunkTokens: 512,
+  maxChunkTokens: 512,
 };
 
 /** A request to the engine. */
 export interface EmulatedRequest {
-  readonly sharedPart: string;
-  readonly sharedTokens: number;
-  readonly ownTokens: number;
+  readonly sharedPrefix: string;
+  readonly prefixTokens: number;
+  readonly suffixTokens: number;
   readonly outputTokens: number;
-  onRead(nowMs: number): void;
+  onPrefilled(nowMs: number): void;
   onEvent(nowMs: number): void;
   onEnd(nowMs: number): void;
 }
@@ -65,91 +65,104 @@
   countInFlight(): number;
 }
 
-interface Run {
+interface RunningRequest {
   readonly req: EmulatedRequest;
-  leftToRead: number;
-  readTokens: number;
-  made: number;
+  remainingPrefillTokens: number;
+  contextTokens: number;
+  producedTokens: number;
 }
 
 /** Makes an engine that keeps nothing. */
 export function createEmulatedEngine(
-  figures: EngineFigures = wideEngine,
+  figures: EngineProfile = largeChunkEngine,
 ): EmulatedEngine {
-  const kept = new Set<string>();
-  let reading: Run[] = [];
-  let running: Run[] = [];
+  const cachedPrefixes = new Set<string>();
+  let prefilling: RunningRequest[] = [];
+  let decoding: RunningRequest[] = [];
   let busyUntilMs = 0;
-  let endStep: (() => void) | undefined;
+  let completeStep: (() => void) | undefined;
 
-  function beginReading(run: Run): void {
-    if (run.readTokens > 0 || !kept.has(run.req.sharedPart)) return;
-    run.readTokens = run.req.sharedTokens;
-    run.leftToRead -= run.req.sharedTokens;
+  function useCachedPrefix(run: RunningRequest): void {
+    if (run.contextTokens > 0 || !cachedPrefixes.has(run.req.sharedPrefix)) {
+      return;
+    }
+    run.contextTokens = run.req.prefixTokens;
+    run.remainingPrefillTokens -= run.req.prefixTokens;
   }
 
   function startStep(nowMs: number): void {
-    const context = running.reduce((sum, each) => sum + each.readTokens, 0);
+    const context = decoding.reduce((sum, each) => sum + each.contextTokens, 0);
     let stepMs = figures.stepMs + context * figures.contextMsPerToken;
-    const free = Math.max(0, figures.slots - running.length);
-    const chunks = reading.slice(0, free).map((run) => {
-      beginReading(run);
-      const tokens = Math.min(figures.chunkTokens, run.leftToRead);
-      stepMs += getReadingMs(figures, tokens, run.readTokens);
+    const freeSlots = Math.max(0, figures.slots - decoding.length);
+    const chunks = prefilling.slice(0, freeSlots).map((run) => {
+      useCachedPrefix(run);
+      const tokens = Math.min(
+        figures.maxChunkTokens,
+        run.remainingPrefillTokens,
+      );
+      stepMs += getPrefillMs(figures, tokens, run.contextTokens);
       return { run, tokens };
     });
     busyUntilMs = nowMs + stepMs;
-    endStep = () => {
-      makeTokens();
-      for (const { run, tokens } of chunks) endChunk(run, tokens);
+    completeStep = () => {
+      produceTokens();
+      for (const { run, tokens } of chunks) completeChunk(run, tokens);
     };
   }
 
-  function endChunk(run: Run, tokens: number): void {
-    run.readTokens += tokens;
-    run.leftToRead -= tokens;
-    if (run.leftToRead > 0) return;
-    reading = reading.filter((each) => each !== run);
-    kept.add(run.req.sharedPart);
-    run.req.onRead(busyUntilMs);
-    running.push(run);
+  function completeChunk(run: RunningRequest, tokens: number): void {
+    run.contextTokens += tokens;
+    run.remainingPrefillTokens -= tokens;
+    if (run.remainingPrefillTokens > 0) return;
+    prefilling = prefilling.filter((each) => each !== run);
+    cachedPrefixes.add(run.req.sharedPrefix);
+    run.req.onPrefilled(busyUntilMs);
+    decoding.push(run);
   }
 
-  function makeTokens(): void {
-    for (const run of running) {
-      run.made++;
-      const isLast = run.made >= run.req.outputTokens;
-      if (isLast || run.made % figures.eventTokens === 0) {
+  function produceTokens(): void {
+    for (const run of decoding) {
+      run.producedTokens++;
+      const isLast = run.producedTokens >= run.req.outputTokens;
+      if (isLast || run.producedTokens % figures.eventTokens === 0) {
         run.req.onEvent(busyUntilMs);
       }
       if (isLast) run.req.onEnd(busyUntilMs);
     }
-    running = running.filter((each) => each.made < each.req.outputTokens);
+    decoding = decoding.filter((each) =>
+      each.producedTokens < each.req.outputTokens
+    );
   }
 
   return {
     add(req) {
-      const leftToRead = req.sharedTokens + req.ownTokens;
-      reading.push({ req, leftToRead, readTokens: 0, made: 0 });
+      const leftToRead = req.prefixTokens + req.suffixTokens;
+      prefilling.push({
+        req,
+        remainingPrefillTokens: leftToRead,
+        contextTokens: 0,
+        producedTokens: 0,
+      });
     },
     advance(nowMs) {
       while (nowMs >= busyUntilMs) {
-        endStep?.();
-        endStep = undefined;
-        if (reading.length + running.length === 0) return;
+        completeStep?.();
+        completeStep = undefined;
+        if (prefilling.length + decoding.length === 0) return;
         startStep(Math.max(busyUntilMs, nowMs - 1));
       }
     },
-    countInFlight: () => reading.length + running.length,
+    countInFlight: () => prefilling.length + decoding.length,
   };
 }
 
 /** Time to read so many tokens behind those that are kept, in ms. */
-export function getReadingMs(
-  figures: EngineFigures,
+export function getPrefillMs(
+  figures: EngineProfile,
   tokens: number,
-  keptTokens: number,
+  cachedTokens: number,
 ): number {
-  const pairs = tokens * (keptTokens + tokens / 2);
-  return tokens / figures.readTokensPerMs + pairs * figures.attentionMsPerPair;
+  const pairs = tokens * (cachedTokens + tokens / 2);
+  return tokens / figures.prefillTokensPerMs +
+    pairs * figures.attentionMsPerPair;
 }
