--- a/src/claims/group_commit_test.ts
+++ b/src/claims/group_commit_test.ts
@@ -9,11 +9,11 @@
 import fc from "fast-check";
 import {
   createFakeStore,
-  createFakeTables,
+  createFakeTableService,
   createIo,
   type IoFault,
   runScheduled,
-  runToRest,
+  runUntilIdle,
 } from "../testing/fake_io.ts";
 import { createGroupCommit, type WriteResult } from "./group_commit.ts";
 
@@ -27,8 +27,8 @@
       return store.transact(writes);
     },
   };
-  const io = createIo(s, { faults, diesAtCall: 0 });
-  const commit = createGroupCommit(createFakeTables(countingStore, io));
+  const io = createIo(s, { faults, crashesAtCall: 0 });
+  const commit = createGroupCommit(createFakeTableService(countingStore, io));
   let writes = 0;
 
   function write(key: string): Promise<WriteResult> {
@@ -93,7 +93,7 @@
         const { store, write } = createFixture(s, faults);
         const all = Promise.all(keys.map(write));
         await s.waitFor(all);
-        await runToRest(s);
+        await runUntilIdle(s);
         const results = await all;
         for (const [index, result] of results.entries()) {
           const row = store.get("t", keys[index]!);
--- a/src/config/store_test.ts
+++ b/src/config/store_test.ts
@@ -185,7 +185,8 @@
   createStore = createConfigStore,
 ) {
   const platform = createFakePlatform();
-  platform.control.pass = (call) => scheduler.schedule(Promise.resolve(), call);
+  platform.control.interceptCall = (call) =>
+    scheduler.schedule(Promise.resolve(), call);
   const store = createStore(platform);
   const results: { attempt: string; result: AcceptResult }[] = [];
   const runs = ["ade", "bisi"].map(async (name, index) => {
@@ -203,7 +204,7 @@
   });
   Object.assign(platform.control, faults);
   await scheduler.waitFor(Promise.all(runs));
-  platform.control.pass = () => Promise.resolve();
+  platform.control.interceptCall = () => Promise.resolve();
   const rows = await Effect.runPromise(store.getHistory());
   return { rows, told: results };
 }
--- a/src/entry/platform_view_test.ts
+++ b/src/entry/platform_view_test.ts
@@ -24,7 +24,7 @@
   const fleet = createKnowledgeFleet({ hosts, isPassingOn });
   let tookMs = 0;
   await runFleet(Effect.gen(function* () {
-    fleet.tables.put(1);
+    fleet.tables.putConfig(1);
     fleet.tables.putUpstreams(["one", "two"]);
     yield* fleet.start;
     // Without the distribution a host reads the tables itself after two
@@ -32,7 +32,7 @@
     yield* fleet.run(5_000);
     deepStrictEqual(new Set(fleet.getVersions()), new Set([1]));
     yield* causeFailures(fleet) ?? Effect.void;
-    fleet.tables.put(2);
+    fleet.tables.putConfig(2);
     const sinceMs = fleet.nowMs();
     while (fleet.getVersions().some((each) => each < 2)) {
       yield* fleet.run(10);
@@ -71,7 +71,7 @@
     for (let first = 0; first < 9; first++) {
       const tookMs = await measureChange(({ tables, hosts }) => {
         for (let at = 0; at < 3; at++) {
-          tables.treat(hosts[(first + at) % hosts.length]!, treatment);
+          tables.setTreatment(hosts[(first + at) % hosts.length]!, treatment);
         }
       });
       ok(tookMs <= BOUND_MS, `${tookMs} ms from host ${first}`);
@@ -81,7 +81,7 @@
 
 test("without the distribution, hosts whose reads fail miss the bound", async () => {
   const tookMs = await measureChange(({ tables, hosts }) => {
-    for (const host of hosts.slice(0, 3)) tables.treat(host, "refused");
+    for (const host of hosts.slice(0, 3)) tables.setTreatment(host, "refused");
   }, { isPassingOn: false });
   ok(tookMs > BOUND_MS, `${tookMs} ms`);
 });
@@ -90,7 +90,7 @@
   // Polls return no changes for a second while an operator changes a route.
   // Then the change history is dropped, so no later poll returns that change.
   const tookMs = await measureChange((fleet) => {
-    fleet.tables.silenceUntil(fleet.nowMs() + 1_000);
+    fleet.tables.pauseWatchesUntil(fleet.nowMs() + 1_000);
     fleet.tables.dropHistory();
   });
   ok(tookMs <= BOUND_MS, `${tookMs} ms`);
@@ -101,12 +101,12 @@
   // replace a newer one.
   const fleet = createKnowledgeFleet({ hosts: 9 });
   await runFleet(Effect.gen(function* () {
-    fleet.tables.put(1);
+    fleet.tables.putConfig(1);
     yield* fleet.start;
     yield* fleet.run(1_000);
-    fleet.tables.put(5);
+    fleet.tables.putConfig(5);
     yield* fleet.run(1_000);
-    fleet.tables.put(3);
+    fleet.tables.putConfig(3);
     yield* fleet.run(1_000);
   }));
   deepStrictEqual(new Set(fleet.getVersions()), new Set([5]));
@@ -138,7 +138,7 @@
     const tookMs = await measureChange((fleet) => {
       const refused = fleet.hosts.filter((_, at) => at !== served);
       for (const host of refused) {
-        fleet.tables.treatTable(host, "config", "silent");
+        fleet.tables.setTableTreatment(host, "config", "silent");
       }
       return fleet.run(4_000);
     });
@@ -154,7 +154,7 @@
   // wasted processor time and bandwidth.
   const fleet = createKnowledgeFleet({ hosts: 9 });
   await runFleet(Effect.gen(function* () {
-    fleet.tables.put(1);
+    fleet.tables.putConfig(1);
     yield* fleet.start;
     yield* fleet.run(8_000);
     const before = fleet.fetches.length;
@@ -170,7 +170,7 @@
   // was a reader, and if not, why not.
   const fleet = createKnowledgeFleet({ hosts: 9 });
   await runFleet(Effect.gen(function* () {
-    fleet.tables.put(1);
+    fleet.tables.putConfig(1);
     yield* fleet.start;
     yield* fleet.run(5_000);
   }));
@@ -213,16 +213,16 @@
     const fleet = createKnowledgeFleet({ hosts: 9 });
     let tookMs = 0;
     await runFleet(Effect.gen(function* () {
-      fleet.tables.put(1);
+      fleet.tables.putConfig(1);
       yield* fleet.start;
       yield* fleet.run(6_000);
-      fleet.tables.put(2);
+      fleet.tables.putConfig(2);
       yield* fleet.run(1_000);
       fleet.treatAll("silent");
       yield* fleet.run(Math.max(10, outageMs));
-      fleet.tables.rewind(outageMs + 1_200);
+      fleet.tables.restoreBackup(outageMs + 1_200);
       fleet.treatAll("served");
-      fleet.tables.put(3);
+      fleet.tables.putConfig(3);
       const sinceMs = fleet.nowMs();
       while (fleet.getVersions().some((each) => each < 3)) {
         yield* fleet.run(10);
--- a/src/orders/order_reconciler_test.ts
+++ b/src/orders/order_reconciler_test.ts
@@ -114,7 +114,7 @@
   const { fencing, skip, step } = input;
   const clock = createManualClock();
   const platform = createFakePlatform();
-  platform.control.pass = step;
+  platform.control.interceptCall = step;
   Object.assign(platform.control, input.faults);
   const arrivedOrders: ArrivedOrder[] = [];
   let highestToken = 0;
--- a/src/quarantine/quarantine_test.ts
+++ b/src/quarantine/quarantine_test.ts
@@ -18,11 +18,11 @@
 } from "../proof/mod.ts";
 import {
   createFakeStore,
-  createFakeTables,
+  createFakeTableService,
   createIo,
   type IoFault,
   runScheduled,
-  runToRest,
+  runUntilIdle,
 } from "../testing/fake_io.ts";
 import { createQuarantine } from "./quarantine.ts";
 import { QUARANTINE_RETENTION_MS, SUSPECT_RETENTION_MS } from "./records.ts";
@@ -48,9 +48,9 @@
     hosts,
     clock,
     addHost(faults = []) {
-      const tables = createFakeTables(
+      const tables = createFakeTableService(
         store,
-        createIo(s, { faults, diesAtCall: 0 }),
+        createIo(s, { faults, crashesAtCall: 0 }),
       );
       const host = createQuarantine({
         id: `entry-${hosts.length}`,
@@ -156,7 +156,7 @@
       assert.equal(await fleet.run(first.recordCrash("c", crash)), 1);
       const alone = { isExclusive: true, isFinal: true };
       assert.equal(await fleet.run(second.recordCrash("c", alone)), 2);
-      await runToRest(s);
+      await runUntilIdle(s);
       const empty = fleet.addHost();
       assert.ok(!empty.isQuarantined("c"));
       await fleet.run(empty.refresh);
@@ -231,7 +231,7 @@
       assert.ok(!cut.isQuarantined("c"));
       await fleet.run(cut.refreshIfPartitioned);
       // The wait has a time-out, which the scheduler may let expire first.
-      await runToRest(s);
+      await runUntilIdle(s);
       assert.ok(cut.isQuarantined("c"));
     }),
     { numRuns: 50, seed: 1 },
--- a/src/requests/run_at_most_once_test.ts
+++ b/src/requests/run_at_most_once_test.ts
@@ -12,14 +12,14 @@
 import fc from "fast-check";
 import type { Claims } from "../claims/mod.ts";
 import { checkHistory, documentedLimits } from "../proof/mod.ts";
-import { type IoFault, type IoPlan, runToRest } from "../testing/fake_io.ts";
+import { type IoFault, type IoPlan, runUntilIdle } from "../testing/fake_io.ts";
 import {
+  createFakeEnvironment,
   createFakeHost,
   createFakeUpstreams,
-  createFakeWorld,
   type FakeHost,
   sendBooking,
-  type SendingEnd,
+  type SendResult,
 } from "../testing/fake_request_host.ts";
 import { runAtMostOnce } from "./run_at_most_once.ts";
 
@@ -34,7 +34,7 @@
 
 const plan: fc.Arbitrary<IoPlan> = fc.record({
   faults: fc.array(fault, { maxLength: 8 }),
-  diesAtCall: fc.oneof(fc.constant(0), fc.integer({ min: 1, max: 6 })),
+  crashesAtCall: fc.oneof(fc.constant(0), fc.integer({ min: 1, max: 6 })),
 });
 
 /**
@@ -43,13 +43,13 @@
  */
 const timeoutSteps = fc.constantFrom(1, 15);
 
-const noFaults: IoPlan = { faults: [], diesAtCall: 0 };
+const noFaults: IoPlan = { faults: [], crashesAtCall: 0 };
 
 /** Sends one booking to all hosts at once, and then to each in turn. */
 async function sendToAll(
-  world: ReturnType<typeof createFakeWorld>,
+  world: ReturnType<typeof createFakeEnvironment>,
   hosts: readonly FakeHost[],
-): Promise<readonly SendingEnd[]> {
+): Promise<readonly SendResult[]> {
   let sendings = 0;
   const send = (host: FakeHost) => {
     sendings++;
@@ -60,7 +60,7 @@
       work: "visit-1",
     });
   };
-  const alive = () => hosts.filter((host) => !host.io.isDead());
+  const alive = () => hosts.filter((host) => !host.io.hasCrashed());
   const together = Promise.all(alive().map(send));
   await world.scheduler.waitFor(together);
   const ends = [...await together];
@@ -83,15 +83,15 @@
       fc.array(plan, { minLength: 1, maxLength: 3 }),
       timeoutSteps,
       async (scheduler, plans, steps) => {
-        const world = createFakeWorld(scheduler, steps);
+        const world = createFakeEnvironment(scheduler, steps);
         const hosts = plans.map((each, index) =>
           createFakeHost(world, `entry-${index}`, { plan: each })
         );
         await sendToAll(world, hosts);
-        await runToRest(scheduler);
+        await runUntilIdle(scheduler);
         assert.deepEqual(checkHistory(world.history, documentedLimits), []);
         for (const host of hosts) {
-          if (!host.io.isDead()) assert.equal(host.getSlotsInUse(), 0);
+          if (!host.io.hasCrashed()) assert.equal(host.getSlotsInUse(), 0);
         }
       },
     ),
@@ -111,12 +111,12 @@
   };
   const found = await fc.check(
     fc.asyncProperty(fc.scheduler(), async (scheduler) => {
-      const world = createFakeWorld(scheduler);
+      const world = createFakeEnvironment(scheduler);
       const hosts = ["entry-1", "entry-2"].map((id) =>
         createFakeHost(world, id, { plan: noFaults, claims })
       );
       await sendToAll(world, hosts);
-      await runToRest(scheduler);
+      await runUntilIdle(scheduler);
       const broken = checkHistory(world.history, documentedLimits);
       assert.ok(!broken.some((each) => each.promise === "at-most-once"));
     }),
@@ -127,18 +127,18 @@
 
 test("the checker reports that every failure counts as refused", async () => {
   const [scheduler] = fc.sample(fc.scheduler(), { numRuns: 1, seed: 1 });
-  const world = createFakeWorld(scheduler!);
+  const world = createFakeEnvironment(scheduler!);
   const host = createFakeHost(world, "entry-1", {
     plan: {
       faults: ["none", ...Array<IoFault>(40).fill("lost-after")],
-      diesAtCall: 0,
+      crashesAtCall: 0,
     },
     createUpstreams: (io) => createFakeUpstreams(world, io, () => "refused"),
   });
   const options = { run: runAtMostOnce, sending: "1", work: "visit-1" };
   const sent = sendBooking(world, host, options);
   await world.scheduler.waitFor(sent);
-  await runToRest(world.scheduler);
+  await runUntilIdle(world.scheduler);
   const broken = checkHistory(world.history, documentedLimits)
     .map((each) => each.promise);
   assert.ok(broken.includes("not-run-did-not-run"));
@@ -156,20 +156,20 @@
       fc.array(fault, { maxLength: 6 }),
       timeoutSteps,
       async (scheduler, faults, steps) => {
-        const world = createFakeWorld(scheduler, steps);
+        const world = createFakeEnvironment(scheduler, steps);
         const first = createFakeHost(world, "entry-1", {
-          plan: { faults, diesAtCall: 0 },
+          plan: { faults, crashesAtCall: 0 },
         });
         const second = createFakeHost(world, "entry-2", { plan: noFaults });
         const options = { run: runAtMostOnce, work: "visit-1" };
         const sent = sendBooking(world, first, { ...options, sending: "1" });
         await scheduler.waitFor(sent);
         const end = await sent;
-        await runToRest(scheduler);
+        await runUntilIdle(scheduler);
         const resent = sendBooking(world, second, { ...options, sending: "2" });
         await scheduler.waitFor(resent);
         const answer = await resent;
-        await runToRest(scheduler);
+        await runUntilIdle(scheduler);
         assert.deepEqual(checkHistory(world.history, documentedLimits), []);
         if (end.outcome === "not-run") {
           // The scheduler may let the second claim time out.
--- a/src/requests/run_idempotent_test.ts
+++ b/src/requests/run_idempotent_test.ts
@@ -13,11 +13,11 @@
 import * as Fiber from "effect/Fiber";
 import fc from "fast-check";
 import { getDigest } from "../core/mod.ts";
-import { forkScheduled, runToRest } from "../testing/fake_io.ts";
+import { forkScheduled, runUntilIdle } from "../testing/fake_io.ts";
 import {
+  createFakeEnvironment,
   createFakeHost,
   createFakeResponse,
-  createFakeWorld,
 } from "../testing/fake_request_host.ts";
 import type { AdmittedRequest } from "../types.ts";
 import {
@@ -179,11 +179,11 @@
   scenario: Scenario,
   overrides: Partial<UpstreamClient> = {},
 ) {
-  const world = createFakeWorld(s, 15);
+  const world = createFakeEnvironment(s, 15);
   const engine = createEngine(s, [...scenario.callResults]);
   let earlyReleases = 0;
   const host = createFakeHost(world, "entry-1", {
-    plan: { faults: [], diesAtCall: 0 },
+    plan: { faults: [], crashesAtCall: 0 },
     createUpstreams: () => ({ ...engine.client, ...overrides }),
     onRelease: () => {
       if (engine.countStreams() > host.getSlotsInUse()) earlyReleases++;
@@ -204,7 +204,7 @@
   await s.waitFor(ended);
   const exit = await ended;
   const outcome = Exit.isSuccess(exit) ? exit.value : "vanished";
-  await runToRest(s);
+  await runUntilIdle(s);
   const parts = [...answer.body.matchAll(/^id: (\d+)$/gm)].map((match) =>
     Number(match[1])
   );
--- a/src/testing/emulated_engine.ts
+++ b/src/testing/emulated_engine.ts
@@ -74,33 +74,31 @@
 
 /** Makes an engine that keeps nothing. */
 export function createEmulatedEngine(
-  figures: EngineProfile = largeChunkEngine,
+  profile: EngineProfile = largeChunkEngine,
 ): EmulatedEngine {
-  const cachedPrefixes = new Set<string>();
+  const prefixCache = new Set<string>();
   let prefilling: RunningRequest[] = [];
   let decoding: RunningRequest[] = [];
   let busyUntilMs = 0;
   let completeStep: (() => void) | undefined;
 
   function useCachedPrefix(run: RunningRequest): void {
-    if (run.contextTokens > 0 || !cachedPrefixes.has(run.req.sharedPrefix)) {
-      return;
-    }
+    if (run.contextTokens > 0 || !prefixCache.has(run.req.sharedPrefix)) return;
     run.contextTokens = run.req.prefixTokens;
     run.remainingPrefillTokens -= run.req.prefixTokens;
   }
 
   function startStep(nowMs: number): void {
     const context = decoding.reduce((sum, each) => sum + each.contextTokens, 0);
-    let stepMs = figures.stepMs + context * figures.contextMsPerToken;
-    const freeSlots = Math.max(0, figures.slots - decoding.length);
+    let stepMs = profile.stepMs + context * profile.contextMsPerToken;
+    const freeSlots = Math.max(0, profile.slots - decoding.length);
     const chunks = prefilling.slice(0, freeSlots).map((run) => {
       useCachedPrefix(run);
       const tokens = Math.min(
-        figures.maxChunkTokens,
+        profile.maxChunkTokens,
         run.remainingPrefillTokens,
       );
-      stepMs += getPrefillMs(figures, tokens, run.contextTokens);
+      stepMs += getPrefillMs(profile, tokens, run.contextTokens);
       return { run, tokens };
     });
     busyUntilMs = nowMs + stepMs;
@@ -115,7 +113,7 @@
     run.remainingPrefillTokens -= tokens;
     if (run.remainingPrefillTokens > 0) return;
     prefilling = prefilling.filter((each) => each !== run);
-    cachedPrefixes.add(run.req.sharedPrefix);
+    prefixCache.add(run.req.sharedPrefix);
     run.req.onPrefilled(busyUntilMs);
     decoding.push(run);
   }
@@ -124,7 +122,7 @@
     for (const run of decoding) {
       run.producedTokens++;
       const isLast = run.producedTokens >= run.req.outputTokens;
-      if (isLast || run.producedTokens % figures.eventTokens === 0) {
+      if (isLast || run.producedTokens % profile.eventTokens === 0) {
         run.req.onEvent(busyUntilMs);
       }
       if (isLast) run.req.onEnd(busyUntilMs);
@@ -136,10 +134,10 @@
 
   return {
     add(req) {
-      const leftToRead = req.prefixTokens + req.suffixTokens;
+      const remainingPrefillTokens = req.prefixTokens + req.suffixTokens;
       prefilling.push({
         req,
-        remainingPrefillTokens: leftToRead,
+        remainingPrefillTokens,
         contextTokens: 0,
         producedTokens: 0,
       });
@@ -158,11 +156,11 @@
 
 /** Time to read so many tokens behind those that are kept, in ms. */
 export function getPrefillMs(
-  figures: EngineProfile,
+  profile: EngineProfile,
   tokens: number,
   cachedTokens: number,
 ): number {
   const pairs = tokens * (cachedTokens + tokens / 2);
-  return tokens / figures.prefillTokensPerMs +
-    pairs * figures.attentionMsPerPair;
+  return tokens / profile.prefillTokensPerMs +
+    pairs * profile.attentionMsPerPair;
 }
--- a/src/testing/fake_io.ts
+++ b/src/testing/fake_io.ts
@@ -45,9 +45,9 @@
 export interface Io {
   /** Brings about the effect, unless a fault prevents it. */
   run<A>(name: string, effect: () => A): Promise<A>;
-  isDead(): boolean;
+  hasCrashed(): boolean;
   /** Settles when the host dies. */
-  readonly died: Promise<void>;
+  readonly crashed: Promise<void>;
 }
 
 /** What goes wrong at one host. */
@@ -55,25 +55,25 @@
   /** Fates of the first calls; later calls succeed. */
   readonly faults: readonly IoFault[];
   /** The host dies at this call, counted from 1; 0 for never. */
-  readonly diesAtCall: number;
+  readonly crashesAtCall: number;
 }
 
-const never = new Promise<never>(() => {});
+const pendingForever = new Promise<never>(() => {});
 
 /** Makes the calls of a host that fares as planned. */
 export function createIo(s: fc.Scheduler, plan: IoPlan): Io {
   const faults = [...plan.faults];
   let calls = 0;
   let isDead = false;
-  let die = () => {};
-  const died = new Promise<void>((resolve) => die = resolve);
+  let crash = () => {};
+  const crashed = new Promise<void>((resolve) => crash = resolve);
 
   function step(name: string): Promise<void> {
     return s.schedule(Promise.resolve(), name);
   }
 
   async function run<A>(name: string, effect: () => A): Promise<A> {
-    if (isDead) return never;
+    if (isDead) return pendingForever;
     calls++;
     const fault = faults.shift() ?? "none";
     await step(`${name} (${fault})`);
@@ -85,18 +85,18 @@
       throw new IoError(fault);
     }
     const value = effect();
-    if (calls === plan.diesAtCall) {
+    if (calls === plan.crashesAtCall) {
       isDead = true;
-      die();
-      return never;
+      crash();
+      return pendingForever;
     }
     await step(`${name} replies`);
-    if (isDead) return never;
+    if (isDead) return pendingForever;
     if (fault === "lost-after") throw new IoError(fault);
     return value;
   }
 
-  return { run, isDead: () => isDead, died };
+  return { run, hasCrashed: () => isDead, crashed };
 }
 
 /** The rows of a fake table service that several hosts share. */
@@ -136,7 +136,7 @@
 }
 
 /** The store as one host reaches it. */
-export function createFakeTables(store: FakeStore, io: Io): TableService {
+export function createFakeTableService(store: FakeStore, io: Io): TableService {
   function call<A>(name: string, effect: () => A) {
     return Effect.tryPromise({
       try: () => io.run(name, effect),
@@ -156,12 +156,12 @@
 }
 
 /**
- * Steps of the scheduler that a sleep lasts. With patience 1 every timeout may
+ * Steps of the scheduler that a sleep lasts. With timeoutSteps 1 every timeout may
  * come before any reply; with more, long sleeps outlast short ones.
  */
-function getSleepSteps(durationMs: number, patience: number): number {
+function getSleepSteps(durationMs: number, timeoutSteps: number): number {
   if (durationMs < 500) return 1;
-  return durationMs < 5_000 ? patience : 4 * patience;
+  return durationMs < 5_000 ? timeoutSteps : 4 * timeoutSteps;
 }
 
 /**
@@ -171,28 +171,28 @@
 export function runScheduled<A, E>(
   s: fc.Scheduler,
   effect: Effect.Effect<A, E>,
-  patience: number,
+  timeoutSteps: number,
 ): Promise<A> {
-  return Effect.runPromise(withScheduledClock(s, effect, patience));
+  return Effect.runPromise(withScheduledClock(s, effect, timeoutSteps));
 }
 
 /** As `runScheduled`; gives the fiber, which can be interrupted. */
 export function forkScheduled<A, E>(
   s: fc.Scheduler,
   effect: Effect.Effect<A, E>,
-  patience: number,
+  timeoutSteps: number,
 ): Fiber.Fiber<A, E> {
-  return Effect.runFork(withScheduledClock(s, effect, patience));
+  return Effect.runFork(withScheduledClock(s, effect, timeoutSteps));
 }
 
 function withScheduledClock<A, E>(
   s: fc.Scheduler,
   effect: Effect.Effect<A, E>,
-  patience: number,
+  timeoutSteps: number,
 ): Effect.Effect<A, E> {
   const sleep = (duration: Duration.Duration) =>
     Effect.promise(async (signal) => {
-      const steps = getSleepSteps(Duration.toMillis(duration), patience);
+      const steps = getSleepSteps(Duration.toMillis(duration), timeoutSteps);
       for (let step = 0; step < steps && !signal.aborted; step++) {
         await s.schedule(Promise.resolve(), "sleep");
       }
@@ -210,12 +210,12 @@
 }
 
 /** Lets everything that is under way come to its end. */
-export async function runToRest(s: fc.Scheduler): Promise<void> {
-  let quiet = 0;
+export async function runUntilIdle(s: fc.Scheduler): Promise<void> {
+  let idleRounds = 0;
   // Fibers go on by way of the event loop, so one empty look says nothing.
-  while (quiet < 5) {
+  while (idleRounds < 5) {
     await new Promise((resolve) => setImmediate(resolve));
-    quiet = s.count() === 0 ? quiet + 1 : 0;
+    idleRounds = s.count() === 0 ? idleRounds + 1 : 0;
     while (s.count() > 0) await s.waitOne();
   }
 }
--- a/src/testing/fake_platform.ts
+++ b/src/testing/fake_platform.ts
@@ -35,7 +35,7 @@
   /** Reservations that the weight store still gives. */
   reservations: number;
   /** Each call passes through it before and after its effect. */
-  pass: (call: string) => Promise<void>;
+  interceptCall: (call: string) => Promise<void>;
 }
 
 /** Makes an empty platform that works. */
@@ -50,7 +50,7 @@
     lostRequests: 0,
     downAfterWrite: false,
     reservations: Infinity,
-    pass: () => Promise.resolve(),
+    interceptCall: () => Promise.resolve(),
   };
 
   function call<A>(
@@ -59,10 +59,10 @@
   ): Effect.Effect<A, PlatformError> {
     return Effect.tryPromise({
       try: async () => {
-        await control.pass(name);
+        await control.interceptCall(name);
         if (control.down) throw fail("Down", false);
         const result = run();
-        await control.pass(name);
+        await control.interceptCall(name);
         return result;
       },
       catch: (err) =>
--- a/src/testing/fake_request_host.ts
+++ b/src/testing/fake_request_host.ts
@@ -29,7 +29,7 @@
 } from "../upstreams/mod.ts";
 import {
   createFakeStore,
-  createFakeTables,
+  createFakeTableService,
   createIo,
   type Io,
   IoError,
@@ -38,28 +38,28 @@
 } from "./fake_io.ts";
 
 /** The world that the fake hosts share. */
-export interface FakeWorld {
+export interface FakeEnvironment {
   readonly scheduler: fc.Scheduler;
   readonly store: ReturnType<typeof createFakeStore>;
   readonly history: Observation[];
-  readonly dead: Set<string>;
+  readonly crashedHosts: Set<string>;
   /** Scheduler steps that a timeout of a second lasts. */
-  readonly patience: number;
+  readonly timeoutSteps: number;
   observe(body: ObservationBody): void;
 }
 
 /** Makes a world in which nothing happened. */
-export function createFakeWorld(
+export function createFakeEnvironment(
   scheduler: fc.Scheduler,
-  patience = 15,
-): FakeWorld {
+  timeoutSteps = 15,
+): FakeEnvironment {
   const history: Observation[] = [];
   return {
     scheduler,
     store: createFakeStore(),
     history,
-    dead: new Set(),
-    patience,
+    crashedHosts: new Set(),
+    timeoutSteps,
     observe: (body) => history.push({ ...body, atMs: history.length }),
   };
 }
@@ -71,7 +71,7 @@
   readonly serveHost: ServeHost;
   /** Slots that were granted and not given back. */
   getSlotsInUse(): number;
-  getReleases(): number;
+  countReleases(): number;
 }
 
 const upstream: Upstream = {
@@ -83,7 +83,7 @@
   fencing: "ignores",
 };
 
-const noCrashes: Quarantine = {
+const emptyQuarantine: Quarantine = {
   getCrashes: () => 0,
   isQuarantined: () => false,
   recordCrash: () => Effect.succeed(1),
@@ -97,7 +97,7 @@
 
 /** Makes a host; `claims` replaces the real ones, to show what they prevent. */
 export function createFakeHost(
-  world: FakeWorld,
+  env: FakeEnvironment,
   id: string,
   options: {
     readonly plan: IoPlan;
@@ -108,9 +108,9 @@
     readonly onRelease?: () => void;
   },
 ): FakeHost {
-  const { scheduler } = world;
+  const { scheduler } = env;
   const io = createIo(scheduler, options.plan);
-  void io.died.then(() => world.dead.add(id));
+  void io.crashed.then(() => env.crashedHosts.add(id));
   const clock = createManualClock(1_000_000);
   const slots = createFakeSlots(scheduler, io, () => {
     // Time passes with each slot, so that an upstream is not down for good.
@@ -120,7 +120,7 @@
     id,
     incarnation: 1,
     clock,
-    tables: createFakeTables(world.store, io),
+    tables: createFakeTableService(env.store, io),
     random: () => 0,
   });
   const serveHost: ServeHost = {
@@ -132,20 +132,20 @@
     slots: slots.client,
     claims,
     upstreams: options.createUpstreams?.(io) ??
-      createFakeUpstreams(world, io),
+      createFakeUpstreams(env, io),
     health: createUpstreamHealth(clock),
     occupancy: createUpstreamLocks(),
-    quarantine: noCrashes,
+    quarantine: emptyQuarantine,
     recorder: { record() {}, getSince: () => [] },
     backlog: createBacklog({ clock, random: () => 0 }),
     retryBudget: createRetryBudget(clock),
     getDeployment: () => undefined,
     isDraining: () => false,
     waitUntilDrainTimeout: Effect.never,
-    isProcessDead: (other) => world.dead.has(other),
+    isProcessDead: (other) => env.crashedHosts.has(other),
     charge() {},
     runDetached: (effect) =>
-      void runScheduled(scheduler, effect, world.patience),
+      void runScheduled(scheduler, effect, env.timeoutSteps),
     onEnded() {},
   };
   return {
@@ -153,7 +153,7 @@
     io,
     serveHost,
     getSlotsInUse: () => slots.counts.granted - slots.counts.released,
-    getReleases: () => slots.counts.released,
+    countReleases: () => slots.counts.released,
   };
 }
 
@@ -185,7 +185,7 @@
     acquire(req: AdmittedRequest, start: (slot: SlotHandle) => void) {
       waiting.add(req);
       void scheduler.schedule(Promise.resolve(), "grant").then(() => {
-        if (waiting.delete(req) && !io.isDead()) start(createHandle());
+        if (waiting.delete(req) && !io.hasCrashed()) start(createHandle());
       });
     },
     cancel: (req: AdmittedRequest) => waiting.delete(req),
@@ -195,7 +195,7 @@
 
 /** A plain service that notes what it runs; `getFailure` names a lost call. */
 export function createFakeUpstreams(
-  world: FakeWorld,
+  env: FakeEnvironment,
   io: Io,
   getFailure: (err: unknown) => UpstreamFailure = getCertainFailure,
 ): UpstreamClient {
@@ -204,7 +204,7 @@
       Effect.uninterruptible(Effect.tryPromise({
         try: () =>
           io.run("call", () => {
-            world.observe({
+            env.observe({
               kind: "upstream-ran",
               upstream: upstream.id,
               request: call.request,
@@ -227,7 +227,7 @@
 }
 
 /** What a sending came to. */
-export interface SendingEnd {
+export interface SendResult {
   readonly outcome: Outcome | "cut";
   readonly status: number;
   readonly body: string;
@@ -243,14 +243,14 @@
 
 /** Sends a booking to the host and waits for its end or the host's death. */
 export async function sendBooking(
-  world: FakeWorld,
+  env: FakeEnvironment,
   host: FakeHost,
   options: {
     readonly run: RunRequest;
     readonly sending: string;
     readonly work: string;
   },
-): Promise<SendingEnd> {
+): Promise<SendResult> {
   const { run, sending, work } = options;
   const admitted: AdmittedRequest = {
     id: sending,
@@ -262,7 +262,7 @@
     expectedCost: 1,
     fingerprint: getDigest(work),
   };
-  world.observe({
+  env.observe({
     kind: "request-sent",
     sending,
     team: "alder",
@@ -271,17 +271,17 @@
     idempotent: false,
     work,
   });
-  const answer = { outcome: "", status: 0, body: "" };
-  const res = createFakeResponse(answer);
+  const response = { outcome: "", status: 0, body: "" };
+  const res = createFakeResponse(response);
   const served = runScheduled(
-    world.scheduler,
+    env.scheduler,
     run(host.serveHost, admitted, createCall(work), res).pipe(
       Effect.match({
-        onSuccess: (): SendingEnd => ({
-          ...answer,
-          outcome: answer.outcome as Outcome,
+        onSuccess: (): SendResult => ({
+          ...response,
+          outcome: response.outcome as Outcome,
         }),
-        onFailure: (err): SendingEnd =>
+        onFailure: (err): SendResult =>
           err._tag === "CallerLost"
             ? { outcome: "cut", status: 0, body: "" }
             : {
@@ -291,15 +291,15 @@
             },
       }),
     ),
-    world.patience,
+    env.timeoutSteps,
   );
-  const cut = host.io.died.then((): SendingEnd => ({
+  const cut = host.io.crashed.then((): SendResult => ({
     outcome: "cut",
     status: 0,
     body: "",
   }));
   const end = await Promise.race([served, cut]);
-  world.observe({
+  env.observe({
     kind: "request-ended",
     sending,
     outcome: end.outcome,
--- a/src/testing/fake_tables.ts
+++ b/src/testing/fake_tables.ts
@@ -28,18 +28,18 @@
 /** The platform as tests set it. */
 export interface FakeTables {
   /** Puts a configuration in place, as operators do. */
-  put(version: number): void;
+  putConfig(version: number): void;
   /** Replaces the upstreams that are registered. */
   putUpstreams(ids: readonly string[]): void;
-  treat(host: string, treatment: Treatment): void;
+  setTreatment(host: string, treatment: Treatment): void;
   /** As the platform treats a host that asks for this table. */
-  treatTable(host: string, table: TableName, treatment: Treatment): void;
+  setTableTreatment(host: string, table: TableName, treatment: Treatment): void;
   /** Watches hear nothing until the time given, in ms. */
-  silenceUntil(ms: number): void;
+  pauseWatchesUntil(ms: number): void;
   /** Watches from an older version are told that the history is gone. */
   dropHistory(): void;
   /** Comes back as it was so long ago, in ms, with the next era. */
-  rewind(ms: number): void;
+  restoreBackup(ms: number): void;
   /** Calls of all hosts so far, those without an answer included. */
   countCalls(): number;
   /** The platform as the host finds it. */
@@ -62,13 +62,13 @@
 }
 
 /** Step in which a watch looks for news, in ms. */
-const STEP_MS = 10;
+const WATCH_POLL_MS = 10;
 
 /** Time after which a client gives a silent platform up, besides its wait. */
-const ANSWER_LIMIT_MS = 700;
+const RESPONSE_TIMEOUT_MS = 700;
 
 /** A call to the platform, in ms. */
-const CALL_MS = 5;
+const CALL_DURATION_MS = 5;
 
 /** Makes a platform that serves all hosts and has no rows. */
 export function createFakeTables(clock: Clock): FakeTables {
@@ -89,8 +89,8 @@
   const snapshots: Snapshot[] = [];
   let era = 1;
   let version = 1;
-  let keptFrom = 0;
-  let silentUntilMs = 0;
+  let oldestVersion = 0;
+  let pausedUntilMs = 0;
   let calls = 0;
 
   function takeSnapshot(): void {
@@ -114,9 +114,9 @@
   }
 
   /** A row that is there stays as it was written. */
-  function putUpstream(id: string): TableRow<UpstreamEntry> {
-    const known = upstreams.rows.find((each) => each.key === id);
-    return known ?? { key: id, version, value: createUpstreamEntry({ id }) };
+  function getOrCreateRow(id: string): TableRow<UpstreamEntry> {
+    const existing = upstreams.rows.find((each) => each.key === id);
+    return existing ?? { key: id, version, value: createUpstreamEntry({ id }) };
   }
 
   function getRemoved<T>(table: FakeTable<T>): readonly string[] {
@@ -128,28 +128,28 @@
     return Effect.sync(() => ({ era, version, rows: table.rows }));
   }
 
-  function follow<T>(
+  function pollChanges<T>(
     table: FakeTable<T>,
     after: number,
     waitMs: number,
   ): Effect.Effect<TableChange<T>, TableError> {
     return Effect.suspend(() => {
-      const isSilent = clock.monotonicMs() < silentUntilMs;
-      if (!isSilent && (after < keptFrom || after > version)) {
+      const isPaused = clock.monotonicMs() < pausedUntilMs;
+      if (!isPaused && (after < oldestVersion || after > version)) {
         const reason = "The history is gone";
         return Effect.fail(new TableError({ kind: "history-lost", reason }));
       }
-      const hasNews = !isSilent && table.changedVersion > after;
-      if (hasNews || waitMs <= 0) {
+      const hasChanges = !isPaused && table.changedVersion > after;
+      if (hasChanges || waitMs <= 0) {
         return Effect.succeed({
           era,
-          version: isSilent ? after : version,
-          changed: hasNews ? table.rows : [],
-          removed: hasNews ? getRemoved(table) : [],
+          version: isPaused ? after : version,
+          changed: hasChanges ? table.rows : [],
+          removed: hasChanges ? getRemoved(table) : [],
         });
       }
-      return Effect.sleep(STEP_MS).pipe(
-        Effect.andThen(follow(table, after, waitMs - STEP_MS)),
+      return Effect.sleep(WATCH_POLL_MS).pipe(
+        Effect.andThen(pollChanges(table, after, waitMs - WATCH_POLL_MS)),
       );
     });
   }
@@ -167,11 +167,13 @@
       calls++;
       const treatment = treatments[table].get(host) ?? "served";
       if (treatment === "served") {
-        return Effect.sleep(CALL_MS).pipe(Effect.andThen(options.answer));
+        return Effect.sleep(CALL_DURATION_MS).pipe(
+          Effect.andThen(options.answer),
+        );
       }
       const afterMs = treatment === "refused"
-        ? CALL_MS
-        : options.waitMs + ANSWER_LIMIT_MS;
+        ? CALL_DURATION_MS
+        : options.waitMs + RESPONSE_TIMEOUT_MS;
       const err = new TableError({ kind: "unreachable", reason: treatment });
       return Effect.sleep(afterMs).pipe(Effect.andThen(Effect.fail(err)));
     });
@@ -185,34 +187,34 @@
     return {
       read: () => call(host, name, { waitMs: 0, answer: read(table) }),
       pollChanges: (after, waitMs) =>
-        call(host, name, { waitMs, answer: follow(table, after, waitMs) }),
+        call(host, name, { waitMs, answer: pollChanges(table, after, waitMs) }),
     };
   }
 
   return {
-    put(next) {
+    putConfig(next) {
       const value = createRoutingConfig({ version: next });
       version++;
       setRows(config, [{ key: "config", version, value }]);
     },
     putUpstreams(ids) {
       version++;
-      setRows(upstreams, ids.map(putUpstream));
+      setRows(upstreams, ids.map(getOrCreateRow));
     },
-    treat(host, treatment) {
+    setTreatment(host, treatment) {
       for (const name of TABLE_NAMES) treatments[name].set(host, treatment);
     },
-    treatTable: (host, table, treatment) =>
+    setTableTreatment: (host, table, treatment) =>
       void treatments[table].set(host, treatment),
-    silenceUntil: (ms) => silentUntilMs = ms,
-    dropHistory: () => keptFrom = version,
-    rewind(ms) {
+    pauseWatchesUntil: (ms) => pausedUntilMs = ms,
+    dropHistory: () => oldestVersion = version,
+    restoreBackup(ms) {
       const untilMs = clock.monotonicMs() - ms;
       const old = snapshots.findLast((each) => each.atMs <= untilMs);
       if (old === undefined) return;
       snapshots.length = snapshots.indexOf(old) + 1;
       era++;
-      keptFrom = 0;
+      oldestVersion = 0;
       version = old.version;
       Object.assign(config, old.config);
       Object.assign(upstreams, old.upstreams);
--- a/src/testing/platform_view_checks.ts
+++ b/src/testing/platform_view_checks.ts
@@ -116,13 +116,13 @@
     broken,
     getWorstMs: () => worstMs,
     countChanges: () => configs.length + upstreams.length,
-    changeConfig: () => fleet.tables.put(accept(configs)),
+    changeConfig: () => fleet.tables.putConfig(accept(configs)),
     changeUpstreams() {
       accept(upstreams);
       putUpstreams();
     },
     writeAgain() {
-      if (configs.length > 0) fleet.tables.put(configs.length);
+      if (configs.length > 0) fleet.tables.putConfig(configs.length);
       if (upstreams.length > 0) putUpstreams();
     },
     leave(host) {
--- a/src/testing/platform_view_fleet.ts
+++ b/src/testing/platform_view_fleet.ts
@@ -208,7 +208,7 @@
     },
     loseDatagrams: (share) => lostShare = share,
     treatAll(treatment) {
-      for (const host of hosts) tables.treat(host, treatment);
+      for (const host of hosts) tables.setTreatment(host, treatment);
     },
   };
 }
--- a/src/testing/simulated_faults.ts
+++ b/src/testing/simulated_faults.ts
@@ -97,7 +97,7 @@
 
   function rewind(): void {
     returns++;
-    fleet.tables.rewind(LEAST_LOST_MS + random() * LOST_SPREAD_MS);
+    fleet.tables.restoreBackup(LEAST_LOST_MS + random() * LOST_SPREAD_MS);
   }
 
   /** Where troubles overlap, the newest says how a host is treated. */
@@ -106,7 +106,7 @@
     for (const { hosts, tables, treatment } of troubles) {
       for (const host of hosts) {
         for (const table of tables) {
-          fleet.tables.treatTable(host, table, treatment);
+          fleet.tables.setTableTreatment(host, table, treatment);
         }
       }
     }
@@ -117,7 +117,7 @@
     return Effect.gen(function* () {
       troubles.add(trouble);
       applyTreatments();
-      if (kind === "history-dropped") fleet.tables.silenceUntil(untilMs);
+      if (kind === "history-dropped") fleet.tables.pauseWatchesUntil(untilMs);
       if (kind === "lossy") fleet.loseDatagrams(LOST_SHARE);
       for (const host of hosts) {
         if (kind === "killed") yield* fleet.killHost(host);
