--- a/src/entry/platform_view_soak_test.ts
+++ b/src/entry/platform_view_soak_test.ts
@@ -1,17 +1,17 @@
 import { deepStrictEqual, ok } from "node:assert";
 import { test } from "node:test";
-import { playSoak, type SoakResult } from "../testing/platform_view_soak.ts";
+import { runSoak, type SoakResult } from "../testing/platform_view_soak.ts";
 
 const SEEDS = 25;
 
 /** Runs the seeds one after the other, since each has its own virtual time. */
 async function runSeeds(
   seeds: number,
-  isPassingOn = true,
+  distributesTables = true,
 ): Promise<readonly SoakResult[]> {
   const results: SoakResult[] = [];
   for (let seed = 1; seed <= seeds; seed++) {
-    results.push(await playSoak({ seed, hosts: 9, isPassingOn }));
+    results.push(await runSoak({ seed, hosts: 9, distributesTables }));
   }
   return results;
 }
@@ -24,18 +24,18 @@
   // combinations. In one of them the platform answered again for one table
   // while each reader left the other table to the others, and no host read it.
   const results = await runSeeds(SEEDS);
-  const broken = results.flatMap(({ seed, broken }) =>
-    broken.slice(0, 2).map((each) => `seed ${seed}, ${each}`)
+  const violations = results.flatMap(({ seed, violations }) =>
+    violations.slice(0, 2).map((each) => `seed ${seed}, ${each}`)
   );
-  deepStrictEqual(broken, []);
-  const sum = (name: "calmCalls" | "neededCalls") =>
+  deepStrictEqual(violations, []);
+  const sum = (name: "steadyStateCalls" | "neededCalls") =>
     results.reduce((total, each) => total + each[name], 0);
-  const calls = sum("calmCalls");
+  const calls = sum("steadyStateCalls");
   const needed = sum("neededCalls");
   ok(calls <= needed, `${calls} calls, three readers need ${needed}`);
 });
 
 test("the checks fail if hosts do not communicate", async () => {
   const results = await runSeeds(5, false);
-  ok(results.some(({ broken }) => broken.length > 0));
+  ok(results.some(({ violations }) => violations.length > 0));
 });
--- a/src/entry/platform_view_test.ts
+++ b/src/entry/platform_view_test.ts
@@ -2,8 +2,8 @@
 import { test } from "node:test";
 import * as Effect from "effect/Effect";
 import {
-  createKnowledgeFleet,
-  type KnowledgeFleet,
+  createPlatformViewFleet,
+  type PlatformViewFleet,
   runFleet,
 } from "../testing/platform_view_fleet.ts";
 
@@ -18,10 +18,13 @@
  * returns the time until the last host has it in force, in ms.
  */
 async function measureChange(
-  causeFailures: (fleet: KnowledgeFleet) => void | Effect.Effect<void>,
-  { hosts = 9, isPassingOn = true } = {},
+  causeFailures: (fleet: PlatformViewFleet) => void | Effect.Effect<void>,
+  { hosts = 9, distributesTables = true } = {},
 ): Promise<number> {
-  const fleet = createKnowledgeFleet({ hosts, isPassingOn });
+  const fleet = createPlatformViewFleet({
+    hosts,
+    distributesTables,
+  });
   let tookMs = 0;
   await runFleet(Effect.gen(function* () {
     fleet.tables.putConfig(1);
@@ -47,7 +50,7 @@
  * The platform answers no host for `outageMs`, and all upstream entries expire.
  */
 function simulateOutage(
-  fleet: KnowledgeFleet,
+  fleet: PlatformViewFleet,
   outageMs: number,
 ): Effect.Effect<void> {
   return Effect.gen(function* () {
@@ -82,7 +85,7 @@
 test("without the distribution, hosts whose reads fail miss the bound", async () => {
   const tookMs = await measureChange(({ tables, hosts }) => {
     for (const host of hosts.slice(0, 3)) tables.setTreatment(host, "refused");
-  }, { isPassingOn: false });
+  }, { distributesTables: false });
   ok(tookMs > BOUND_MS, `${tookMs} ms`);
 });
 
@@ -99,7 +102,7 @@
 test("no host goes back to an older configuration when the platform does", async () => {
   // A host that missed the change may answer a fetch; its older copy must not
   // replace a newer one.
-  const fleet = createKnowledgeFleet({ hosts: 9 });
+  const fleet = createPlatformViewFleet({ hosts: 9 });
   await runFleet(Effect.gen(function* () {
     fleet.tables.putConfig(1);
     yield* fleet.start;
@@ -152,7 +155,7 @@
   // any change in it. Hosts used to mistake that for a newer configuration and
   // fetched it after each report until a configuration was published, which
   // wasted processor time and bandwidth.
-  const fleet = createKnowledgeFleet({ hosts: 9 });
+  const fleet = createPlatformViewFleet({ hosts: 9 });
   await runFleet(Effect.gen(function* () {
     fleet.tables.putConfig(1);
     yield* fleet.start;
@@ -168,13 +171,13 @@
 test("a host logs whether it reads a table, and why", async () => {
   // Operators need to find out why a host had an old configuration: whether it
   // was a reader, and if not, why not.
-  const fleet = createKnowledgeFleet({ hosts: 9 });
+  const fleet = createPlatformViewFleet({ hosts: 9 });
   await runFleet(Effect.gen(function* () {
     fleet.tables.putConfig(1);
     yield* fleet.start;
     yield* fleet.run(5_000);
   }));
-  const lines = fleet.logged.map((each) => each.decision)
+  const lines = fleet.loggedDecisions.map((each) => each.decision)
     .filter((each) => each.event === "table-reader-changed")
     .filter((each) => each.table === "config");
   const countLines = (because: string) =>
@@ -210,7 +213,7 @@
 test("a restored platform is detected at once, even if its version is unchanged", async () => {
   // Guards against a poll that waits for changes in an era that has ended.
   for (let outageMs = 0; outageMs <= 3_000; outageMs += 150) {
-    const fleet = createKnowledgeFleet({ hosts: 9 });
+    const fleet = createPlatformViewFleet({ hosts: 9 });
     let tookMs = 0;
     await runFleet(Effect.gen(function* () {
       fleet.tables.putConfig(1);
--- a/src/measure/table_soak.ts
+++ b/src/measure/table_soak.ts
@@ -6,8 +6,8 @@
  * @module
  */
 
-import { BOUND_MS } from "../testing/platform_view_checks.ts";
-import { playSoak, type SoakResult } from "../testing/platform_view_soak.ts";
+import { PROPAGATION_BOUND_MS } from "../testing/platform_view_checks.ts";
+import { runSoak, type SoakResult } from "../testing/platform_view_soak.ts";
 import type { ScenarioOptions } from "./main.ts";
 import type { Report } from "./report.ts";
 
@@ -19,8 +19,8 @@
 ): Promise<Report> {
   const results: SoakResult[] = [];
   for (let run = 0; run < RUNS; run++) {
-    const result = await playSoak({ seed: seed + run, hosts });
-    const [first] = result.broken;
+    const result = await runSoak({ seed: seed + run, hosts });
+    const [first] = result.violations;
     if (first !== undefined) console.log(`Seed ${result.seed}, ${first}`);
     results.push(result);
   }
@@ -33,19 +33,19 @@
     figures: [
       {
         name: "broken_seeds",
-        value: sum((each) => Math.min(1, each.broken.length)),
+        value: sum((each) => Math.min(1, each.violations.length)),
         baselines: {},
         bound: { kind: "at-most", value: 0 },
       },
       {
         name: "worst_delay_ms",
-        value: Math.max(...results.map((each) => each.worstMs)),
+        value: Math.max(...results.map((each) => each.worstDelayMs)),
         baselines: {},
-        bound: { kind: "at-most", value: BOUND_MS },
+        bound: { kind: "at-most", value: PROPAGATION_BOUND_MS },
       },
       {
         name: "calm_platform_calls",
-        value: sum((each) => each.calmCalls),
+        value: sum((each) => each.steadyStateCalls),
         baselines: {},
         bound: { kind: "at-most", value: sum((each) => each.neededCalls) },
       },
--- a/src/testing/platform_view_fleet.ts
+++ b/src/testing/platform_view_fleet.ts
@@ -26,7 +26,7 @@
 } from "./fake_tables.ts";
 
 /** A logged decision and its host. */
-export interface FleetLine {
+export interface LoggedDecision {
   readonly host: string;
   readonly decision: Decision;
 }
@@ -36,11 +36,11 @@
   readonly hosts: number;
   readonly seed?: number;
   /** False: each host knows only what the platform tells it. */
-  readonly isPassingOn?: boolean;
+  readonly distributesTables?: boolean;
 }
 
 /** The fleet. */
-export interface KnowledgeFleet {
+export interface PlatformViewFleet {
   readonly tables: FakeTables;
   /** Peer addresses. */
   readonly hosts: readonly string[];
@@ -48,9 +48,9 @@
   /** How the hosts' fetches from one another ended. */
   readonly fetches: readonly FetchOutcome[];
   /** What the hosts have logged, in order. */
-  readonly logged: readonly FleetLine[];
+  readonly loggedDecisions: readonly LoggedDecision[];
   /** What the host knows; `undefined` while it is down. */
-  tryGetKnowledge(host: string): PlatformView | undefined;
+  tryGetView(host: string): PlatformView | undefined;
   /** Configuration in force at each host that is up; 0 for none. */
   getVersions(): readonly number[];
   run(ms: number): Effect.Effect<void>;
@@ -60,31 +60,33 @@
   /** Starts all hosts. */
   readonly start: Effect.Effect<void>;
   /** Cuts the host from all others, or ends that. */
-  cut(host: string, isCut: boolean): void;
+  setPartitioned(host: string, isPartitioned: boolean): void;
   /** Share of the datagrams that is lost from now on. */
-  loseDatagrams(share: number): void;
+  setDatagramLoss(rate: number): void;
   treatAll(treatment: Treatment): void;
 }
 
 /** From one host to another, between regions, in ms. */
-const LINK_MS = 20;
+const LINK_LATENCY_MS = 20;
 
 /** Until a host that is gone no longer counts as alive at the others, in ms. */
-const DETECT_MS = 800;
+const FAILURE_DETECTION_MS = 800;
 
 /** Until a fetch from a host that does not answer is given up, in ms. */
-const FETCH_LIMIT_MS = 1_500;
+const FETCH_TIMEOUT_MS = 1_500;
 
 const STEP_MS = 10;
 
-interface Life {
-  readonly knowledge: PlatformView;
+interface RunningHost {
+  readonly view: PlatformView;
   readonly fiber: Fiber.Fiber<never>;
 }
 
 /** Makes the fleet, no host started; give effects that use it to `runFleet`. */
-export function createKnowledgeFleet(options: FleetOptions): KnowledgeFleet {
-  const { seed = 1, isPassingOn = true } = options;
+export function createPlatformViewFleet(
+  options: FleetOptions,
+): PlatformViewFleet {
+  const { seed = 1, distributesTables = true } = options;
   const agenda = createAgenda();
   const { clock } = agenda;
   const nowMs = clock.monotonicMs;
@@ -93,38 +95,39 @@
     { length: options.hosts },
     (_, at) => `10.0.0.${at + 1}:1`,
   );
-  const linkRandom = createRandom(seed);
-  const lives = new Map<string, Life>();
-  const lostSinceMs = new Map<string, number>();
-  const cutSinceMs = new Map<string, number>();
+  const lossRandom = createRandom(seed);
+  const runningHosts = new Map<string, RunningHost>();
+  const killedSinceMs = new Map<string, number>();
+  const isolatedSinceMs = new Map<string, number>();
   const fetches: FetchOutcome[] = [];
-  const logged: FleetLine[] = [];
-  let incarnations = 0;
-  let lostShare = 0;
+  const loggedDecisions: LoggedDecision[] = [];
+  let lastIncarnation = 0;
+  let lossRate = 0;
 
   const isConnected = (from: string, to: string) =>
-    lives.has(to) && !cutSinceMs.has(from) && !cutSinceMs.has(to);
+    runningHosts.has(to) && !isolatedSinceMs.has(from) &&
+    !isolatedSinceMs.has(to);
 
   const isLongAgo = (sinceMs: number | undefined) =>
-    sinceMs !== undefined && nowMs() - sinceMs > DETECT_MS;
+    sinceMs !== undefined && nowMs() - sinceMs > FAILURE_DETECTION_MS;
 
   /** Hosts that are alive as far as the host knows, itself included. */
   function getAlive(host: string): readonly string[] {
-    const isAlone = isLongAgo(cutSinceMs.get(host));
+    const isIsolated = isLongAgo(isolatedSinceMs.get(host));
     return hosts.filter((each) =>
       each === host ||
-      !isAlone && !isLongAgo(cutSinceMs.get(each)) &&
-        !isLongAgo(lostSinceMs.get(each))
+      !isIsolated && !isLongAgo(isolatedSinceMs.get(each)) &&
+        !isLongAgo(killedSinceMs.get(each))
     );
   }
 
   /** To all other hosts, one link later. */
-  function push(from: string, fact: Fact): void {
-    if (!isPassingOn) return;
+  function broadcast(from: string, fact: Fact): void {
+    if (!distributesTables) return;
     for (const to of hosts) {
-      if (to === from || linkRandom() < lostShare) continue;
-      agenda.after(LINK_MS, () => {
-        if (isConnected(from, to)) lives.get(to)!.knowledge.receive(fact);
+      if (to === from || lossRandom() < lossRate) continue;
+      agenda.after(LINK_LATENCY_MS, () => {
+        if (isConnected(from, to)) runningHosts.get(to)!.view.receive(fact);
       });
     }
   }
@@ -136,22 +139,22 @@
   ): Promise<Uint8Array | undefined> {
     return new Promise((resolve) => {
       const answer = () =>
-        resolve(lives.get(peer)?.knowledge.tryGetTable(name));
-      if (isConnected(host, peer)) agenda.after(2 * LINK_MS, answer);
-      else agenda.after(FETCH_LIMIT_MS, () => resolve(undefined));
+        resolve(runningHosts.get(peer)?.view.tryGetTable(name));
+      if (isConnected(host, peer)) agenda.after(2 * LINK_LATENCY_MS, answer);
+      else agenda.after(FETCH_TIMEOUT_MS, () => resolve(undefined));
     });
   }
 
   function createHost(host: string): PlatformView {
-    const send = (fact: Fact) => push(host, fact);
-    incarnations++;
+    const send = (fact: Fact) => broadcast(host, fact);
+    lastIncarnation++;
     return createPlatformView({
       clock,
       platform: tables.createPlatform(host),
       peerAddress: host,
-      incarnation: incarnations,
-      random: createRandom(seed * 1_000 + incarnations),
-      log: (decision) => logged.push({ host, decision }),
+      incarnation: lastIncarnation,
+      random: createRandom(seed * 1_000 + lastIncarnation),
+      log: (decision) => loggedDecisions.push({ host, decision }),
       onFetched: (_, outcome) => fetches.push(outcome),
       onPlatformRestored: () => {},
       getHosts: () => getAlive(host),
@@ -163,20 +166,20 @@
 
   function startHost(host: string): Effect.Effect<void> {
     return Effect.gen(function* () {
-      const knowledge = createHost(host);
-      lostSinceMs.delete(host);
-      const fiber = yield* Effect.forkDetach(knowledge.run);
-      lives.set(host, { knowledge, fiber });
+      const view = createHost(host);
+      killedSinceMs.delete(host);
+      const fiber = yield* Effect.forkDetach(view.run);
+      runningHosts.set(host, { view, fiber });
     });
   }
 
   function killHost(host: string): Effect.Effect<void> {
     return Effect.suspend(() => {
-      const life = lives.get(host);
-      if (life === undefined) return Effect.void;
-      lives.delete(host);
-      lostSinceMs.set(host, nowMs());
-      return Fiber.interrupt(life.fiber).pipe(Effect.asVoid);
+      const running = runningHosts.get(host);
+      if (running === undefined) return Effect.void;
+      runningHosts.delete(host);
+      killedSinceMs.set(host, nowMs());
+      return Fiber.interrupt(running.fiber).pipe(Effect.asVoid);
     });
   }
 
@@ -193,20 +196,20 @@
     hosts,
     nowMs,
     fetches,
-    logged,
-    tryGetKnowledge: (host) => lives.get(host)?.knowledge,
+    loggedDecisions,
+    tryGetView: (host) => runningHosts.get(host)?.view,
     getVersions: () =>
-      [...lives.values()]
-        .map(({ knowledge }) => knowledge.getInputs().configVersion),
+      [...runningHosts.values()]
+        .map(({ view }) => view.getInputs().configVersion),
     run: (ms) => Effect.repeat(step, { times: Math.ceil(ms / STEP_MS) - 1 }),
     startHost,
     killHost,
     start: Effect.forEach(hosts, startHost, { discard: true }),
-    cut(host, isCut) {
-      if (!isCut) cutSinceMs.delete(host);
-      else if (!cutSinceMs.has(host)) cutSinceMs.set(host, nowMs());
+    setPartitioned(host, isPartitioned) {
+      if (!isPartitioned) isolatedSinceMs.delete(host);
+      else if (!isolatedSinceMs.has(host)) isolatedSinceMs.set(host, nowMs());
     },
-    loseDatagrams: (share) => lostShare = share,
+    setDatagramLoss: (rate) => lossRate = rate,
     treatAll(treatment) {
       for (const host of hosts) tables.setTreatment(host, treatment);
     },
--- a/src/testing/simulated_faults.ts
+++ b/src/testing/simulated_faults.ts
@@ -11,7 +11,7 @@
 import { TABLE_NAMES, type TableName } from "../discovery/mod.ts";
 import type { Random } from "../measure/random.ts";
 import type { Treatment } from "./fake_tables.ts";
-import type { KnowledgeFleet } from "./platform_view_fleet.ts";
+import type { PlatformViewFleet } from "./platform_view_fleet.ts";
 
 /**
  * `away`: the platform answers no host. `one-table`: it answers no host that asks
@@ -20,7 +20,7 @@
  * meanwhile is forgotten. `returned`: the platform answers no host, and comes back
  * from an older copy of itself.
  */
-type TroubleKind =
+type FaultKind =
   | "away"
   | "one-table"
   | "turned-away"
@@ -31,7 +31,7 @@
   | "lossy";
 
 /** Each is drawn as often as it stands here. */
-const troubleKinds: readonly TroubleKind[] = [
+const faultKinds: readonly FaultKind[] = [
   "away",
   "away",
   "one-table",
@@ -45,8 +45,8 @@
   "lossy",
 ];
 
-interface Trouble {
-  readonly kind: TroubleKind;
+interface Fault {
+  readonly kind: FaultKind;
   readonly untilMs: number;
   /** Hosts that it meets. */
   readonly hosts: readonly string[];
@@ -56,9 +56,9 @@
 }
 
 /** The troubles of one fleet. */
-export interface Troubles {
+export interface FaultSchedule {
   /** How often the platform has come back from a copy. */
-  countReturns(): number;
+  countRestores(): number;
   /** Begins what is due by now and ends what is over. */
   readonly update: Effect.Effect<void>;
   /** Whether there is any, hosts that are turned away included. */
@@ -67,43 +67,45 @@
    * Whether there is one that excuses a host for lacking a change. That the
    * platform turns some hosts away excuses nothing: the others tell them.
    */
-  hasExcuse(): boolean;
+  hasDelayingFault(): boolean;
 }
 
 /** Until the first trouble, in ms: all hosts have started by then. */
-const FIRST_MS = 4_000;
+const FIRST_FAULT_MS = 4_000;
 
 /** Between two troubles of a series, and beside it between two series, in ms. */
-const GAP_MS = 4_000;
-const PAUSE_MS = 16_000;
+const MAX_INTERVAL_MS = 4_000;
+const PAUSE_DURATION_MS = 16_000;
 
 /** How often a series ends. */
-const PAUSE_SHARE = 0.35;
+const PAUSE_PROBABILITY = 0.35;
 
-const LOST_SHARE = 0.1;
+const DATAGRAM_LOSS_RATE = 0.1;
 
 /** How old a copy is from which the platform comes back, in ms. */
-const LEAST_LOST_MS = 500;
-const LOST_SPREAD_MS = 7_000;
+const MIN_BACKUP_AGE_MS = 500;
+const BACKUP_AGE_RANGE_MS = 7_000;
 
 /** Makes the troubles; none has begun. */
-export function createTroubles(
-  fleet: KnowledgeFleet,
+export function createFaultSchedule(
+  fleet: PlatformViewFleet,
   random: Random,
-): Troubles {
-  const troubles = new Set<Trouble>();
-  let nextMs = FIRST_MS + random() * GAP_MS;
-  let returns = 0;
-
-  function rewind(): void {
-    returns++;
-    fleet.tables.restoreBackup(LEAST_LOST_MS + random() * LOST_SPREAD_MS);
+): FaultSchedule {
+  const activeFaults = new Set<Fault>();
+  let nextMs = FIRST_FAULT_MS + random() * MAX_INTERVAL_MS;
+  let restores = 0;
+
+  function restoreBackup(): void {
+    restores++;
+    fleet.tables.restoreBackup(
+      MIN_BACKUP_AGE_MS + random() * BACKUP_AGE_RANGE_MS,
+    );
   }
 
   /** Where troubles overlap, the newest says how a host is treated. */
   function applyTreatments(): void {
     fleet.treatAll("served");
-    for (const { hosts, tables, treatment } of troubles) {
+    for (const { hosts, tables, treatment } of activeFaults) {
       for (const host of hosts) {
         for (const table of tables) {
           fleet.tables.setTableTreatment(host, table, treatment);
@@ -112,64 +114,65 @@
     }
   }
 
-  function begin(trouble: Trouble): Effect.Effect<void> {
-    const { kind, hosts, untilMs } = trouble;
+  function begin(fault: Fault): Effect.Effect<void> {
+    const { kind, hosts, untilMs } = fault;
     return Effect.gen(function* () {
-      troubles.add(trouble);
+      activeFaults.add(fault);
       applyTreatments();
       if (kind === "history-dropped") fleet.tables.pauseWatchesUntil(untilMs);
-      if (kind === "lossy") fleet.loseDatagrams(LOST_SHARE);
+      if (kind === "lossy") fleet.setDatagramLoss(DATAGRAM_LOSS_RATE);
       for (const host of hosts) {
         if (kind === "killed") yield* fleet.killHost(host);
-        if (kind === "cut") fleet.cut(host, true);
+        if (kind === "cut") fleet.setPartitioned(host, true);
       }
     });
   }
 
-  function end(trouble: Trouble): Effect.Effect<void> {
-    const { kind, hosts } = trouble;
+  function end(fault: Fault): Effect.Effect<void> {
+    const { kind, hosts } = fault;
     return Effect.gen(function* () {
-      troubles.delete(trouble);
+      activeFaults.delete(fault);
       applyTreatments();
       if (kind === "history-dropped") fleet.tables.dropHistory();
-      if (kind === "returned") rewind();
-      if (kind === "lossy") fleet.loseDatagrams(0);
+      if (kind === "returned") restoreBackup();
+      if (kind === "lossy") fleet.setDatagramLoss(0);
       for (const host of hosts) {
-        const isDown = fleet.tryGetKnowledge(host) === undefined;
+        const isDown = fleet.tryGetView(host) === undefined;
         if (kind === "killed" && isDown) yield* fleet.startHost(host);
-        if (kind === "cut") fleet.cut(host, false);
+        if (kind === "cut") fleet.setPartitioned(host, false);
       }
     });
   }
 
   return {
-    countReturns: () => returns,
+    countRestores: () => restores,
     update: Effect.gen(function* () {
       const nowMs = fleet.nowMs();
       if (nowMs >= nextMs) {
-        yield* begin(drawTrouble(fleet, random));
-        nextMs = nowMs + drawGapMs(random);
+        yield* begin(drawFault(fleet, random));
+        nextMs = nowMs + drawIntervalMs(random);
       }
-      const over = [...troubles].filter((each) => nowMs >= each.untilMs);
-      for (const trouble of over) yield* end(trouble);
+      const over = [...activeFaults].filter((each) => nowMs >= each.untilMs);
+      for (const fault of over) yield* end(fault);
     }),
-    hasAny: () => troubles.size > 0,
-    hasExcuse: () => [...troubles].some((each) => each.kind !== "turned-away"),
+    hasAny: () => activeFaults.size > 0,
+    hasDelayingFault: () =>
+      [...activeFaults].some((each) => each.kind !== "turned-away"),
   };
 }
 
-function drawGapMs(random: Random): number {
-  const isPause = random() < PAUSE_SHARE;
-  return random() * GAP_MS + (isPause ? PAUSE_MS : 0);
+function drawIntervalMs(random: Random): number {
+  const isSeriesEnd = random() < PAUSE_PROBABILITY;
+  return random() * MAX_INTERVAL_MS + (isSeriesEnd ? PAUSE_DURATION_MS : 0);
 }
 
-function drawTrouble(fleet: KnowledgeFleet, random: Random): Trouble {
+function drawFault(fleet: PlatformViewFleet, random: Random): Fault {
   const pick = <T>(values: readonly T[]): T =>
     values[Math.floor(random() * values.length)]!;
-  const kind = pick(troubleKinds);
+  const kind = pick(faultKinds);
   return {
     kind,
-    untilMs: fleet.nowMs() + drawLengthMs(kind, random),
+    untilMs: fleet.nowMs() + drawDurationMs(kind, random),
     hosts: drawHosts(fleet.hosts, kind, random),
     tables: getTables(kind, pick(TABLE_NAMES)),
     treatment: pick(["refused", "silent"]),
@@ -177,16 +180,16 @@
 }
 
 function getTables(
-  kind: TroubleKind,
+  kind: FaultKind,
   table: TableName,
 ): readonly TableName[] {
   if (kind === "one-table") return [table];
-  const isWhole = kind === "away" || kind === "turned-away" ||
+  const affectsAllTables = kind === "away" || kind === "turned-away" ||
     kind === "returned";
-  return isWhole ? TABLE_NAMES : [];
+  return affectsAllTables ? TABLE_NAMES : [];
 }
 
-function drawLengthMs(kind: TroubleKind, random: Random): number {
+function drawDurationMs(kind: FaultKind, random: Random): number {
   if (kind === "history-dropped") return 1_000;
   if (kind === "returned") return random() * 2_500;
   if (kind === "killed") return 300 + random() * 3_000;
@@ -195,7 +198,7 @@
 
 function drawHosts(
   hosts: readonly string[],
-  kind: TroubleKind,
+  kind: FaultKind,
   random: Random,
 ): readonly string[] {
   if (kind === "lossy" || kind === "history-dropped") return [];
