--- a/src/forwarding/blocked_loop_test.ts
+++ b/src/forwarding/blocked_loop_test.ts
@@ -16,7 +16,7 @@
 async function openQueuedCalls(
   fixture: ForwardFixture,
 ): Promise<readonly Socket[]> {
-  fixture.delay.inFlight = 48;
+  fixture.controls.inFlight = 48;
   const sockets = Array.from(
     { length: CALLERS },
     (_, at) => fixture.sendRaw(`waits-${at}`),
@@ -39,11 +39,11 @@
         kind: "stream",
         hasPrompts: true,
       });
-      using _looks = fixture.startLooks();
+      using _passes = fixture.startSchedulingPasses();
       const sockets = await openQueuedCalls(fixture);
       sockets.forEach(closes[kind]);
       blockEventLoop(turnMs);
-      fixture.delay.inFlight = 0;
+      fixture.controls.inFlight = 0;
       await sleep(100);
       strictEqual(fixture.arrivals.length, 0);
     });
@@ -55,10 +55,10 @@
     kind: "stream",
     hasPrompts: true,
   });
-  using _looks = fixture.startLooks();
+  using _passes = fixture.startSchedulingPasses();
   await openQueuedCalls(fixture);
   blockEventLoop(200);
-  fixture.delay.inFlight = 0;
+  fixture.controls.inFlight = 0;
   await sleep(100);
   deepStrictEqual(fixture.arrivals, Array(CALLERS).fill("up-0"));
 });
@@ -125,7 +125,7 @@
   };
   await using fixture = await createForwardFixture([answers, answers]);
   const res = await fixture.call();
-  deepStrictEqual([res.status, res.isCut], [200, false]);
+  deepStrictEqual([res.status, res.isTruncated], [200, false]);
   strictEqual(fixture.arrivals.length, 1);
 });
 
@@ -150,7 +150,7 @@
   forMs: number,
   onBlocked = () => {},
 ): void {
-  fixture.delay.onDecision = ({ event }) => {
+  fixture.controls.onDecision = ({ event }) => {
     if (event !== "attempt-started") return;
     // Runs after the tick in which Node connects.
     queueMicrotask(() =>
--- a/src/forwarding/forward_test.ts
+++ b/src/forwarding/forward_test.ts
@@ -4,7 +4,7 @@
 import {
   type Behaviour,
   createForwardFixture,
-  FAULTY_ID,
+  INTERNAL_ERROR_ID,
 } from "../testing/forward_fixture.ts";
 
 const plain = { kind: "idempotent", isResumable: false } as const;
@@ -35,7 +35,11 @@
     answers(socket, req);
   }], once);
   const res = await fixture.call({ body: "a booking" });
-  deepStrictEqual([res.status, res.body, res.isCut], [200, "done", false]);
+  deepStrictEqual([res.status, res.body, res.isTruncated], [
+    200,
+    "done",
+    false,
+  ]);
   ok(seen.startsWith("POST /drafts/1 HTTP/1.1\r\n"));
   ok(seen.includes("Content-Length: 9\r\n") && seen.endsWith("a booking"));
 });
@@ -133,13 +137,13 @@
   // Guards against the queue's 503, which promises that the request has not
   // run.
   const breaks: Behaviour = (socket) => {
-    fixture.delay.inFlight = 48;
+    fixture.controls.inFlight = 48;
     socket.resetAndDestroy();
   };
   await using fixture = await createForwardFixture([breaks, answers], {
     hasPrompts: true,
   });
-  using _looks = fixture.startLooks();
+  using _passes = fixture.startSchedulingPasses();
   strictEqual((await fixture.call()).status, 502);
   strictEqual(fixture.arrivals.length, 1);
 });
@@ -167,7 +171,7 @@
     res.body,
     "id: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3\ndata: c\n\n",
   );
-  strictEqual(res.isCut, false);
+  strictEqual(res.isTruncated, false);
 });
 
 test("pacing gets one sample for a first event and one for a response that paused too long", async () => {
@@ -184,8 +188,8 @@
   }], { kind: "stream", hasPrompts: true, pauseTargetMs: 20 });
   strictEqual((await fixture.call()).status, 200);
   // The 1,000 tokens of the prompt's unshared part, weighted by attention cost.
-  deepStrictEqual(fixture.paced.firstEvents, [1_088]);
-  deepStrictEqual(fixture.paced.pauses, [true]);
+  deepStrictEqual(fixture.recordedPacing.firstEvents, [1_088]);
+  deepStrictEqual(fixture.recordedPacing.pauses, [true]);
 });
 
 test("a stream that cannot be resumed is cut and never looks complete", async () => {
@@ -197,7 +201,7 @@
     isResumable: false,
   });
   const res = await fixture.call();
-  deepStrictEqual([res.status, res.isCut], [200, true]);
+  deepStrictEqual([res.status, res.isTruncated], [200, true]);
   strictEqual(fixture.arrivals.length, 1);
 });
 
@@ -207,7 +211,7 @@
     socket.on("close", () => closedMs = performance.now());
   }]);
   const startMs = performance.now();
-  await rejects(fixture.call({ leaveAfterMs: 50 }));
+  await rejects(fixture.call({ disconnectAfterMs: 50 }));
   await sleep(100);
   ok(closedMs > startMs && closedMs - startMs < 200);
 });
@@ -246,7 +250,7 @@
   await using fixture = await createForwardFixture([() => {}], {
     hasPrompts: true,
   });
-  await rejects(fixture.call({ leaveAfterMs: 30 }));
+  await rejects(fixture.call({ disconnectAfterMs: 30 }));
   await sleep(50);
   strictEqual(fixture.getReadingTokens(), 0);
 });
@@ -257,10 +261,10 @@
   // closed connection makes the caller reconnect to another host, which can
   // serve the request in time.
   await using fixture = await createForwardFixture([answers], once);
-  fixture.delay.isBehind = true;
+  fixture.controls.isOverloaded = true;
   const res = await fixture.call();
   deepStrictEqual([res.status, res.headers.connection], [503, "close"]);
-  fixture.delay.isBehind = false;
+  fixture.controls.isOverloaded = false;
   const next = await fixture.call();
   deepStrictEqual([next.status, next.headers.connection], [200, "keep-alive"]);
   strictEqual(fixture.arrivals.length, 1);
@@ -269,7 +273,7 @@
 test("a request whose time-out passed before it was read is not forwarded", async () => {
   // The caller has left; its close is in the socket behind the request.
   await using fixture = await createForwardFixture([answers], once);
-  fixture.delay.unreadMs = 60_000;
+  fixture.controls.unreadMs = 60_000;
   strictEqual((await fixture.call()).status, 503);
   strictEqual(fixture.arrivals.length, 0);
 });
@@ -303,9 +307,9 @@
   // number of events in a response or on waiting time. Under overload, a
   // rejected request logs one line.
   const loses: Behaviour = (socket) => socket.resetAndDestroy();
-  const lines = async (behaviours: Behaviour[], isBehind = false) => {
+  const lines = async (behaviours: Behaviour[], isOverloaded = false) => {
     await using fixture = await createForwardFixture(behaviours, plain);
-    fixture.delay.isBehind = isBehind;
+    fixture.controls.isOverloaded = isOverloaded;
     await fixture.call();
     return fixture.log.map(({ event }) => event);
   };
@@ -326,10 +330,10 @@
     kind: "stream",
     hasPrompts: true,
   });
-  fixture.delay.inFlight = 48;
-  fixture.delay.shareUsed = 2;
+  fixture.controls.inFlight = 48;
+  fixture.controls.shareUsed = 2;
   const waiting = ["1", "2", "3", "4"].map((id) =>
-    fixture.call({ id, leaveAfterMs: 400 }).catch(() => undefined)
+    fixture.call({ id, disconnectAfterMs: 400 }).catch(() => undefined)
   );
   await sleep(200);
   ok((await fixture.sendHead()).startsWith("HTTP/1.1 503 "));
@@ -350,7 +354,7 @@
   // Guards against an exception that ends the process and all requests that it
   // serves.
   await using fixture = await createForwardFixture([answers], once);
-  strictEqual((await fixture.call({ id: FAULTY_ID })).status, 502);
+  strictEqual((await fixture.call({ id: INTERNAL_ERROR_ID })).status, 502);
   strictEqual((await fixture.call()).status, 200);
 });
 
@@ -361,7 +365,7 @@
     kind: "stream",
     hasPrompts: true,
   });
-  fixture.delay.unreadMs = 40;
+  fixture.controls.unreadMs = 40;
   await fixture.call();
   const start = fixture.log.find((each) => each.event === "attempt-started");
   ok(start?.event === "attempt-started");
@@ -379,7 +383,7 @@
     await sleep(60);
     socket.write(chunk("id: 2\ndata: b\n\n") + "0\r\n\r\n");
   }], { kind: "stream", hasPrompts: true, pauseTargetMs: 20 });
-  fixture.delay.unreadMs = 100;
+  fixture.controls.unreadMs = 100;
   strictEqual((await fixture.call()).status, 200);
-  deepStrictEqual(fixture.paced.pauses, [false]);
+  deepStrictEqual(fixture.recordedPacing.pauses, [false]);
 });
--- a/src/testing/forward_fixture.ts
+++ b/src/testing/forward_fixture.ts
@@ -40,18 +40,18 @@
 ) => void;
 
 /** An answer as the caller got it. */
-export interface CallerAnswer {
+export interface CallerResponse {
   readonly status: number;
   readonly headers: IncomingHttpHeaders;
   readonly body: string;
   /** The connection closed before the end of the answer. */
-  readonly isCut: boolean;
+  readonly isTruncated: boolean;
 }
 
 /** A host with its upstreams. */
 export interface ForwardFixture extends AsyncDisposable {
   /** Sends a request and waits for its end. */
-  call(options?: CallOptions): Promise<CallerAnswer>;
+  call(options?: CallOptions): Promise<CallerResponse>;
   /** Sends a request's head alone; gives what comes first of the answer. */
   sendHead(): Promise<string>;
   /** Sends a request and closes without a moment between. */
@@ -59,18 +59,18 @@
   /** Sends a request; gives its connection at once. */
   sendRaw(id: string): Socket;
   /** Looks at the queue again and again, as an entry host does. */
-  startLooks(): Disposable;
+  startSchedulingPasses(): Disposable;
   /** Reading that counts at the first upstream, in tokens. */
   getReadingTokens(): number;
   /** Requests that have reached upstreams, by upstream. */
   readonly arrivals: readonly string[];
   readonly log: readonly Decision[];
-  readonly delay: Delay;
-  readonly paced: Paced;
+  readonly controls: Controls;
+  readonly recordedPacing: RecordedPacing;
 }
 
 /** What the service's pacing was told. */
-export interface Paced {
+export interface RecordedPacing {
   /** What upstreams had to read before first events, in tokens. */
   readonly firstEvents: number[];
   /** Whether answers paused past their target. */
@@ -78,8 +78,8 @@
 }
 
 /** How busy host and upstreams are; set by tests. */
-export interface Delay {
-  isBehind: boolean;
+export interface Controls {
+  isOverloaded: boolean;
   unreadMs: number;
   /** Requests in flight at each upstream. */
   inFlight: number;
@@ -95,17 +95,17 @@
   readonly body?: string;
   readonly key?: string;
   /** Closes the connection after so long, in ms. */
-  readonly leaveAfterMs?: number;
+  readonly disconnectAfterMs?: number;
 }
 
 /** What an upstream may have to read at once. */
-const LIMIT_TOKENS = 14_000;
+const PREFILL_LIMIT_TOKENS = 14_000;
 
 /** Between two looks at the queue, in ms. */
-const LOOK_PERIOD_MS = 10;
+const SCHEDULING_PERIOD_MS = 10;
 
 /** A request of this id meets a fault of the program. */
-export const FAULTY_ID = "faulty";
+export const INTERNAL_ERROR_ID = "faulty";
 
 /** The product's own header names, for tests. */
 export function createTestCodec(): CallCodec {
@@ -113,7 +113,7 @@
     tryReadCall(req) {
       const id = req.headers["x-id"];
       if (typeof id !== "string") return undefined;
-      if (id === FAULTY_ID) throw new TypeError("Meant by the test");
+      if (id === INTERNAL_ERROR_ID) throw new TypeError("Meant by the test");
       return {
         requestId: id,
         callerTimeoutMs: 4_000,
@@ -180,20 +180,20 @@
   );
   const route = createRoute({ hasPrompts: false, ...routeChanges });
   const routes = createRouteTable(createRoutingConfig({ routes: [route] }));
-  const delay: Delay = {
-    isBehind: false,
+  const controls: Controls = {
+    isOverloaded: false,
     unreadMs: 0,
     inFlight: 0,
     shareUsed: 0,
     onDecision: () => {},
   };
-  const paced: Paced = { firstEvents: [], pauses: [] };
+  const recordedPacing: RecordedPacing = { firstEvents: [], pauses: [] };
   const host = createHost(directory, {
-    delay,
-    paced,
+    controls,
+    recordedPacing,
     log(decision) {
       log.push(decision);
-      delay.onDecision(decision);
+      controls.onDecision(decision);
     },
     tryGetRoutes: () => routes,
   });
@@ -206,13 +206,14 @@
   return {
     arrivals,
     log,
-    delay,
-    paced,
+    controls,
+    recordedPacing,
     call: (options = {}) => send(port, options),
     sendHead: () => sendHead(port),
     sendAndClose: () => sendAndClose(port),
     sendRaw: (id) => sendRaw(port, id),
-    startLooks: () => startTicker(LOOK_PERIOD_MS, { decide: host.queue.tick }),
+    startSchedulingPasses: () =>
+      startTicker(SCHEDULING_PERIOD_MS, { decide: host.queue.tick }),
     getReadingTokens: () => host.load.getReadingTokens("up-0"),
     async [Symbol.asyncDispose]() {
       host.agent.destroy();
@@ -226,8 +227,8 @@
 function createHost(
   directory: ForwardHost["directory"],
   parts: Pick<ForwardHost, "log" | "tryGetRoutes"> & {
-    readonly delay: Delay;
-    readonly paced: Paced;
+    readonly controls: Controls;
+    readonly recordedPacing: RecordedPacing;
   },
 ): ForwardHost {
   const clock = systemClock;
@@ -239,9 +240,10 @@
     getLearned: () => [],
   });
   const pacing: Pacing = {
-    recordFirstEvent: (tokens) => void parts.paced.firstEvents.push(tokens),
-    recordPause: (isLate) => void parts.paced.pauses.push(isLate),
-    getLimitTokens: () => LIMIT_TOKENS,
+    recordFirstEvent: (tokens) =>
+      void parts.recordedPacing.firstEvents.push(tokens),
+    recordPause: (isLate) => void parts.recordedPacing.pauses.push(isLate),
+    getLimitTokens: () => PREFILL_LIMIT_TOKENS,
     getStats: () => EMPTY_PACING_STATS,
   };
   return {
@@ -259,16 +261,16 @@
       nowMs: clock.monotonicMs,
       getLoad: () => ({
         slots: 48,
-        inFlight: parts.delay.inFlight,
+        inFlight: parts.controls.inFlight,
         readingTokens: 0,
         underservedElsewhere: 0,
       }),
-      getShareUsed: () => parts.delay.shareUsed,
+      getShareUsed: () => parts.controls.shareUsed,
       isAhead: () => false,
       isUnderserved: () => false,
       onUnderservedWaiting: () => {},
       getMeanYield: () => 0,
-      getLimitTokens: () => LIMIT_TOKENS,
+      getLimitTokens: () => PREFILL_LIMIT_TOKENS,
       random: () => 0.5,
       onStart: (_prompt, upstream, readingTokens) =>
         load.beginReading(upstream, readingTokens),
@@ -282,9 +284,9 @@
     }),
     retryBudget: createRetryBudget(clock),
     getDistance: () => "same-data-centre",
-    isOverloaded: () => parts.delay.isBehind,
+    isOverloaded: () => parts.controls.isOverloaded,
     getTurnOverrunMs: () => 0,
-    getUnreadMs: () => parts.delay.unreadMs,
+    getUnreadMs: () => parts.controls.unreadMs,
     mayStartRequest: () => true,
     getInputs: () => ({
       configVersion: 1,
@@ -353,7 +355,7 @@
   });
 }
 
-function send(port: number, options: CallOptions): Promise<CallerAnswer> {
+function send(port: number, options: CallOptions): Promise<CallerResponse> {
   const { id = "request-1", body = "{}", key = "key-of-fitters" } = options;
   return new Promise((resolve, reject) => {
     const req = request({
@@ -372,12 +374,12 @@
           status: res.statusCode ?? 0,
           headers: res.headers,
           body: Buffer.concat(chunks).toString(),
-          isCut: !res.complete,
+          isTruncated: !res.complete,
         }));
     });
     req.on("error", reject);
-    if (options.leaveAfterMs !== undefined) {
-      setTimeout(() => req.destroy(), options.leaveAfterMs);
+    if (options.disconnectAfterMs !== undefined) {
+      setTimeout(() => req.destroy(), options.disconnectAfterMs);
     }
     req.end(body);
   });
