--- a/src/testing/demo.ts
+++ b/src/testing/demo.ts
@@ -58,7 +58,7 @@
     );
     await fleet.apply();
     await fleet.waitUntilReady(15_000);
-    const addresses = fleet.routers.map((place) => place.publicAddress);
+    const addresses = fleet.routers.map((router) => router.publicAddress);
     console.log(
       `demo: ${args.deployment}, ${addresses.length} routers; first ask ` +
         `http://${addresses[0]}/where`,
@@ -84,7 +84,7 @@
 ): Promise<boolean> {
   const random = createRandom(options.seed);
   const caller = createCaller(
-    fleet.routers.map((place) => place.publicAddress),
+    fleet.routers.map((router) => router.publicAddress),
     random,
   );
   const nextRequest = createRequestSource(fleet.deployment, random);
--- a/src/testing/fake_platform_server.ts
+++ b/src/testing/fake_platform_server.ts
@@ -19,7 +19,7 @@
   delayMs: number;
 }
 
-const LIST_LAG_MS = 2_000;
+const MACHINE_LIST_LAG_MS = 2_000;
 const WEIGHT_RESERVATIONS_PER_SECOND = 2;
 
 const tables = new Map<string, Map<string, Row>>();
@@ -54,14 +54,14 @@
   return { kind: "committed" };
 }
 
-function list(table: string, prefix: string): readonly Row[] {
+function listRows(table: string, prefix: string): readonly Row[] {
   return [...getTable(table).values()]
     .filter((row) => row.key.startsWith(prefix))
     .sort((a, b) => a.key < b.key ? -1 : 1);
 }
 
 function getLaggingMachines(): readonly ListedMachine[] {
-  const visibleMs = Date.now() - LIST_LAG_MS;
+  const visibleMs = Date.now() - MACHINE_LIST_LAG_MS;
   while (listChanges.length > 0 && listChanges[0]!.atMs <= visibleMs) {
     const { machine } = listChanges.shift()!;
     machines.set(machine.id, machine);
@@ -86,58 +86,58 @@
   }
 }
 
-interface Answer {
+interface Reply {
   readonly status: number;
   readonly body: string;
 }
 
-function answer(value: unknown, status = 200): Answer {
+function createReply(value: unknown, status = 200): Reply {
   return { status, body: JSON.stringify(value) };
 }
 
-function handle(method: string, path: string, body: string): Answer {
+function handle(method: string, path: string, body: string): Reply {
   const parsed = () => JSON.parse(body);
-  if (path === "/table/transact") return answer(transact(parsed().writes));
+  if (path === "/table/transact") return createReply(transact(parsed().writes));
   if (path === "/table/get") {
     counts.reads++;
     const { table, key } = parsed();
-    return answer(getRow(table, key));
+    return createReply(getRow(table, key));
   }
   if (path === "/table/list") {
     counts.reads++;
     const { table, prefix } = parsed();
-    return answer(list(table, prefix));
+    return createReply(listRows(table, prefix));
   }
   if (path === "/machines") {
     counts.reads++;
-    return answer(getLaggingMachines());
+    return createReply(getLaggingMachines());
   }
   if (path.startsWith("/objects/")) return handleObject(method, path, body);
   if (path.startsWith("/weights/")) {
-    return answer({}, tryReserveWeights() ? 200 : 429);
+    return createReply({}, tryReserveWeights() ? 200 : 429);
   }
-  return answer({}, 404);
+  return createReply({}, 404);
 }
 
-function handleObject(method: string, path: string, body: string): Answer {
+function handleObject(method: string, path: string, body: string): Reply {
   if (method === "PUT") {
     objects.set(path, body);
-    return answer({});
+    return createReply({});
   }
   const content = objects.get(path);
   return content === undefined
-    ? answer({}, 404)
+    ? createReply({}, 404)
     : { status: 200, body: content };
 }
 
-function handleControl(path: string, body: string): Answer {
+function handleControl(path: string, body: string): Reply {
   if (path === "/control/machines") {
     const { entries, atOnce } = JSON.parse(body);
     setMachines(entries, atOnce);
   } else if (path === "/control") {
     Object.assign(control, JSON.parse(body));
   }
-  return answer({ control, counts });
+  return createReply({ control, counts });
 }
 
 async function readText(req: IncomingMessage): Promise<string> {
--- a/src/testing/fake_upstream_server.ts
+++ b/src/testing/fake_upstream_server.ts
@@ -45,11 +45,11 @@
 
 const [id = "", port = "", kind = "", fencing = ""] = process.argv.slice(2);
 const BATCH_SIZE = 16;
-const KEEP_ENDED_MS = 30_000;
-const LOAD_LAG_MS = 1_000;
+const ENDED_STREAM_RETENTION_MS = 30_000;
+const LOAD_REPORT_LAG_MS = 1_000;
 /** Sent on open streams, so that a silent connection shows. */
 const HEARTBEAT_MS = 1_000;
-const CRASH_MARK = "crash-the-upstream";
+const CRASH_MARKER = "crash-the-upstream";
 
 const control: Control = {
   stepMs: 10,
@@ -99,11 +99,11 @@
   }
   for (const [name, stream] of streams) {
     const isOld = stream.endedMs > 0 &&
-      Date.now() - stream.endedMs > KEEP_ENDED_MS;
+      Date.now() - stream.endedMs > ENDED_STREAM_RETENTION_MS;
     if (isOld || stream.cancelled) streams.delete(name);
   }
   loads.push({ atMs: Date.now(), running: getRunning().length });
-  while (loads.length > 1 && loads[1]!.atMs < Date.now() - LOAD_LAG_MS) {
+  while (loads.length > 1 && loads[1]!.atMs < Date.now() - LOAD_REPORT_LAG_MS) {
     loads.shift();
   }
 }
@@ -125,7 +125,7 @@
 function generate(request: string, body: string, res: ServerResponse): void {
   const { tag, tokens, prompt = "" } = JSON.parse(body);
   record({ request, key: String(tag), operation: "generate" });
-  if (String(prompt).includes(CRASH_MARK)) process.exit(70);
+  if (String(prompt).includes(CRASH_MARKER)) process.exit(70);
   const stream: Stream = {
     tag: String(tag),
     length: Number(tokens),
@@ -162,7 +162,7 @@
 }
 
 /** Only an engine that checks fencing tokens refuses an old one. */
-function takeOrder(body: string, res: ServerResponse): void {
+function receiveOrder(body: string, res: ServerResponse): void {
   const { token, order, name = "" } = JSON.parse(body);
   if (fencing === "checks" && token < highestToken) {
     res.writeHead(409).end();
@@ -170,12 +170,12 @@
   }
   highestToken = Math.max(highestToken, token);
   record({ request: "", key: String(token), operation: "order" });
-  carryOut(order ?? {}, String(name));
+  executeOrder(order ?? {}, String(name));
   res.writeHead(200).end("{}");
 }
 
 /** A load takes its time; until it is done the old model serves. */
-function carryOut(
+function executeOrder(
   order: { kind?: string; model?: string; role?: string },
   name: string,
 ): void {
@@ -224,9 +224,11 @@
     const running = loads[0]?.running ?? 0;
     const { leaving } = control;
     const managed = kind === "engine" ? { models: [...models], role } : {};
-    res.end(JSON.stringify({ running, leaving, workingOn, ...managed }));
+    res.end(
+      JSON.stringify({ running, leaving, workingOn, ...managed }),
+    );
   } else if (first === "orders") {
-    takeOrder(body, res);
+    receiveOrder(body, res);
   } else if (kind === "engine" && first === "generate") {
     generate(String(req.headers["azurestile-request"]), body, res);
   } else if (kind === "engine" && first === "streams") {
--- a/src/testing/fault_callers.ts
+++ b/src/testing/fault_callers.ts
@@ -7,64 +7,67 @@
 
 import { setTimeout as sleep } from "node:timers/promises";
 import type { Caller, CallerRequest, CallerResult } from "./caller.ts";
-import type { FaultWorld } from "./fault_environment.ts";
+import type { FaultEnvironment } from "./fault_environment.ts";
 
-const MAX_SENDINGS = 6;
-const MIN_PAUSE_MS = 200;
-const MAX_PAUSE_MS = 2_000;
+const MAX_ATTEMPTS = 6;
+const MIN_RETRY_DELAY_MS = 200;
+const MAX_RETRY_DELAY_MS = 2_000;
 
 /** Sends one piece of work until it is answered or given up. */
-export async function sendWork(
-  world: FaultWorld,
+export async function sendUntilAnswered(
+  env: FaultEnvironment,
   caller: Caller,
   req: CallerRequest,
 ): Promise<void> {
-  for (let count = 1; count <= MAX_SENDINGS; count++) {
-    const end = await sendOnce(world, caller, req, `${req.tag}#${count}`);
+  for (let count = 1; count <= MAX_ATTEMPTS; count++) {
+    const end = await sendOnce(env, caller, req, `${req.tag}#${count}`);
     if (end.outcome === "answered") return;
     await sleep(
-      Math.min(MAX_PAUSE_MS, Math.max(MIN_PAUSE_MS, end.retryAfterMs)),
+      Math.min(
+        MAX_RETRY_DELAY_MS,
+        Math.max(MIN_RETRY_DELAY_MS, end.retryAfterMs),
+      ),
     );
   }
 }
 
 async function sendOnce(
-  world: FaultWorld,
+  env: FaultEnvironment,
   caller: Caller,
   req: CallerRequest,
   sending: string,
 ): Promise<CallerResult> {
-  world.observe({
+  env.observe({
     kind: "request-sent",
     sending,
     team: req.team,
     service: req.service,
     operation: req.operation,
-    idempotent: isIdempotent(world, req),
+    idempotent: isIdempotent(env, req),
     work: req.idempotencyKey === "" ? req.tag : req.idempotencyKey,
   });
   const end = await caller.send(req);
-  world.observe({
+  env.observe({
     kind: "request-ended",
     sending,
     outcome: end.outcome === "lost" ? "cut" : end.outcome,
     request: end.request,
     fault: end.fault,
-    host: getHost(world, end.address),
+    host: getHost(env, end.address),
   });
   return end;
 }
 
-function isIdempotent(world: FaultWorld, req: CallerRequest): boolean {
-  const service = world.fleet.deployment.services
+function isIdempotent(env: FaultEnvironment, req: CallerRequest): boolean {
+  const service = env.fleet.deployment.services
     .find((each) => each.id === req.service)!;
   return service.operations
     .find((each) => each.name === req.operation)!.idempotent;
 }
 
-function getHost(world: FaultWorld, address: string): string {
-  const place = world.fleet.routers.find((each) =>
+function getHost(env: FaultEnvironment, address: string): string {
+  const router = env.fleet.routers.find((each) =>
     each.publicAddress === address
   );
-  return place?.id ?? "";
+  return router?.id ?? "";
 }
--- a/src/testing/fault_environment.ts
+++ b/src/testing/fault_environment.ts
@@ -10,14 +10,14 @@
   type ExampleName,
   type FleetProcesses,
   OPERATOR_KEY,
-  type RouterPlace,
+  type RouterSpec,
   startFleetProcesses,
   waitFor,
 } from "./fleet_processes.ts";
 import type { StartedProcess } from "./processes.ts";
 
-/** The world of a failure run. */
-export interface FaultWorld extends AsyncDisposable {
+/** The env of a failure run. */
+export interface FaultEnvironment extends AsyncDisposable {
   readonly fleet: FleetProcesses;
   readonly history: Observation[];
   readonly random: () => number;
@@ -25,7 +25,7 @@
   /** Routers that run now, with their processes. */
   readonly routers: Map<string, StartedProcess>;
   readonly upstreams: Map<string, StartedProcess>;
-  getPlace(host: string): RouterPlace;
+  getRouter(host: string): RouterSpec;
   pickRouter(): string;
   pickUpstream(): string;
   restartUpstream(id: string): void;
@@ -44,21 +44,21 @@
   isCrashing: boolean;
 }
 
-const READY_LIMIT_MS = 20_000;
-const POLL_MS = 500;
+const READY_TIMEOUT_MS = 20_000;
+const VERSION_POLL_PERIOD_MS = 500;
 
 /** Exit code of a stand-in engine that a request crashed. */
 const CRASH_EXIT_CODE = 70;
 
 /** Starts a deployment behind relays, applies its files and waits for it. */
-export async function startFaultWorld(
+export async function startFaultEnvironment(
   example: ExampleName,
   options: {
     routers: number;
     portShift: number;
     random: () => number;
   },
-): Promise<FaultWorld> {
+): Promise<FaultEnvironment> {
   const history: Observation[] = [];
   const startMs = performance.now();
 
@@ -76,22 +76,25 @@
   const routers = new Map<string, StartedProcess>();
   const upstreams = new Map<string, StartedProcess>();
   for (const started of fleet.group.getAll()) {
-    if (fleet.routers.some((place) => place.id === started.name)) {
+    if (fleet.routers.some((router) => router.id === started.name)) {
       routers.set(started.name, started);
     }
     if (fleet.deployment.upstreams.some((each) => each.id === started.name)) {
-      watchUpstream(started);
+      superviseUpstream(started);
     }
   }
 
   /** An engine that dies of a request is started again, as a supervisor does. */
-  function watchUpstream(started: StartedProcess): void {
+  function superviseUpstream(started: StartedProcess): void {
     upstreams.set(started.name, started);
     started.child.once("exit", (code) => {
       if (code !== CRASH_EXIT_CODE) return;
-      const work = world.crashingWork;
+      const work = env.crashingWork;
       observe({ kind: "upstream-crashed", upstream: started.name, work });
-      setTimeout(() => watchUpstream(fleet.startUpstream(started.name)), 500);
+      setTimeout(
+        () => superviseUpstream(fleet.startUpstream(started.name)),
+        500,
+      );
     });
   }
 
@@ -116,7 +119,7 @@
     return names[Math.floor(options.random() * names.length)]!;
   }
 
-  const world: FaultWorld = {
+  const env: FaultEnvironment = {
     fleet,
     history,
     random: options.random,
@@ -125,17 +128,17 @@
     upstreams,
     crashingWork: "",
     isCrashing: false,
-    getPlace: (host) => fleet.routers.find((place) => place.id === host)!,
+    getRouter: (host) => fleet.routers.find((router) => router.id === host)!,
     pickRouter: () => pick([...routers.keys()]),
     pickUpstream: () => pick([...upstreams.keys()]),
-    restartUpstream: (id) => watchUpstream(fleet.startUpstream(id)),
+    restartUpstream: (id) => superviseUpstream(fleet.startUpstream(id)),
     async restartRouter(host) {
-      const place = world.getPlace(host);
-      routers.set(host, fleet.startRouter(place));
+      const router = env.getRouter(host);
+      routers.set(host, fleet.startRouter(router));
       await waitFor(async () => {
-        const res = await fetch(`http://${place.publicAddress}/readyz`);
+        const res = await fetch(`http://${router.publicAddress}/readyz`);
         return res.ok;
-      }, READY_LIMIT_MS);
+      }, READY_TIMEOUT_MS);
       observe({ kind: "host-reachable", host, reachable: true });
     },
     async controlPlatform(change) {
@@ -145,7 +148,7 @@
       });
     },
     async callOperator(host, path, body) {
-      const { publicAddress } = world.getPlace(host);
+      const { publicAddress } = env.getRouter(host);
       const res = await fetch(`http://${publicAddress}${path}`, {
         method: body === undefined ? "GET" : "POST",
         headers: { authorization: `Bearer ${OPERATOR_KEY}` },
@@ -160,16 +163,19 @@
     },
   };
   await fleet.apply();
-  await fleet.waitUntilReady(READY_LIMIT_MS);
-  const polling = setInterval(() => observeVersions(world), POLL_MS);
-  return world;
+  await fleet.waitUntilReady(READY_TIMEOUT_MS);
+  const polling = setInterval(
+    () => observeVersions(env),
+    VERSION_POLL_PERIOD_MS,
+  );
+  return env;
 }
 
-function observeVersions(world: FaultWorld): void {
-  for (const host of world.routers.keys()) {
-    world.callOperator(host, "/ops/status").then(({ value }) => {
+function observeVersions(env: FaultEnvironment): void {
+  for (const host of env.routers.keys()) {
+    env.callOperator(host, "/ops/status").then(({ value }) => {
       const { configVersion } = value as { configVersion: number };
-      world.observe({ kind: "config-seen", host, version: configVersion });
+      env.observe({ kind: "config-seen", host, version: configVersion });
       // A host that is down or paused says nothing; its faults are observed.
     }).catch(() => {});
   }
--- a/src/testing/faults.ts
+++ b/src/testing/faults.ts
@@ -18,15 +18,18 @@
   getStatement,
 } from "../proof/mod.ts";
 import { createCaller } from "./caller.ts";
-import { sendWork } from "./fault_callers.ts";
-import { faultKinds, type FaultName } from "./fault_injections.ts";
-import { type FaultWorld, startFaultWorld } from "./fault_environment.ts";
+import { sendUntilAnswered } from "./fault_callers.ts";
+import { faultInjections, type FaultName } from "./fault_injections.ts";
+import {
+  type FaultEnvironment,
+  startFaultEnvironment,
+} from "./fault_environment.ts";
 import type { ExampleName } from "./fleet_processes.ts";
 import { handleInterrupts } from "./processes.ts";
 import { portShiftArg } from "./run_args.ts";
 import { createRandom, createRequestSource, sendAtRate } from "./traffic.ts";
 
-const CALM_MS = 3_000;
+const RECOVERY_MS = 3_000;
 
 const command = defineCommand({
   meta: { name: "faults", description: "Checks the promises under failures" },
@@ -58,9 +61,9 @@
     const examples: readonly ExampleName[] = args.deployment === "both"
       ? ["ikeja", "kvinta"]
       : [args.deployment as ExampleName];
-    let isGood = true;
+    let hasPassed = true;
     for (const example of examples) {
-      const held = await runExample(example, {
+      const holds = await runExample(example, {
         seed: Number(args.seed),
         rounds: Number(args.rounds),
         rate: Number(args.rate),
@@ -69,9 +72,9 @@
         names: getNames(args.only),
         traceFile: args.trace,
       });
-      isGood &&= held;
+      hasPassed &&= holds;
     }
-    process.exitCode = isGood ? 0 : 1;
+    process.exitCode = hasPassed ? 0 : 1;
   },
 });
 
@@ -86,7 +89,7 @@
 }
 
 function getNames(only: string): readonly FaultName[] {
-  const all = Object.keys(faultKinds) as FaultName[];
+  const all = Object.keys(faultInjections) as FaultName[];
   if (only === "") return all;
   const wanted = only.split(",");
   const unknown = wanted.find((name) => !all.includes(name as FaultName));
@@ -99,40 +102,43 @@
   options: RunOptions,
 ): Promise<boolean> {
   const random = createRandom(options.seed);
-  await using world = await startFaultWorld(example, { ...options, random });
+  await using env = await startFaultEnvironment(example, {
+    ...options,
+    random,
+  });
   const counts: Partial<Record<FaultName, number>> = {};
   let isOver = false;
-  const traffic = runTraffic(world, options, () => isOver);
-  await runFaults(world, options, counts);
+  const traffic = runTraffic(env, options, () => isOver);
+  await runFaults(env, options, counts);
   isOver = true;
   await traffic;
-  return report(world, { example, counts, options });
+  return report(env, { example, counts, options });
 }
 
 /** Failures come in the order that the seed shuffles, two at once at times. */
 async function runFaults(
-  world: FaultWorld,
+  env: FaultEnvironment,
   options: RunOptions,
   counts: Partial<Record<FaultName, number>>,
 ): Promise<void> {
   let order: FaultName[] = [];
   for (let round = 1; round <= options.rounds; round++) {
-    const together = world.random() < 0.25 ? 2 : 1;
+    const count = env.random() < 0.25 ? 2 : 1;
     const names: FaultName[] = [];
-    for (let taken = 0; taken < together; taken++) {
-      if (order.length === 0) order = shuffle(options.names, world.random);
+    for (let taken = 0; taken < count; taken++) {
+      if (order.length === 0) order = shuffle(options.names, env.random);
       names.push(order.pop()!);
     }
     console.log(`faults: round ${round}: ${names.join(" and ")}`);
     for (const name of names) counts[name] = (counts[name] ?? 0) + 1;
     const results = await Promise.allSettled(
-      names.map((name) => faultKinds[name](world)),
+      names.map((name) => faultInjections[name](env)),
     );
     for (const result of results) {
       // Two failures together may keep one from being brought about.
       if (result.status === "rejected") console.log(`faults: ${result.reason}`);
     }
-    await sleep(CALM_MS);
+    await sleep(RECOVERY_MS);
   }
 }
 
@@ -143,25 +149,25 @@
 }
 
 async function runTraffic(
-  world: FaultWorld,
+  env: FaultEnvironment,
   options: RunOptions,
   isStopped: () => boolean,
 ): Promise<void> {
   // Its own numbers: callers' timing must not change the failures' order.
   const random = createRandom(options.seed + 1_000_000);
   const caller = createCaller(
-    world.fleet.routers.map((place) => place.publicAddress),
+    env.fleet.routers.map((router) => router.publicAddress),
     random,
   );
-  const nextRequest = createRequestSource(world.fleet.deployment, random);
+  const nextRequest = createRequestSource(env.fleet.deployment, random);
   await sendAtRate(async () => {
     const req = nextRequest();
-    const isCrashing = world.isCrashing && req.tokens > 0 && random() < 0.1;
-    if (!isCrashing) return await sendWork(world, caller, req);
-    const prompt = `crash-the-upstream ${world.crashingWork}`;
-    await sendWork(world, caller, {
+    const isCrashing = env.isCrashing && req.tokens > 0 && random() < 0.1;
+    if (!isCrashing) return await sendUntilAnswered(env, caller, req);
+    const prompt = `crash-the-upstream ${env.crashingWork}`;
+    await sendUntilAnswered(env, caller, {
       ...req,
-      tag: world.crashingWork,
+      tag: env.crashingWork,
       tokens: 10,
       prompt,
     });
@@ -169,7 +175,7 @@
 }
 
 function report(
-  world: FaultWorld,
+  env: FaultEnvironment,
   run: {
     example: ExampleName;
     counts: Partial<Record<FaultName, number>>;
@@ -177,15 +183,15 @@
   },
 ): boolean {
   const { example, counts, options } = run;
-  const violations = checkHistory(world.history, documentedLimits);
+  const violations = checkHistory(env.history, documentedLimits);
   for (const { atMs, promise, what } of violations.slice(0, 20)) {
     console.log(`violation at ${atMs} ms: ${promise}: ${what}`);
   }
   if (options.traceFile !== "") {
     const about = `Failure run of ${example}, seed ${options.seed}`;
-    const stated = getStatement(about, world.history);
+    const stated = getStatement(about, env.history);
     const file = options.traceFile.replace("{deployment}", example);
-    writeFileSync(file, formatTrace({ stated, history: world.history }));
+    writeFileSync(file, formatTrace({ stated, history: env.history }));
   }
   const holds = violations.length === 0;
   console.log(JSON.stringify({
@@ -193,7 +199,7 @@
     seed: options.seed,
     rounds: options.rounds,
     faults: counts,
-    outcomes: countByOutcome(world.history),
+    outcomes: countByOutcome(env.history),
     violations: countByPromise(violations),
     holds,
   }));
--- a/src/testing/fleet_processes.ts
+++ b/src/testing/fleet_processes.ts
@@ -30,13 +30,13 @@
   type ProcessGroup,
   type StartedProcess,
 } from "./processes.ts";
-import { type Relay, type RelayPlace, startRelay } from "./relay.ts";
+import { type Relay, type RelaySpec, startRelay } from "./relay.ts";
 
 /** The examples that can be run. */
 export type ExampleName = "ikeja" | "kvinta";
 
 /** A router's place in the run. */
-export interface RouterPlace {
+export interface RouterSpec {
   readonly id: string;
   readonly dataCentre: string;
   readonly publicAddress: string;
@@ -61,18 +61,18 @@
   readonly deployment: Deployment;
   readonly folder: string;
   readonly group: ProcessGroup;
-  readonly routers: readonly RouterPlace[];
+  readonly routers: readonly RouterSpec[];
   readonly platformAddress: string;
   /** Relays by the id of the upstream or router behind them. */
   readonly relays: ReadonlyMap<string, Relay>;
-  startRouter(place: RouterPlace): StartedProcess;
+  startRouter(router: RouterSpec): StartedProcess;
   startUpstream(id: string): StartedProcess;
   /** Where the upstream itself listens, past its relay. */
   getDirectAddress(upstream: string): string;
   /** Runs `azurestile-apply` on the example's files. */
   apply(): Promise<void>;
   /** Waits until every router is ready; throws after the limit. */
-  waitUntilReady(limitMs: number): Promise<void>;
+  waitUntilReady(timeoutMs: number): Promise<void>;
 }
 
 /** Key of the operator that the run uses. */
@@ -86,7 +86,7 @@
 const PLATFORM_PORT = 21_000;
 const PUBLIC_PORT = 21_001;
 const PEER_PORT = 21_051;
-const RELAYED_PORTS = 500;
+const RELAY_PORT_OFFSET = 500;
 const EXAMPLES = fileURLToPath(new URL("../../examples", import.meta.url));
 
 /** Starts platform, upstreams and routers; `portShift` moves every port. */
@@ -107,17 +107,19 @@
   writeFileSync(keyFile, OPERATOR_KEY, { mode: 0o600 });
   const group = createProcessGroup(folder);
   const platformAddress = `127.0.0.1:${PLATFORM_PORT + options.portShift}`;
-  const routers = getPlaces(deployment, options);
+  const routers = createRouterSpecs(deployment, options);
   const relays = new Map<string, Relay>();
   if (options.withRelays) {
-    for (const place of getRelayPlaces(deployment, routers)) {
-      relays.set(place.id, await startRelay(place));
+    for (const spec of createRelaySpecs(deployment, routers)) {
+      relays.set(spec.id, await startRelay(spec));
     }
   }
 
   function getDirectAddress(id: string): string {
     const { address } = deployment.upstreams.find((each) => each.id === id)!;
-    return options.withRelays ? moveAddress(address, RELAYED_PORTS) : address;
+    return options.withRelays
+      ? shiftAddress(address, RELAY_PORT_OFFSET)
+      : address;
   }
 
   function startUpstream(id: string): StartedProcess {
@@ -132,11 +134,11 @@
     });
   }
 
-  function startRouter(place: RouterPlace): StartedProcess {
-    const file = join(folder, `${place.id}.toml`);
-    writeFileSync(file, createSettings(place, platformAddress));
+  function startRouter(router: RouterSpec): StartedProcess {
+    const file = join(folder, `${router.id}.toml`);
+    writeFileSync(file, createSettings(router, platformAddress));
     const args = ["--settings", file];
-    return group.start(place.id, "bin/azurestile_router.js", { args });
+    return group.start(router.id, "bin/azurestile_router.js", { args });
   }
 
   group.start("platform", "testing/fake_platform_server.js", {
@@ -144,8 +146,8 @@
   });
   for (const { id } of deployment.upstreams) startUpstream(id);
   await waitFor(() => setMachines(platformAddress, routers), 5_000);
-  for (const place of routers) startRouter(place);
-  for (const place of routers) await waitForPath(place, "/healthz", 15_000);
+  for (const router of routers) startRouter(router);
+  for (const router of routers) await waitForPath(router, "/healthz", 15_000);
 
   return {
     deployment,
@@ -175,8 +177,8 @@
       throw new Error(`azurestile-apply failed: ${output}`);
     },
     async waitUntilReady(limitMs) {
-      for (const place of routers) {
-        await waitForPath(place, "/readyz", limitMs);
+      for (const router of routers) {
+        await waitForPath(router, "/readyz", limitMs);
       }
     },
     async [Symbol.asyncDispose]() {
@@ -201,12 +203,12 @@
 }
 
 function waitForPath(
-  place: RouterPlace,
+  router: RouterSpec,
   path: string,
   limitMs: number,
 ): Promise<void> {
   return waitFor(async () => {
-    const res = await fetch(`http://${place.publicAddress}${path}`);
+    const res = await fetch(`http://${router.publicAddress}${path}`);
     return res.ok;
   }, limitMs);
 }
@@ -229,10 +231,10 @@
   }
 }
 
-function getPlaces(
+function createRouterSpecs(
   deployment: Deployment,
   options: FleetOptions,
-): readonly RouterPlace[] {
+): readonly RouterSpec[] {
   const { dataCentres } = deployment;
   return Array.from({ length: options.routers }, (_, index) => {
     const dataCentre = dataCentres[index % dataCentres.length]!.id;
@@ -243,48 +245,48 @@
       publicAddress: `127.0.0.1:${PUBLIC_PORT + shift}`,
       peerAddress: `127.0.0.1:${PEER_PORT + shift}`,
       peerBindAddress: `127.0.0.1:${
-        PEER_PORT + shift + (options.withRelays ? RELAYED_PORTS : 0)
+        PEER_PORT + shift + (options.withRelays ? RELAY_PORT_OFFSET : 0)
       }`,
     };
   });
 }
 
-function moveAddress(address: string, ports: number): string {
+function shiftAddress(address: string, ports: number): string {
   const [host, port] = address.split(":");
   return `${host}:${Number(port) + ports}`;
 }
 
-function getRelayPlaces(
+function createRelaySpecs(
   deployment: Deployment,
-  routers: readonly RouterPlace[],
-): readonly (RelayPlace & { readonly id: string })[] {
+  routers: readonly RouterSpec[],
+): readonly (RelaySpec & { readonly id: string })[] {
   const hosts = new Map(
-    routers.map((place) => [place.peerBindAddress, place.id]),
+    routers.map((router) => [router.peerBindAddress, router.id]),
   );
   const getDatagramSource = (address: string) => hosts.get(address) ?? "";
   const upstreams = deployment.upstreams.map((upstream) => ({
     id: upstream.id,
     from: upstream.address,
-    to: moveAddress(upstream.address, RELAYED_PORTS),
+    to: shiftAddress(upstream.address, RELAY_PORT_OFFSET),
     datagrams: false,
     getDatagramSource,
   }));
-  const peers = routers.map((place) => ({
-    id: place.id,
-    from: place.peerAddress,
-    to: place.peerBindAddress,
+  const peers = routers.map((router) => ({
+    id: router.id,
+    from: router.peerAddress,
+    to: router.peerBindAddress,
     datagrams: true,
     getDatagramSource,
   }));
   return [...upstreams, ...peers];
 }
 
-function createSettings(place: RouterPlace, platformAddress: string): string {
-  return `host = "${place.id}"
-data_centre = "${place.dataCentre}"
-public_address = "${place.publicAddress}"
-peer_address = "${place.peerAddress}"
-peer_bind_address = "${place.peerBindAddress}"
+function createSettings(router: RouterSpec, platformAddress: string): string {
+  return `host = "${router.id}"
+data_centre = "${router.dataCentre}"
+public_address = "${router.publicAddress}"
+peer_address = "${router.peerAddress}"
+peer_bind_address = "${router.peerBindAddress}"
 platform_address = "${platformAddress}"
 fleet_secret = "secret-of-the-demo-fleet"
 log_level = "info"
@@ -297,13 +299,13 @@
 
 async function setMachines(
   platformAddress: string,
-  routers: readonly RouterPlace[],
+  routers: readonly RouterSpec[],
 ): Promise<boolean> {
-  const entries: ListedMachine[] = routers.map((place) => ({
-    id: place.id,
+  const entries: ListedMachine[] = routers.map((router) => ({
+    id: router.id,
     role: "router",
-    dataCentre: place.dataCentre,
-    address: place.peerAddress,
+    dataCentre: router.dataCentre,
+    address: router.peerAddress,
     state: "live",
   }));
   const res = await fetch(`http://${platformAddress}/control/machines`, {
--- a/src/testing/measure_config.ts
+++ b/src/testing/measure_config.ts
@@ -22,9 +22,9 @@
 import { portShiftArg } from "./run_args.ts";
 import { createRandom } from "./traffic.ts";
 
-const LOOK_MS = 20;
-const LIMIT_MS = 20_000;
-const GOAL_MS = 7_000;
+const POLL_PERIOD_MS = 20;
+const PROPAGATION_TIMEOUT_MS = 20_000;
+const TARGET_MS = 7_000;
 
 const command = defineCommand({
   meta: { name: "measure-config", description: "Measures time to in force" },
@@ -43,17 +43,25 @@
     });
     await fleet.apply();
     await fleet.waitUntilReady(15_000);
-    const up = build();
-    const down = build();
+    const normal = build();
+    const outage = build();
     const rounds = Number(args.rounds);
     for (let round = 1; round <= rounds; round++) {
-      const goesDown = round % 2 === 0;
-      const times = await applyOnce(fleet, { round, goesDown, random });
-      for (const ms of times) (goesDown ? down : up).recordValue(ms);
+      const isOutage = round % 2 === 0;
+      const times = await applyOnce(fleet, {
+        round,
+        isOutage,
+        random,
+      });
+      for (const ms of times) (isOutage ? outage : normal).recordValue(ms);
       await sleep(random() * 2_000);
     }
-    const figures = { up: getFigures(up), downAfter: getFigures(down) };
-    const holds = up.maxValue <= GOAL_MS && down.maxValue <= GOAL_MS;
+    const figures = {
+      up: getFigures(normal),
+      downAfter: getFigures(outage),
+    };
+    const holds = normal.maxValue <= TARGET_MS &&
+      outage.maxValue <= TARGET_MS;
     console.log(
       JSON.stringify({ routers: fleet.routers.length, rounds, figures, holds }),
     );
@@ -73,7 +81,7 @@
 /** Milliseconds from the reply "accepted" until each router has it. */
 async function applyOnce(
   fleet: FleetProcesses,
-  input: { round: number; goesDown: boolean; random: () => number },
+  input: { round: number; isOutage: boolean; random: () => number },
 ): Promise<readonly number[]> {
   const { routers } = fleet;
   const acceptor = routers[Math.floor(input.random() * routers.length)]!;
@@ -86,11 +94,11 @@
     baseVersion: configVersion,
   });
   const startMs = performance.now();
-  if (input.goesDown) await controlPlatform(fleet, true);
+  if (input.isOutage) await controlPlatform(fleet, true);
   const times = await Promise.all(
-    routers.map((place) => waitForVersion(place.publicAddress, version)),
+    routers.map((router) => waitForVersion(router.publicAddress, version)),
   );
-  if (input.goesDown) await controlPlatform(fleet, false);
+  if (input.isOutage) await controlPlatform(fleet, false);
   return times.map((ms) => Math.max(0, Math.round(ms - startMs)));
 }
 
@@ -106,11 +114,11 @@
   version: number,
 ): Promise<number> {
   const client = createOperatorClient(address, OPERATOR_KEY);
-  const endMs = performance.now() + LIMIT_MS;
+  const endMs = performance.now() + PROPAGATION_TIMEOUT_MS;
   while (performance.now() < endMs) {
     const status = await client.get<{ configVersion: number }>("/ops/status");
     if (status.configVersion >= version) return performance.now();
-    await sleep(LOOK_MS);
+    await sleep(POLL_PERIOD_MS);
   }
   throw new Error(`Version ${version} is not in force at ${address}`);
 }
--- a/src/testing/measure_fairness.ts
+++ b/src/testing/measure_fairness.ts
@@ -26,8 +26,8 @@
 /** Open requests of a team for each unit of its weight. */
 const OPEN_PER_WEIGHT = 12;
 
-const SHORTEST = 20;
-const LONGEST = 200;
+const MIN_TOKENS = 20;
+const MAX_TOKENS = 200;
 const WARM_UP_MS = 10_000;
 const SAMPLE_MS = 500;
 const LAG_SECONDS = 3;
@@ -67,7 +67,7 @@
     const open = fleet.deployment.teams.flatMap((team) =>
       Array.from(
         { length: team.weight * OPEN_PER_WEIGHT },
-        () => keepOpen(run, team),
+        () => keepRequestOpen(run, team),
       )
     );
     await sleep(WARM_UP_MS);
@@ -84,16 +84,16 @@
 
 function createRun(fleet: FleetProcesses, random: () => number): Run {
   const { teams, services } = fleet.deployment;
-  const single = new Map(
+  const singleHostTeams = new Map(
     teams.filter((_, index) => index % 2 === 0)
       .map((team, index) => [team.id, index]),
   );
   const caller = createCaller(
-    fleet.routers.map((place) => place.publicAddress),
+    fleet.routers.map((router) => router.publicAddress),
     random,
     {
       choose(team, addresses) {
-        const index = single.get(team);
+        const index = singleHostTeams.get(team);
         if (index === undefined) return addresses;
         const sorted = [...addresses].sort();
         return [sorted[index % sorted.length]!];
@@ -112,10 +112,12 @@
 }
 
 /** Keeps one request of the team open until the run is over. */
-async function keepOpen(run: Run, team: Team): Promise<void> {
+async function keepRequestOpen(run: Run, team: Team): Promise<void> {
   const { caller, random, served, ends } = run;
   for (let count = 0; !run.isOver; count++) {
-    const tokens = Math.floor(SHORTEST + random() * (LONGEST - SHORTEST));
+    const tokens = Math.floor(
+      MIN_TOKENS + random() * (MAX_TOKENS - MIN_TOKENS),
+    );
     const end = await caller.send({
       team: team.id,
       service: run.service.id,
@@ -154,7 +156,7 @@
   );
   const bound = getGapBound({
     weights: teams.map((team) => team.weight),
-    largestCost: LONGEST,
+    largestCost: MAX_TOKENS,
     slots,
     servicePerSecond: tokens / ranSeconds,
     lagSeconds: LAG_SECONDS,
--- a/src/testing/measure_leaving.ts
+++ b/src/testing/measure_leaving.ts
@@ -16,12 +16,12 @@
 import { portShiftArg } from "./run_args.ts";
 import { createRandom, createRequestSource, sendAtRate } from "./traffic.ts";
 
-const LOOK_MS = 20;
-const WATCH_MS = 7_000;
-const BACK_MS = 6_000;
+const POLL_PERIOD_MS = 20;
+const OBSERVATION_MS = 7_000;
+const RETURN_MS = 6_000;
 const BOUND_MS = 5_000;
 
-type Source = "word" | "list";
+type LeaveSource = "word" | "list";
 
 const command = defineCommand({
   meta: { name: "measure-leaving", description: "Measures late new work" },
@@ -46,17 +46,17 @@
       isStopped: () => isDone,
       random,
     });
-    const lastMs: Record<Source, number[]> = { word: [], list: [] };
+    const lastNewWorkMs: Record<LeaveSource, number[]> = { word: [], list: [] };
     for (let round = 0; round < Number(args.rounds); round++) {
       const source = round % 2 === 0 ? "word" : "list";
-      lastMs[source].push(await leaveOnce(fleet, source, round));
+      lastNewWorkMs[source].push(await leaveOnce(fleet, source, round));
     }
     isDone = true;
     await traffic;
-    const holds = [...lastMs.word, ...lastMs.list].every((ms) =>
+    const holds = [...lastNewWorkMs.word, ...lastNewWorkMs.list].every((ms) =>
       ms <= BOUND_MS
     );
-    console.log(JSON.stringify({ lastNewWorkMs: lastMs, holds }));
+    console.log(JSON.stringify({ lastNewWorkMs, holds }));
     process.exitCode = holds ? 0 : 1;
   },
 });
@@ -69,7 +69,7 @@
     isStopped: () => boolean;
   },
 ): Promise<void> {
-  const addresses = fleet.routers.map((place) => place.publicAddress);
+  const addresses = fleet.routers.map((router) => router.publicAddress);
   const caller = createCaller(addresses, options.random);
   const next = createRequestSource(fleet.deployment, options.random);
   const seconds = 3_600;
@@ -82,7 +82,7 @@
 /** Milliseconds from the beginning of the leaving to the last new work. */
 async function leaveOnce(
   fleet: FleetProcesses,
-  source: Source,
+  source: LeaveSource,
   round: number,
 ): Promise<number> {
   const engines = fleet.deployment.upstreams.filter((each) =>
@@ -93,14 +93,14 @@
   const startMs = performance.now();
   let runs = await countRuns(upstream);
   let lastMs = 0;
-  while (performance.now() - startMs < WATCH_MS) {
-    await sleep(LOOK_MS);
+  while (performance.now() - startMs < OBSERVATION_MS) {
+    await sleep(POLL_PERIOD_MS);
     const now = await countRuns(upstream);
     if (now > runs) lastMs = Math.round(performance.now() - startMs);
     runs = now;
   }
   await setLeaving(fleet, upstream, { source, leaving: false });
-  await sleep(BACK_MS);
+  await sleep(RETURN_MS);
   const after = await countRuns(upstream);
   if (after === runs) throw new Error(`"${upstream.id}" got no work again`);
   return lastMs;
@@ -109,7 +109,7 @@
 async function setLeaving(
   fleet: FleetProcesses,
   upstream: Upstream,
-  input: { source: Source; leaving: boolean },
+  input: { source: LeaveSource; leaving: boolean },
 ): Promise<void> {
   const { source, leaving } = input;
   if (source === "word") {
--- a/src/testing/processes.ts
+++ b/src/testing/processes.ts
@@ -40,17 +40,17 @@
   getAll(): readonly StartedProcess[];
 }
 
-const END_LIMIT_MS = 5_000;
+const EXIT_TIMEOUT_MS = 5_000;
 
 /** What a shell reports of a program that an interrupt ended. */
 const INTERRUPTED_EXIT_CODE = 130;
 
 /** Makes an empty group; output goes to one file a process in the folder. */
 export function createProcessGroup(folder: string): ProcessGroup {
-  const all = new Set<StartedProcess>();
+  const running = new Set<StartedProcess>();
 
   function killAll(): void {
-    for (const { child } of all) child.kill("SIGKILL");
+    for (const { child } of running) child.kill("SIGKILL");
   }
 
   process.on("exit", killAll);
@@ -60,12 +60,12 @@
     signal: NodeJS.Signals,
   ): Promise<void> {
     const { child } = started;
-    all.delete(started);
+    running.delete(started);
     if (child.exitCode !== null || child.signalCode !== null) return;
     const exited = once(child, "exit");
     child.kill(signal);
     // A stopped process takes no SIGTERM; SIGKILL ends it all the same.
-    const late = sleep(END_LIMIT_MS, "late", { ref: false });
+    const late = sleep(EXIT_TIMEOUT_MS, "late", { ref: false });
     if (await Promise.race([exited, late]) !== "late") return;
     child.kill("SIGKILL");
     await exited;
@@ -89,14 +89,14 @@
         createInterface(child.stdout).on("line", onLine);
       }
       const started = { name, child };
-      all.add(started);
+      running.add(started);
       return started;
     },
     end,
-    getAll: () => [...all],
+    getAll: () => [...running],
     async [Symbol.asyncDispose]() {
       // Nothing is in flight any more, and a router's drain takes its time.
-      await Promise.all([...all].map((started) => end(started, "SIGKILL")));
+      await Promise.all([...running].map((started) => end(started, "SIGKILL")));
       process.off("exit", killAll);
     },
   };
@@ -107,10 +107,10 @@
  * and with it all that it started.
  */
 export function handleInterrupts(onFirst: () => void): void {
-  let isAsked = false;
+  let wasInterrupted = false;
   const onSignal = () => {
-    if (isAsked) process.exit(INTERRUPTED_EXIT_CODE);
-    isAsked = true;
+    if (wasInterrupted) process.exit(INTERRUPTED_EXIT_CODE);
+    wasInterrupted = true;
     onFirst();
   };
   process.on("SIGINT", onSignal);
--- a/src/testing/relay.ts
+++ b/src/testing/relay.ts
@@ -13,13 +13,13 @@
 /** A relay of one address. */
 export interface Relay extends AsyncDisposable {
   /** Open connections carry nothing from now on; new ones work. */
-  silenceOpen(): void;
+  stallOpenConnections(): void;
   /** Cuts and refuses what comes from the sources that the check names. */
-  setCut(isCut: (source: string) => boolean): void;
+  setBlocked(isBlocked: (source: string) => boolean): void;
 }
 
 /** What a relay connects. */
-export interface RelayPlace {
+export interface RelaySpec {
   /** Address that others dial. */
   readonly from: string;
   /** Address where the process listens. */
@@ -31,67 +31,67 @@
 }
 
 interface Connection {
-  readonly near: Socket;
-  readonly far: Socket;
+  readonly client: Socket;
+  readonly target: Socket;
   source: string;
-  isSilent: boolean;
+  isStalled: boolean;
 }
 
 /** A peer's first frame holds its host's id in plain bytes. */
-const HOST_IN_GREETING = /entry-\d+/;
+const HOST_ID_IN_HELLO = /entry-\d+/;
 
-const neverCut = () => false;
+const neverBlocked = () => false;
 
 /** Starts a relay; rejects when its address is taken. */
-export async function startRelay(place: RelayPlace): Promise<Relay> {
+export async function startRelay(spec: RelaySpec): Promise<Relay> {
   const connections = new Set<Connection>();
-  let isCut: (source: string) => boolean = neverCut;
+  let isBlocked: (source: string) => boolean = neverBlocked;
 
   function close(connection: Connection): void {
     connections.delete(connection);
-    connection.near.destroy();
-    connection.far.destroy();
+    connection.client.destroy();
+    connection.target.destroy();
   }
 
-  function passOn(connection: Connection, to: Socket, chunk: Buffer): void {
+  function forward(connection: Connection, to: Socket, chunk: Buffer): void {
     if (connection.source === "") {
-      const match = HOST_IN_GREETING.exec(chunk.toString("latin1"));
+      const match = HOST_ID_IN_HELLO.exec(chunk.toString("latin1"));
       connection.source = match?.[0] ?? "";
     }
-    if (isCut(connection.source)) close(connection);
-    else if (!connection.isSilent) to.write(chunk);
+    if (isBlocked(connection.source)) close(connection);
+    else if (!connection.isStalled) to.write(chunk);
   }
 
-  const [toHost, toPort] = split(place.to);
-  const server = createServer((near) => {
-    const far = connect(toPort, toHost);
-    const connection = { near, far, source: "", isSilent: false };
+  const [toHost, toPort] = split(spec.to);
+  const server = createServer((client) => {
+    const target = connect(toPort, toHost);
+    const connection = { client, target, source: "", isStalled: false };
     connections.add(connection);
-    near.on("data", (chunk) => passOn(connection, far, chunk));
-    far.on("data", (chunk) => passOn(connection, near, chunk));
-    for (const socket of [near, far]) {
+    client.on("data", (chunk) => forward(connection, target, chunk));
+    target.on("data", (chunk) => forward(connection, client, chunk));
+    for (const socket of [client, target]) {
       socket.on("error", () => close(connection));
       // A silent connection hides the other end's closing as well.
       socket.on("close", () => {
-        if (!connection.isSilent) close(connection);
+        if (!connection.isStalled) close(connection);
       });
     }
   });
-  const [fromHost, fromPort] = split(place.from);
+  const [fromHost, fromPort] = split(spec.from);
   await new Promise<void>((resolve, reject) => {
     server.once("error", reject);
     server.listen(fromPort, fromHost, () => resolve());
   });
-  const datagrams = place.datagrams
-    ? await relayDatagrams(place, (source) => isCut(source))
+  const datagrams = spec.datagrams
+    ? await relayDatagrams(spec, (source) => isBlocked(source))
     : undefined;
 
   return {
-    silenceOpen() {
-      for (const connection of connections) connection.isSilent = true;
+    stallOpenConnections() {
+      for (const connection of connections) connection.isStalled = true;
     },
-    setCut(check) {
-      isCut = check;
+    setBlocked(check) {
+      isBlocked = check;
       for (const connection of connections) {
         if (check(connection.source)) close(connection);
       }
@@ -106,11 +106,11 @@
 
 /** One socket for each source, so that replies find their way back. */
 async function relayDatagrams(
-  place: RelayPlace,
-  isCut: (source: string) => boolean,
+  spec: RelaySpec,
+  isBlocked: (source: string) => boolean,
 ): Promise<AsyncDisposable> {
-  const [fromHost, fromPort] = split(place.from);
-  const [toHost, toPort] = split(place.to);
+  const [fromHost, fromPort] = split(spec.from);
+  const [toHost, toPort] = split(spec.to);
   const inner = new Map<string, DatagramSocket>();
   const outer = createSocket("udp4");
 
@@ -122,7 +122,7 @@
     inner.set(key, socket);
     socket.on("error", () => {});
     socket.on("message", (bytes) => {
-      if (!isCut(place.getDatagramSource(key))) {
+      if (!isBlocked(spec.getDatagramSource(key))) {
         outer.send(bytes, port, address);
       }
     });
@@ -131,8 +131,8 @@
 
   outer.on("error", () => {});
   outer.on("message", (bytes, sender) => {
-    const source = place.getDatagramSource(`${sender.address}:${sender.port}`);
-    if (isCut(source)) return;
+    const source = spec.getDatagramSource(`${sender.address}:${sender.port}`);
+    if (isBlocked(source)) return;
     getInner(sender.address, sender.port).send(bytes, toPort, toHost);
   });
   await new Promise<void>((resolve) =>
--- a/src/testing/traffic.ts
+++ b/src/testing/traffic.ts
@@ -29,13 +29,13 @@
     (sum, team) => sum + team.weight,
     0,
   );
-  let made = 0;
+  let created = 0;
 
   function pickTeam(): Team {
-    let left = random() * totalWeight;
+    let remainingWeight = random() * totalWeight;
     for (const team of deployment.teams) {
-      left -= team.weight;
-      if (left <= 0) return team;
+      remainingWeight -= team.weight;
+      if (remainingWeight <= 0) return team;
     }
     return deployment.teams[0]!;
   }
@@ -45,8 +45,8 @@
   }
 
   return () => {
-    made++;
-    const tag = `t${made}`;
+    created++;
+    const tag = `t${created}`;
     const common = { team: pickTeam().id, tag, timeoutMs: 30_000 };
     const kind = random();
     if (kind < 0.25) {
@@ -87,8 +87,8 @@
   const total = Math.floor(options.perSecond * options.seconds);
   for (let count = 0; count < total && !options.isStopped(); count++) {
     const dueMs = startMs + (count * 1000) / options.perSecond;
-    const pauseMs = dueMs - performance.now();
-    if (pauseMs > 0) await sleep(pauseMs);
+    const delayMs = dueMs - performance.now();
+    if (delayMs > 0) await sleep(delayMs);
     sent.push(send());
   }
   await Promise.all(sent);
