--- a/src/testing/block_event_loop.ts
+++ b/src/testing/block_event_loop.ts
@@ -1,12 +1,12 @@
 /**
- * Long turns of the event loop, for tests.
+ * Blocks the event loop, for tests of stalls.
  *
  * @module
  */
 
 import { performance } from "node:perf_hooks";
 
-/** Keeps this process from reading anything for so long, in ms. */
+/** Busy-waits for the duration in ms, during which no event is handled. */
 export function blockEventLoop(durationMs: number): void {
   const untilMs = performance.now() + durationMs;
   while (performance.now() < untilMs);
--- a/src/testing/caller.ts
+++ b/src/testing/caller.ts
@@ -1,7 +1,7 @@
 /**
- * A caller as the documentation tells one to be: asks `where`, keeps the answer
- * for its time to live, connects there, and checks that the answer is its own
- * and whole.
+ * A caller that behaves as the documentation asks: it queries `/where`, caches
+ * the hosts for their time to live, connects to one of them, and checks that
+ * each response is complete and belongs to the request.
  *
  * @module
  */
@@ -10,47 +10,48 @@
 import type { Outcome } from "../types.ts";
 import { getTeamKey } from "./fleet_processes.ts";
 
-/** What the caller asks for. */
+/** A request of the caller. */
 export interface CallerRequest {
   readonly team: string;
   readonly service: string;
   readonly operation: string;
-  /** Marks the request's content; every part of its answer repeats it. */
+  /** Identifies the content; each token of the response repeats it. */
   readonly tag: string;
-  /** Length of the answer; 0 for a call to a plain service. */
+  /** Length of the response in tokens; 0 for a call to a plain service. */
   readonly tokens: number;
   readonly idempotencyKey: string;
   readonly timeoutMs: number;
-  /** Text of the request; a mark in it makes a stand-in engine crash. */
+  /** Text of the request; a marker in it crashes a fake engine. */
   readonly prompt?: string;
 }
 
 /**
- * How the request ended for the caller: "lost" when its connection ended without
- * a final answer, "silent" when none came long after the deadline.
+ * How the request ended for the caller. "lost": its connection closed before a
+ * final response. "silent": the request, or the query of `/where` before it,
+ * timed out.
  */
 export interface CallerResult {
-  /** Public address of the host; empty when none was reached. */
+  /** Public address of the host; empty if none could be chosen. */
   readonly address: string;
-  /** The request's id at the system; empty when it was never told. */
+  /** The id that the system gave the request; empty if none was received. */
   readonly request: string;
-  /** When coming back helps, in ms; 0 when nothing was said. */
+  /** Delay from `Retry-After`, in ms; 0 without the header. */
   readonly retryAfterMs: number;
   readonly outcome: Outcome | "lost" | "silent";
   readonly status: number;
   readonly firstByteMs: number;
   readonly totalMs: number;
-  /** Empty when the answer was whole and its own. */
+  /** What is wrong with the response's content; empty if nothing. */
   readonly fault: string;
   readonly detail: string;
 }
 
-/** Sends requests of all teams through the hosts that `where` names. */
+/** Sends requests of all teams through the hosts that `/where` names. */
 export interface Caller {
   send(req: CallerRequest): Promise<CallerResult>;
 }
 
-/** A final answer that is later than this after the deadline never comes. */
+/** Time after its deadline at which a request times out at the caller, in ms. */
 const RESPONSE_GRACE_MS = 10_000;
 
 interface CachedHosts {
@@ -58,16 +59,16 @@
   readonly expiresMs: number;
 }
 
-/** A seed that is cut off or paused answers nothing. */
+/** Limits a query to a seed that is partitioned or paused, in ms. */
 const WHERE_TIMEOUT_MS = 2_000;
 
-/** Which of the named addresses a team's callers use. */
+/** Chooses the advertised addresses that a team's callers use. */
 export type ChooseHosts = (
   team: string,
   addresses: readonly string[],
 ) => readonly string[];
 
-/** Makes a caller that knows the addresses to ask first. */
+/** Creates a caller that queries `/where` at the seed addresses. */
 export function createCaller(
   seeds: readonly string[],
   random: () => number,
@@ -79,7 +80,7 @@
     return addresses[Math.floor(random() * addresses.length)]!;
   }
 
-  /** Asks one seed after the other: one of them may be down. */
+  /** Tries the seeds one after the other, since some may be down. */
   async function fetchHosts(
     team: string,
   ): Promise<{ seed: string; res: Response }> {
@@ -182,7 +183,7 @@
   if (outcome === "answered") {
     const fault = text.includes(`"key":"${req.idempotencyKey}"`)
       ? ""
-      : "The answer is another request's";
+      : "The response belongs to another request";
     return { ...times, outcome, fault, detail: "" };
   }
   return { ...times, outcome: outcome ?? "lost", fault: "", detail: text };
@@ -192,7 +193,7 @@
   return err instanceof Error && err.name === "TimeoutError";
 }
 
-/** Checks that every token came once, in order, and is the request's own. */
+/** Checks that every token of this request arrived once and in order. */
 function validateStream(
   text: string,
   req: CallerRequest,
@@ -215,7 +216,7 @@
   });
   parser.feed(text);
   if (end === undefined) {
-    return { outcome: "lost", fault, detail: "No last event" };
+    return { outcome: "lost", fault, detail: "No final event" };
   }
   if (end.outcome === "answered" && nextToken !== req.tokens) {
     fault = `Expected ${req.tokens} tokens, got ${nextToken}`;
--- a/src/testing/demo.ts
+++ b/src/testing/demo.ts
@@ -1,6 +1,7 @@
 /**
- * `npm run demo`: the whole system as processes on loopback, with mixed traffic
- * and a summary. Exits with 1 when a request was refused, lost or doubled.
+ * `npm run demo`: runs the whole system as processes on loopback, sends mixed
+ * traffic and prints a summary. Exits with 1 if a request was refused or lost,
+ * or if a call that may run at most once ran more often.
  *
  * @module
  */
@@ -34,8 +35,8 @@
 const command = defineCommand({
   meta: { name: "demo", description: "Runs the whole system on loopback" },
   args: {
-    seconds: { type: "string", default: "20", description: "Time of traffic" },
-    rate: { type: "string", default: "30", description: "Requests a second" },
+    seconds: { type: "string", default: "20", description: "Seconds to run" },
+    rate: { type: "string", default: "30", description: "Requests per second" },
     seed: { type: "string", default: "1", description: "Seed of the traffic" },
     routers: { type: "string", default: "6", description: "Routers to start" },
     "port-shift": portShiftArg,
@@ -60,7 +61,7 @@
     await fleet.waitUntilReady(15_000);
     const addresses = fleet.routers.map((router) => router.publicAddress);
     console.log(
-      `demo: ${args.deployment}, ${addresses.length} routers; first ask ` +
+      `demo: ${args.deployment}, ${addresses.length} routers; query ` +
         `http://${addresses[0]}/where`,
     );
     const hasPassed = await runTraffic(fleet, {
@@ -93,7 +94,7 @@
   let done = 0;
 
   const progress = setInterval(
-    () => console.log(`demo: ${done} ended`),
+    () => console.log(`demo: ${done} requests ended`),
     2_000,
   );
   await sendAtRate(async () => {
@@ -130,7 +131,7 @@
   const total = [...byKind.values()].reduce((sum, each) => sum + each, 0);
   const kinds = [...byKind].map(([kind, bytes]) => `${kind} ${bytes}`);
   console.log(
-    `demo: ${Math.round(total / requests)} control bytes a request ` +
+    `demo: ${Math.round(total / requests)} control bytes per request ` +
       `(${kinds.join(", ")})`,
   );
 }
@@ -161,7 +162,7 @@
   }
 }
 
-/** Calls that may run at most once and ran more often, by the upstreams' logs. */
+/** Counts at-most-once calls that ran more often, by the upstreams' logs. */
 async function countDuplicateRuns(fleet: FleetProcesses): Promise<number> {
   const { services, upstreams } = fleet.deployment;
   const atMostOnce = new Set(
@@ -183,8 +184,8 @@
 
 function printSummary(
   summaries: ReadonlyMap<string, TeamSummary>,
-  faults: readonly string[],
-  doubled: number,
+  failures: readonly string[],
+  duplicates: number,
 ): boolean {
   const rows = [...summaries].map(([team, summary]) => ({
     team,
@@ -196,16 +197,16 @@
     "first byte p95, ms": Math.round(getPercentile(summary.firstByteMs, 0.95)),
   }));
   console.table(rows);
-  for (const fault of faults.slice(0, 10)) console.log(`fault: ${fault}`);
+  for (const each of failures.slice(0, 10)) console.log(`failure: ${each}`);
   const sum = (name: "requests" | "answered" | "refused" | "lost") =>
     rows.reduce((total, row) => total + row[name], 0);
   const [requests, answered] = [sum("requests"), sum("answered")];
   const [refused, lost] = [sum("refused"), sum("lost")];
   console.log(
     `demo: ${requests} requests, ${answered} answered, ${refused} refused, ` +
-      `${lost} lost, ${doubled} doubled`,
+      `${lost} lost, ${duplicates} run more than once`,
   );
-  return refused === 0 && lost === 0 && doubled === 0 &&
+  return refused === 0 && lost === 0 && duplicates === 0 &&
     requests === answered;
 }
 
--- a/src/testing/emulated_engine.ts
+++ b/src/testing/emulated_engine.ts
@@ -1,31 +1,31 @@
 /**
- * An emulated model engine in virtual time: it works in steps, in each of which it
- * reads a chunk of every prompt that it has and makes a token of every answer, and
- * keeps the parts that it has read. Its figures are those of the deployments'
- * engines. With one chunk a step, not one a prompt, it told policies apart in
- * another order than the real ones do.
+ * An emulated model engine in virtual time. In each step it prefills one chunk
+ * of every prompt and produces one token of every output, and it caches the
+ * prefixes that it has prefilled. Its parameters are those of the deployments'
+ * engines. An emulation that prefilled one chunk per step, instead of one per
+ * prompt, ranked scheduling policies in another order than real engines do.
  *
  * @module
  */
 
-/** What an engine does in which time. */
+/** Speed and limits of an engine. */
 export interface EngineProfile {
-  /** A step without anything to read or to attend to, in ms. */
+  /** Duration of a step without prefill and without context, in ms. */
   readonly stepMs: number;
-  /** What a step takes longer for each token of context, in ms. */
+  /** Added to a step's duration for each token of context, in ms. */
   readonly contextMsPerToken: number;
   readonly prefillTokensPerMs: number;
-  /** Attention of a token that is read to one before it, in ms. */
+  /** Time for the attention of a prefilled token to an earlier one, in ms. */
   readonly attentionMsPerPair: number;
-  /** Tokens of one prompt that are read in a step at most. */
+  /** Most tokens of one prompt that a step prefills. */
   readonly maxChunkTokens: number;
-  /** Tokens of one event of an answer. */
+  /** Output tokens in one event of the stream. */
   readonly eventTokens: number;
-  /** Most requests that are worked on at once. */
+  /** Most requests that the engine processes at once. */
   readonly slots: number;
 }
 
-/** Engines that read much of a prompt between two steps. */
+/** Engines that prefill large chunks. */
 export const largeChunkEngine: EngineProfile = {
   stepMs: 3.29,
   contextMsPerToken: 0.0262e-3,
@@ -36,7 +36,7 @@
   slots: 48,
 };
 
-/** Engines that read half as fast, and little between two steps. */
+/** Engines that prefill at half the speed and in small chunks. */
 export const smallChunkEngine: EngineProfile = {
   ...largeChunkEngine,
   stepMs: 3.82,
@@ -48,6 +48,7 @@
 
 /** A request to the engine. */
 export interface EmulatedRequest {
+  /** Id of the prefix that the prompt shares with other prompts. */
   readonly sharedPrefix: string;
   readonly prefixTokens: number;
   readonly suffixTokens: number;
@@ -57,10 +58,10 @@
   onEnd(nowMs: number): void;
 }
 
-/** An engine without work. */
+/** An emulated engine; `createEmulatedEngine` creates one. */
 export interface EmulatedEngine {
   add(req: EmulatedRequest): void;
-  /** Goes on to the time given, in ms; called with times that grow. */
+  /** Simulates up to the time given, in ms, which must not decrease. */
   advance(nowMs: number): void;
   countInFlight(): number;
 }
@@ -72,7 +73,7 @@
   producedTokens: number;
 }
 
-/** Makes an engine that keeps nothing. */
+/** Creates an engine without requests and with an empty prefix cache. */
 export function createEmulatedEngine(
   profile: EngineProfile = largeChunkEngine,
 ): EmulatedEngine {
@@ -154,7 +155,7 @@
   };
 }
 
-/** Time to read so many tokens behind those that are kept, in ms. */
+/** Time to prefill the tokens that follow the cached ones, in ms. */
 export function getPrefillMs(
   profile: EngineProfile,
   tokens: number,
--- a/src/testing/fake_io.ts
+++ b/src/testing/fake_io.ts
@@ -1,7 +1,7 @@
 /**
- * Input and output of fake hosts under fast-check's scheduler: every call may
- * fail in each way that a network allows, a host may die between any two calls,
- * and the order of everything is the scheduler's.
+ * Input and output of fake hosts under fast-check's scheduler. Every call may
+ * fail in each way that a network allows, a host may crash between any two
+ * calls, and the scheduler decides the order of all events.
  *
  * @module
  */
@@ -20,9 +20,10 @@
 } from "../platform/mod.ts";
 
 /**
- * Fate of one call. "lost-before": it never arrives. "lost-after": it takes
- * effect and its reply is lost. "late": it takes effect after its caller gave
- * it up. "refused": its caller knows that it was not sent.
+ * What goes wrong with one call. "refused": the caller knows that the call was
+ * not sent. "lost-before": the call never arrives. "lost-after": the call takes
+ * effect and its reply is lost. "late": the call takes effect after the caller
+ * has received an error.
  */
 export type IoFault =
   | "none"
@@ -43,24 +44,24 @@
 
 /** The calls of one host. */
 export interface Io {
-  /** Brings about the effect, unless a fault prevents it. */
+  /** Performs the effect, unless a fault prevents it. */
   run<A>(name: string, effect: () => A): Promise<A>;
   hasCrashed(): boolean;
-  /** Settles when the host dies. */
+  /** Resolves when the host crashes. */
   readonly crashed: Promise<void>;
 }
 
-/** What goes wrong at one host. */
+/** The faults of one host. */
 export interface IoPlan {
-  /** Fates of the first calls; later calls succeed. */
+  /** Faults of the first calls; later calls succeed. */
   readonly faults: readonly IoFault[];
-  /** The host dies at this call, counted from 1; 0 for never. */
+  /** The host crashes at this call, counted from 1; 0 for never. */
   readonly crashesAtCall: number;
 }
 
 const pendingForever = new Promise<never>(() => {});
 
-/** Makes the calls of a host that fares as planned. */
+/** Creates the I/O of a host with the planned faults. */
 export function createIo(s: fc.Scheduler, plan: IoPlan): Io {
   const faults = [...plan.faults];
   let calls = 0;
@@ -106,7 +107,7 @@
   list(table: string, prefix: string): readonly Row[];
 }
 
-/** Makes an empty store. */
+/** Creates an empty store. */
 export function createFakeStore(): FakeStore {
   const rows = new Map<string, Row>();
 
@@ -135,7 +136,7 @@
   };
 }
 
-/** The store as one host reaches it. */
+/** A table service that accesses the store through one host's I/O. */
 export function createFakeTableService(store: FakeStore, io: Io): TableService {
   function call<A>(name: string, effect: () => A) {
     return Effect.tryPromise({
@@ -156,8 +157,8 @@
 }
 
 /**
- * Steps of the scheduler that a sleep lasts. With timeoutSteps 1 every timeout may
- * come before any reply; with more, long sleeps outlast short ones.
+ * Number of scheduler steps that a sleep lasts. With `timeoutSteps` 1, every
+ * timeout may fire before any reply; with more, long sleeps outlast short ones.
  */
 function getSleepSteps(durationMs: number, timeoutSteps: number): number {
   if (durationMs < 500) return 1;
@@ -165,8 +166,8 @@
 }
 
 /**
- * Runs an effect whose sleeps and timeouts end when the scheduler says: a
- * timeout may come before or after anything else, long ones seldom before.
+ * Runs an effect whose sleeps and timeouts end when the scheduler decides. A
+ * timeout may fire before or after any other event, a long one seldom before.
  */
 export function runScheduled<A, E>(
   s: fc.Scheduler,
@@ -176,7 +177,7 @@
   return Effect.runPromise(withScheduledClock(s, effect, timeoutSteps));
 }
 
-/** As `runScheduled`; gives the fiber, which can be interrupted. */
+/** Like `runScheduled`, but returns the fiber, which can be interrupted. */
 export function forkScheduled<A, E>(
   s: fc.Scheduler,
   effect: Effect.Effect<A, E>,
@@ -209,10 +210,11 @@
   return Effect.provideService(effect, EffectClock.Clock, clock);
 }
 
-/** Lets everything that is under way come to its end. */
+/** Runs scheduled tasks until none remain. */
 export async function runUntilIdle(s: fc.Scheduler): Promise<void> {
   let idleRounds = 0;
-  // Fibers go on by way of the event loop, so one empty look says nothing.
+  // Fibers resume through the event loop and may schedule tasks later, so the
+  // scheduler counts as idle only after five empty rounds.
   while (idleRounds < 5) {
     await new Promise((resolve) => setImmediate(resolve));
     idleRounds = s.count() === 0 ? idleRounds + 1 : 0;
--- a/src/testing/fake_platform.ts
+++ b/src/testing/fake_platform.ts
@@ -1,7 +1,7 @@
 /**
- * An in-memory platform for tests, with its failures under the test's control:
- * down, replies lost after the write took effect, and calls that wait for the
- * test's scheduler.
+ * An in-memory platform for tests. The test controls its failures: outages,
+ * requests lost before the write and replies lost after it, and calls that wait
+ * for the test's scheduler.
  *
  * @module
  */
@@ -23,22 +23,22 @@
   readonly written: readonly ConditionalWrite[];
 }
 
-/** What a test may bring about. */
+/** Failures that a test can cause. */
 export interface FakeControl {
   down: boolean;
-  /** Writes still to come whose reply is lost after they took effect. */
+  /** Number of next writes that take effect but whose reply is lost. */
   lostReplies: number;
-  /** Writes still to come that fail before they take effect, in doubt. */
+  /** Number of next writes that are lost, with an outcome that is uncertain. */
   lostRequests: number;
-  /** Down as soon as a write took effect. */
+  /** Whether the platform goes down as soon as a write has taken effect. */
   downAfterWrite: boolean;
-  /** Reservations that the weight store still gives. */
+  /** Reservations that the weight store still grants. */
   reservations: number;
-  /** Each call passes through it before and after its effect. */
+  /** Awaited by each call before and after its effect. */
   interceptCall: (call: string) => Promise<void>;
 }
 
-/** Makes an empty platform that works. */
+/** Creates an empty platform without failures. */
 export function createFakePlatform(): FakePlatform {
   const rows = new Map<string, Row>();
   const objects = new Map<string, string>();
@@ -60,7 +60,7 @@
     return Effect.tryPromise({
       try: async () => {
         await control.interceptCall(name);
-        if (control.down) throw fail("Down", false);
+        if (control.down) throw fail("The platform is down", false);
         const result = run();
         await control.interceptCall(name);
         return result;
--- a/src/testing/fake_platform_server.ts
+++ b/src/testing/fake_platform_server.ts
@@ -1,7 +1,7 @@
 /**
- * Stand-in for the platform: table service with conditional transactions,
- * object store, a list of machines that lags, and a rate-limited weight store.
- * `POST /control` brings about its failures: down, lost replies, slowness.
+ * A fake platform as a process: a table service with conditional transactions,
+ * an object store, a list of machines that lags, and a rate-limited weight
+ * store. `POST /control` sets its failures: outage, lost replies, delay.
  *
  * @module
  */
@@ -14,7 +14,7 @@
 
 interface Control {
   down: boolean;
-  /** Writes that take effect and whose replies are lost, still to come. */
+  /** Number of next writes that take effect but whose reply is lost. */
   lostReplies: number;
   delayMs: number;
 }
--- a/src/testing/fake_request_host.ts
+++ b/src/testing/fake_request_host.ts
@@ -1,6 +1,6 @@
 /**
- * A host for the life of a request over the real modules, with fake slots,
- * upstreams and table service, and a record of what callers and upstreams saw.
+ * A host that serves requests with the real modules, over fake slots, upstreams
+ * and table service, and records what callers and upstreams observed.
  *
  * @module
  */
@@ -37,18 +37,18 @@
   runScheduled,
 } from "./fake_io.ts";
 
-/** The world that the fake hosts share. */
+/** What the fake hosts share. */
 export interface FakeEnvironment {
   readonly scheduler: fc.Scheduler;
   readonly store: ReturnType<typeof createFakeStore>;
   readonly history: Observation[];
   readonly crashedHosts: Set<string>;
-  /** Scheduler steps that a timeout of a second lasts. */
+  /** Scheduler steps that a timeout of 0.5 s to 5 s lasts. */
   readonly timeoutSteps: number;
   observe(body: ObservationBody): void;
 }
 
-/** Makes a world in which nothing happened. */
+/** Creates an environment with an empty store and history. */
 export function createFakeEnvironment(
   scheduler: fc.Scheduler,
   timeoutSteps = 15,
@@ -64,12 +64,12 @@
   };
 }
 
-/** A fake host. */
+/** A host with fake slots and upstreams. */
 export interface FakeHost {
   readonly id: string;
   readonly io: Io;
   readonly serveHost: ServeHost;
-  /** Slots that were granted and not given back. */
+  /** Number of slots that were granted and not released. */
   getSlotsInUse(): number;
   countReleases(): number;
 }
@@ -95,16 +95,19 @@
   refresh: Effect.void,
 };
 
-/** Makes a host; `claims` replaces the real ones, to show what they prevent. */
+/**
+ * Creates a host. `claims` replaces the real claims, to show which failures
+ * these prevent.
+ */
 export function createFakeHost(
   env: FakeEnvironment,
   id: string,
   options: {
     readonly plan: IoPlan;
     readonly claims?: Claims;
-    /** Makes the upstreams that the host reaches. */
+    /** Creates the client of the host's upstreams. */
     readonly createUpstreams?: (io: Io) => UpstreamClient;
-    /** Called when a slot goes back that was used. */
+    /** Called when a slot that was used is released. */
     readonly onRelease?: () => void;
   },
 ): FakeHost {
@@ -113,7 +116,8 @@
   void io.crashed.then(() => env.crashedHosts.add(id));
   const clock = createManualClock(1_000_000);
   const slots = createFakeSlots(scheduler, io, () => {
-    // Time passes with each slot, so that an upstream is not down for good.
+    // The clock advances with each slot, so that an upstream that is marked as
+    // down becomes available again.
     clock.advance(DOWN_PERIOD_MS / 2);
   }, options.onRelease);
   const claims = options.claims ?? createClaims({
@@ -193,7 +197,10 @@
   return { client: client as unknown as SlotClient, counts };
 }
 
-/** A plain service that notes what it runs; `getFailure` names a lost call. */
+/**
+ * Creates a plain service that records the calls it runs. `getFailure`
+ * classifies the error of a call that failed.
+ */
 export function createFakeUpstreams(
   env: FakeEnvironment,
   io: Io,
@@ -226,14 +233,14 @@
   return err instanceof IoError && err.wasRefused ? "refused" : "broken";
 }
 
-/** What a sending came to. */
+/** Result of sending a request once. */
 export interface SendResult {
   readonly outcome: Outcome | "cut";
   readonly status: number;
   readonly body: string;
 }
 
-/** How the life of a request is run. */
+/** Serves a request from its admission to its response. */
 export type RunRequest = (
   host: ServeHost,
   admitted: AdmittedRequest,
@@ -241,7 +248,7 @@
   res: ServerResponse,
 ) => Effect.Effect<void, RequestRejected | CallerLost>;
 
-/** Sends a booking to the host and waits for its end or the host's death. */
+/** Sends a booking to the host and waits until it ends or the host crashes. */
 export async function sendBooking(
   env: FakeEnvironment,
   host: FakeHost,
@@ -330,7 +337,7 @@
   };
 }
 
-/** A response that notes the head and the body, and never closes. */
+/** A response that records outcome, status and body, and never closes. */
 export function createFakeResponse(
   answer: { outcome: string; status: number; body: string },
 ): ServerResponse {
--- a/src/testing/fake_tables.ts
+++ b/src/testing/fake_tables.ts
@@ -1,7 +1,7 @@
 /**
- * The platform's tables as entry hosts find them: it can turn hosts away, keep
- * silent to them, keep its watches silent, drop its history, and come back from an
- * older copy. In virtual time.
+ * A fake of the platform's tables for entry hosts, in virtual time. It can
+ * reject hosts, leave their calls unanswered, pause its watches, drop its
+ * history, and restore itself from an older backup.
  *
  * @module
  */
@@ -22,38 +22,38 @@
 import type { RoutingConfig } from "../routing/mod.ts";
 import { createRoutingConfig, createUpstreamEntry } from "./routing_fixture.ts";
 
-/** How the platform treats a host. */
+/** How the platform handles a host's calls. */
 export type Treatment = "served" | "refused" | "silent";
 
-/** The platform as tests set it. */
+/** The platform with the controls of a test. */
 export interface FakeTables {
-  /** Puts a configuration in place, as operators do. */
+  /** Writes a configuration, as operators do. */
   putConfig(version: number): void;
-  /** Replaces the upstreams that are registered. */
+  /** Replaces the registered upstreams. */
   putUpstreams(ids: readonly string[]): void;
   setTreatment(host: string, treatment: Treatment): void;
-  /** As the platform treats a host that asks for this table. */
+  /** Sets how the platform handles the host's calls for this table. */
   setTableTreatment(host: string, table: TableName, treatment: Treatment): void;
-  /** Watches hear nothing until the time given, in ms. */
+  /** Watches report no change until the time given, in ms. */
   pauseWatchesUntil(ms: number): void;
-  /** Watches from an older version are told that the history is gone. */
+  /** Watches from an older version fail, since the history is lost. */
   dropHistory(): void;
-  /** Comes back as it was so long ago, in ms, with the next era. */
+  /** Restores the state of `ms` milliseconds ago, with the next era. */
   restoreBackup(ms: number): void;
-  /** Calls of all hosts so far, those without an answer included. */
+  /** Number of calls by all hosts so far, with those that got no response. */
   countCalls(): number;
-  /** The platform as the host finds it. */
+  /** Creates the host's client of the platform. */
   createPlatform(host: string): EntryPlatform;
 }
 
 interface FakeTable<T> {
   changedVersion: number;
   rows: readonly TableRow<T>[];
-  /** Of all rows that ever were. */
+  /** Keys of all rows that were ever written. */
   readonly keys: Set<string>;
 }
 
-/** All tables as of a moment. */
+/** All tables at one point in time. */
 interface Snapshot {
   readonly atMs: number;
   readonly version: number;
@@ -61,16 +61,16 @@
   readonly upstreams: FakeTable<UpstreamEntry>;
 }
 
-/** Step in which a watch looks for news, in ms. */
+/** Interval at which a watch checks for changes, in ms. */
 const WATCH_POLL_MS = 10;
 
-/** Time after which a client gives a silent platform up, besides its wait. */
+/** Time, besides a watch's wait, after which an unanswered call times out. */
 const RESPONSE_TIMEOUT_MS = 700;
 
-/** A call to the platform, in ms. */
+/** Duration of a call to the platform, in ms. */
 const CALL_DURATION_MS = 5;
 
-/** Makes a platform that serves all hosts and has no rows. */
+/** Creates a platform that serves all hosts and has no rows. */
 export function createFakeTables(clock: Clock): FakeTables {
   const treatments: Readonly<Record<TableName, Map<string, Treatment>>> = {
     config: new Map(),
@@ -102,7 +102,7 @@
     });
   }
 
-  /** Both tables count by the platform's one version. */
+  /** The platform has one version, which all tables share. */
   function setRows<T>(
     table: FakeTable<T>,
     rows: readonly TableRow<T>[],
@@ -113,7 +113,7 @@
     takeSnapshot();
   }
 
-  /** A row that is there stays as it was written. */
+  /** An existing row keeps the version at which it was written. */
   function getOrCreateRow(id: string): TableRow<UpstreamEntry> {
     const existing = upstreams.rows.find((each) => each.key === id);
     return existing ?? { key: id, version, value: createUpstreamEntry({ id }) };
@@ -136,7 +136,7 @@
     return Effect.suspend(() => {
       const isPaused = clock.monotonicMs() < pausedUntilMs;
       if (!isPaused && (after < oldestVersion || after > version)) {
-        const reason = "The history is gone";
+        const reason = "The history is lost";
         return Effect.fail(new TableError({ kind: "history-lost", reason }));
       }
       const hasChanges = !isPaused && table.changedVersion > after;
@@ -154,7 +154,7 @@
     });
   }
 
-  /** A call by the host, as it is treated when the call begins. */
+  /** Handles a call by the host's treatment at the beginning of the call. */
   function call<A>(
     host: string,
     table: TableName,
--- a/src/testing/fake_upstream_server.ts
+++ b/src/testing/fake_upstream_server.ts
@@ -1,8 +1,8 @@
 /**
- * Stand-in for an upstream. As an engine it batches continuously, streams one
- * token for each running stream and step, resumes and cancels streams, and
- * reports its load late. As a plain service it runs each call it gets, twice if
- * it is called twice; `GET /log` tells which calls ran.
+ * A fake upstream as a process. As an engine it batches continuously, produces
+ * one token per step for each running stream, resumes and cancels streams, and
+ * reports its load with a lag. As a plain service it runs every call that it
+ * receives, without deduplication; `GET /log` lists the calls that ran.
  *
  * Usage: fake_upstream_server.js ID PORT engine|plain checks|ignores
  *
@@ -26,7 +26,7 @@
   endedMs: number;
 }
 
-/** A call that began to run here. */
+/** A call or order that was started here. */
 interface Run {
   readonly request: string;
   readonly key: string;
@@ -36,10 +36,10 @@
 interface Control {
   stepMs: number;
   callMs: number;
-  /** Goes silent: keeps connections open and sends nothing. */
+  /** Whether it keeps connections open but sends nothing. */
   stalled: boolean;
   leaving: boolean;
-  /** Time to load a model. */
+  /** Time to load a model, in ms. */
   loadModelMs: number;
 }
 
@@ -47,7 +47,7 @@
 const BATCH_SIZE = 16;
 const ENDED_STREAM_RETENTION_MS = 30_000;
 const LOAD_REPORT_LAG_MS = 1_000;
-/** Sent on open streams, so that a silent connection shows. */
+/** Interval of heartbeats on open streams, by which stalls are detected. */
 const HEARTBEAT_MS = 1_000;
 const CRASH_MARKER = "crash-the-upstream";
 
@@ -66,7 +66,7 @@
 let role = "";
 let workingOn = "";
 
-/** Written out as well, since the memory goes with a crash. */
+/** Also writes to standard output, since a crash loses the log in memory. */
 function record(run: Run): void {
   log.push(run);
   process.stdout.write(JSON.stringify(run) + "\n");
@@ -161,7 +161,7 @@
   res.end(JSON.stringify({ tokens: stream.produced }));
 }
 
-/** Only an engine that checks fencing tokens refuses an old one. */
+/** Rejects an old fencing token if the engine checks tokens. */
 function receiveOrder(body: string, res: ServerResponse): void {
   const { token, order, name = "" } = JSON.parse(body);
   if (fencing === "checks" && token < highestToken) {
@@ -174,7 +174,7 @@
   res.writeHead(200).end("{}");
 }
 
-/** A load takes its time; until it is done the old model serves. */
+/** Executes an order; a model is available once its load has completed. */
 function executeOrder(
   order: { kind?: string; model?: string; role?: string },
   name: string,
--- a/src/testing/fault_callers.ts
+++ b/src/testing/fault_callers.ts
@@ -1,6 +1,6 @@
 /**
- * Callers of a failure run: they send work, come back when they were told to,
- * and send work that was cut again with the same key.
+ * Callers of a failure run. They send work, wait for the delay of
+ * `Retry-After`, and retry unanswered work under the same idempotency key.
  *
  * @module
  */
@@ -13,7 +13,7 @@
 const MIN_RETRY_DELAY_MS = 200;
 const MAX_RETRY_DELAY_MS = 2_000;
 
-/** Sends one piece of work until it is answered or given up. */
+/** Sends work until it is answered, at most `MAX_ATTEMPTS` times. */
 export async function sendUntilAnswered(
   env: FaultEnvironment,
   caller: Caller,
--- a/src/testing/fault_environment.ts
+++ b/src/testing/fault_environment.ts
@@ -1,6 +1,6 @@
 /**
- * What a failure run acts on and writes down: the processes, the routers that
- * run, and the history of observations.
+ * The environment of a failure run: the processes, the routers and upstreams
+ * that run, and the recorded observations.
  *
  * @module
  */
@@ -16,41 +16,42 @@
 } from "./fleet_processes.ts";
 import type { StartedProcess } from "./processes.ts";
 
-/** The env of a failure run. */
+/** The environment of a failure run. */
 export interface FaultEnvironment extends AsyncDisposable {
   readonly fleet: FleetProcesses;
   readonly history: Observation[];
   readonly random: () => number;
   observe(body: ObservationBody): void;
-  /** Routers that run now, with their processes. */
+  /** Processes of the routers that run now, by id. */
   readonly routers: Map<string, StartedProcess>;
+  /** Processes of the upstreams, by id. */
   readonly upstreams: Map<string, StartedProcess>;
   getRouter(host: string): RouterSpec;
   pickRouter(): string;
   pickUpstream(): string;
   restartUpstream(id: string): void;
-  /** Starts a router again, empty, and waits until it is ready. */
+  /** Restarts a router without state and waits until it is ready. */
   restartRouter(host: string): Promise<void>;
-  /** Sends a control message to the platform's stand-in. */
+  /** Sends a control message to the fake platform. */
   controlPlatform(change: Readonly<Record<string, unknown>>): Promise<void>;
   callOperator(
     host: string,
     path: string,
     body?: unknown,
   ): Promise<{ readonly status: number; readonly value: unknown }>;
-  /** Work whose content crashes engines; empty before the first. */
+  /** Key of the work whose content crashes engines; empty before the first. */
   crashingWork: string;
-  /** Whether callers send the crashing work now. */
+  /** Whether callers currently send the crashing work. */
   isCrashing: boolean;
 }
 
 const READY_TIMEOUT_MS = 20_000;
 const VERSION_POLL_PERIOD_MS = 500;
 
-/** Exit code of a stand-in engine that a request crashed. */
+/** Exit code of a fake engine that a request crashed. */
 const CRASH_EXIT_CODE = 70;
 
-/** Starts a deployment behind relays, applies its files and waits for it. */
+/** Starts a deployment behind relays, applies its files, awaits readiness. */
 export async function startFaultEnvironment(
   example: ExampleName,
   options: {
@@ -84,7 +85,7 @@
     }
   }
 
-  /** An engine that dies of a request is started again, as a supervisor does. */
+  /** Restarts an engine that a request crashed, as a supervisor would. */
   function superviseUpstream(started: StartedProcess): void {
     upstreams.set(started.name, started);
     started.child.once("exit", (code) => {
@@ -176,7 +177,8 @@
     env.callOperator(host, "/ops/status").then(({ value }) => {
       const { configVersion } = value as { configVersion: number };
       env.observe({ kind: "config-seen", host, version: configVersion });
-      // A host that is down or paused says nothing; its faults are observed.
+      // A host that is down or paused does not respond; these failures are
+      // recorded where they are injected.
     }).catch(() => {});
   }
 }
--- a/src/testing/fault_injections.ts
+++ b/src/testing/fault_injections.ts
@@ -1,6 +1,6 @@
 /**
- * The failures that a run brings about. Each begins, lasts and heals, and writes
- * down what an observer must know to judge the history.
+ * The failures that a run can inject. Each function starts a failure, waits and
+ * ends it, and records the observations that the check of the history needs.
  *
  * @module
  */
@@ -12,7 +12,7 @@
 import type { FaultEnvironment } from "./fault_environment.ts";
 import { waitFor } from "./fleet_processes.ts";
 
-/** The failures by name. */
+/** Injects each failure, by name. */
 export const faultInjections = {
   "kill-router": killRouter,
   "pause-router": pauseRouter,
@@ -37,7 +37,7 @@
 /** The name of a failure. */
 export type FaultName = keyof typeof faultInjections;
 
-/** A control message waits so long for a process that is starting, in ms. */
+/** Time-out for a control message to a process that may be starting, in ms. */
 const CONTROL_TIMEOUT_MS = 5_000;
 
 function drawBetween(
@@ -68,7 +68,7 @@
   env.observe({ kind: "host-reachable", host, reachable: true });
 }
 
-/** Nothing passes between the one side and the other, either way. */
+/** Drops all traffic between the selected routers and the others, both ways. */
 async function partition(
   env: FaultEnvironment,
   isInside: (host: string) => boolean,
@@ -94,8 +94,8 @@
 }
 
 async function partitionRouter(env: FaultEnvironment): Promise<void> {
-  const cut = env.pickRouter();
-  await partition(env, (host) => host === cut);
+  const router = env.pickRouter();
+  await partition(env, (host) => host === router);
 }
 
 async function partitionRegion(env: FaultEnvironment): Promise<void> {
@@ -177,7 +177,7 @@
   await env.restartRouter(host);
 }
 
-/** Posts the example's files with one change, on the version given. */
+/** Posts the example's files with one change, based on the version given. */
 async function postConfig(
   env: FaultEnvironment,
   change: {
@@ -205,7 +205,7 @@
   return { ...files, [name]: edit(files[name]!) };
 }
 
-/** Gives one team another weight. */
+/** Changes the weight of one team. */
 function changeWeight(env: FaultEnvironment, files: FileSet): FileSet {
   const weight = 1 + Math.floor(env.random() * 9);
   return editFile(
@@ -215,7 +215,7 @@
   );
 }
 
-/** Declares another model at every engine: each must be given orders. */
+/** Declares another model for every engine, so that each needs orders. */
 function changeModel(env: FaultEnvironment, files: FileSet): FileSet {
   const model = `model-${Math.floor(env.random() * 1e6)}`;
   return editFile(
@@ -253,7 +253,7 @@
   await env.controlPlatform({ down: false });
 }
 
-/** Orders go out, and one host that may give them is paused meanwhile. */
+/** Pauses a host that may be sending orders while models change. */
 async function changeModels(env: FaultEnvironment): Promise<void> {
   const host = env.pickRouter();
   const baseVersion = await getVersion(env, host);
@@ -263,7 +263,7 @@
   await pauseRouter(env);
 }
 
-/** Callers send one content that crashes engines, again and again. */
+/** Lets callers send a content that crashes engines, repeatedly. */
 async function crashUpstreams(env: FaultEnvironment): Promise<void> {
   env.crashingWork = `crash-${Math.floor(env.random() * 1e9)}`;
   env.isCrashing = true;
--- a/src/testing/faults.ts
+++ b/src/testing/faults.ts
@@ -1,6 +1,7 @@
 /**
- * `npm run faults`: real processes under failures that a seed picks, and a check
- * of the history. The last line is one JSON object; exit code 1 on a violation.
+ * `npm run faults`: runs real processes under failures that a seed selects, and
+ * checks the history. The last line of output is a JSON object; the exit code
+ * is 1 on a violation.
  *
  * @module
  */
@@ -35,14 +36,14 @@
   meta: { name: "faults", description: "Checks the promises under failures" },
   args: {
     seed: { type: "string", default: "1", description: "Seed of the run" },
-    rounds: { type: "string", default: "6", description: "Failures to try" },
-    rate: { type: "string", default: "20", description: "Requests a second" },
+    rounds: { type: "string", default: "6", description: "Rounds of faults" },
+    rate: { type: "string", default: "20", description: "Requests per second" },
     routers: { type: "string", default: "6", description: "Routers to start" },
     "port-shift": portShiftArg,
     only: {
       type: "string",
       default: "",
-      description: "Failures to try, comma-separated; all when empty",
+      description: "Failures to inject, comma-separated; all when empty",
     },
     trace: {
       type: "string",
@@ -93,7 +94,7 @@
   if (only === "") return all;
   const wanted = only.split(",");
   const unknown = wanted.find((name) => !all.includes(name as FaultName));
-  if (unknown !== undefined) throw new Error(`No failure named "${unknown}"`);
+  if (unknown !== undefined) throw new Error(`Unknown failure "${unknown}"`);
   return wanted as FaultName[];
 }
 
@@ -115,7 +116,7 @@
   return report(env, { example, counts, options });
 }
 
-/** Failures come in the order that the seed shuffles, two at once at times. */
+/** Injects failures in an order shuffled by the seed, some of them in pairs. */
 async function runFaults(
   env: FaultEnvironment,
   options: RunOptions,
@@ -135,7 +136,7 @@
       names.map((name) => faultInjections[name](env)),
     );
     for (const result of results) {
-      // Two failures together may keep one from being brought about.
+      // One of two simultaneous failures may make injecting the other fail.
       if (result.status === "rejected") console.log(`faults: ${result.reason}`);
     }
     await sleep(RECOVERY_MS);
@@ -153,7 +154,8 @@
   options: RunOptions,
   isStopped: () => boolean,
 ): Promise<void> {
-  // Its own numbers: callers' timing must not change the failures' order.
+  // A separate generator, since the callers' timing must not change the order
+  // of the failures.
   const random = createRandom(options.seed + 1_000_000);
   const caller = createCaller(
     env.fleet.routers.map((router) => router.publicAddress),
--- a/src/testing/file_sets.ts
+++ b/src/testing/file_sets.ts
@@ -1,5 +1,5 @@
 /**
- * Small sets of declarative files for tests.
+ * Small sets of configuration files for tests.
  *
  * @module
  */
@@ -7,7 +7,7 @@
 import { getDigest } from "../core/mod.ts";
 import type { FileSet } from "../config/mod.ts";
 
-/** Files of a deployment with the teams and upstreams named. */
+/** Creates the files of a deployment with the given teams and upstreams. */
 export function createFileSet(
   input: {
     readonly teams?: Readonly<Record<string, number>>;
--- a/src/testing/fleet_processes.ts
+++ b/src/testing/fleet_processes.ts
@@ -1,6 +1,6 @@
 /**
- * A whole deployment as processes on loopback: platform, upstreams, routers, and
- * the example's files applied through `azurestile-apply`.
+ * A whole deployment as processes on loopback: platform, upstreams and routers.
+ * `azurestile-apply` applies the example's files.
  *
  * @module
  */
@@ -32,16 +32,16 @@
 } from "./processes.ts";
 import { type Relay, type RelaySpec, startRelay } from "./relay.ts";
 
-/** The examples that can be run. */
+/** Names of the example deployments. */
 export type ExampleName = "ikeja" | "kvinta";
 
-/** A router's place in the run. */
+/** Id, data centre and addresses of a router. */
 export interface RouterSpec {
   readonly id: string;
   readonly dataCentre: string;
   readonly publicAddress: string;
   readonly peerAddress: string;
-  /** Where it listens itself; differs from `peerAddress` behind a relay. */
+  /** Address where it listens; differs from `peerAddress` behind a relay. */
   readonly peerBindAddress: string;
 }
 
@@ -50,9 +50,9 @@
   readonly routers: number;
   /** Added to every port. */
   readonly portShift: number;
-  /** Puts relays before upstreams and before the routers' peer addresses. */
+  /** Whether relays precede the upstreams and the routers' peer addresses. */
   readonly withRelays?: boolean;
-  /** Called with each line that an upstream writes. */
+  /** Called with each line of an upstream's standard output. */
   readonly onUpstreamLine?: (upstream: string, line: string) => void;
 }
 
@@ -67,18 +67,18 @@
   readonly relays: ReadonlyMap<string, Relay>;
   startRouter(router: RouterSpec): StartedProcess;
   startUpstream(id: string): StartedProcess;
-  /** Where the upstream itself listens, past its relay. */
+  /** Address where the upstream listens, behind its relay if there is one. */
   getDirectAddress(upstream: string): string;
   /** Runs `azurestile-apply` on the example's files. */
   apply(): Promise<void>;
-  /** Waits until every router is ready; throws after the limit. */
+  /** Waits until all routers are ready, each up to the time-out in ms. */
   waitUntilReady(timeoutMs: number): Promise<void>;
 }
 
-/** Key of the operator that the run uses. */
+/** API key of the operator of the run. */
 export const OPERATOR_KEY = "key-of-the-demo-operator";
 
-/** Key of a team in the examples. */
+/** API key of a team in the examples. */
 export function getTeamKey(team: string): string {
   return `key-of-${team}`;
 }
@@ -102,7 +102,7 @@
   const deployment = decodeFileSet(files);
   const deploymentFolder = join(folder, "deployment");
   writeFileSet(deploymentFolder, files);
-  // A key on the command line would show in the list of processes.
+  // A key on the command line would be visible in the list of processes.
   const keyFile = join(folder, "operator.key");
   writeFileSync(keyFile, OPERATOR_KEY, { mode: 0o600 });
   const group = createProcessGroup(folder);
@@ -176,9 +176,9 @@
       const output = readFileSync(join(folder, "apply.log"), "utf8");
       throw new Error(`azurestile-apply failed: ${output}`);
     },
-    async waitUntilReady(limitMs) {
+    async waitUntilReady(timeoutMs) {
       for (const router of routers) {
-        await waitForPath(router, "/readyz", limitMs);
+        await waitForPath(router, "/readyz", timeoutMs);
       }
     },
     async [Symbol.asyncDispose]() {
@@ -189,28 +189,28 @@
   };
 }
 
-/** Asks again until the check holds; throws after the limit in ms. */
+/** Polls until the check succeeds; throws after the time-out in ms. */
 export async function waitFor(
   check: () => Promise<boolean>,
-  limitMs: number,
+  timeoutMs: number,
 ): Promise<void> {
-  const endMs = Date.now() + limitMs;
+  const endMs = Date.now() + timeoutMs;
   while (Date.now() < endMs) {
     if (await check().catch(() => false)) return;
     await sleep(100);
   }
-  throw new Error(`Not so within ${limitMs} ms: ${check}`);
+  throw new Error(`Condition not met within ${timeoutMs} ms: ${check}`);
 }
 
 function waitForPath(
   router: RouterSpec,
   path: string,
-  limitMs: number,
+  timeoutMs: number,
 ): Promise<void> {
   return waitFor(async () => {
     const res = await fetch(`http://${router.publicAddress}${path}`);
     return res.ok;
-  }, limitMs);
+  }, timeoutMs);
 }
 
 function shiftPorts(files: FileSet, shift: number): FileSet {
--- a/src/testing/forward_fixture.ts
+++ b/src/testing/forward_fixture.ts
@@ -1,6 +1,6 @@
 /**
- * An entry host's forwarding on loopback, between a caller and upstreams that
- * answer as the test says, byte by byte.
+ * An entry host's forwarding on loopback, between a caller and upstreams whose
+ * responses the test controls byte by byte.
  *
  * @module
  */
@@ -33,87 +33,87 @@
   createUpstreamEntry,
 } from "./routing_fixture.ts";
 
-/** What a stand-in upstream does with a request. */
+/** What a fake upstream does with a request. */
 export type Behaviour = (
   socket: Socket,
   request: { readonly text: string; readonly id: string },
 ) => void;
 
-/** An answer as the caller got it. */
+/** A response as the caller received it. */
 export interface CallerResponse {
   readonly status: number;
   readonly headers: IncomingHttpHeaders;
   readonly body: string;
-  /** The connection closed before the end of the answer. */
+  /** Whether the connection closed before the end of the response. */
   readonly isTruncated: boolean;
 }
 
-/** A host with its upstreams. */
+/** An entry host with its upstreams. */
 export interface ForwardFixture extends AsyncDisposable {
-  /** Sends a request and waits for its end. */
+  /** Sends a request and waits for its response to end. */
   call(options?: CallOptions): Promise<CallerResponse>;
-  /** Sends a request's head alone; gives what comes first of the answer. */
+  /** Sends only the head of a request; resolves to the first response bytes. */
   sendHead(): Promise<string>;
-  /** Sends a request and closes without a moment between. */
+  /** Sends a request and half-closes the connection immediately. */
   sendAndClose(): Promise<void>;
-  /** Sends a request; gives its connection at once. */
+  /** Sends a request and returns its connection. */
   sendRaw(id: string): Socket;
-  /** Looks at the queue again and again, as an entry host does. */
+  /** Runs scheduling passes periodically, as an entry host does. */
   startSchedulingPasses(): Disposable;
-  /** Reading that counts at the first upstream, in tokens. */
+  /** Prefill tokens that count as outstanding at the first upstream. */
   getReadingTokens(): number;
-  /** Requests that have reached upstreams, by upstream. */
+  /** The upstream of each request that has arrived at one, in order. */
   readonly arrivals: readonly string[];
   readonly log: readonly Decision[];
   readonly controls: Controls;
   readonly recordedPacing: RecordedPacing;
 }
 
-/** What the service's pacing was told. */
+/** What was recorded in the service's pacing. */
 export interface RecordedPacing {
-  /** What upstreams had to read before first events, in tokens. */
+  /** Prefill tokens at the upstream before each first event. */
   readonly firstEvents: number[];
-  /** Whether answers paused past their target. */
+  /** For each inter-event pause, whether it exceeded its target. */
   readonly pauses: boolean[];
 }
 
-/** How busy host and upstreams are; set by tests. */
+/** Simulated load of the host and its upstreams; set by tests. */
 export interface Controls {
   isOverloaded: boolean;
   unreadMs: number;
   /** Requests in flight at each upstream. */
   inFlight: number;
-  /** What each team was given, over its share. */
+  /** Service that each team received, divided by its share. */
   shareUsed: number;
-  /** Called with each decision as it is logged. */
+  /** Called with each decision when it is logged. */
   onDecision(decision: Decision): void;
 }
 
-/** A request of the caller. */
+/** Options of a caller's request. */
 export interface CallOptions {
   readonly id?: string;
   readonly body?: string;
   readonly key?: string;
-  /** Closes the connection after so long, in ms. */
+  /** Time after which the caller closes the connection, in ms. */
   readonly disconnectAfterMs?: number;
 }
 
-/** What an upstream may have to read at once. */
+/** Most prefill tokens that may be outstanding at an upstream. */
 const PREFILL_LIMIT_TOKENS = 14_000;
 
-/** Between two looks at the queue, in ms. */
+/** Interval between two scheduling passes, in ms. */
 const SCHEDULING_PERIOD_MS = 10;
 
-/** A request of this id meets a fault of the program. */
+/** Parsing a request with this id throws, as on a fault of the program. */
 export const INTERNAL_ERROR_ID = "faulty";
 
-/** The product's own header names, for tests. */
+/** A codec with short header names for tests. */
 export function createTestCodec(): CallCodec {
   return {
     tryReadCall(req) {
       const id = req.headers["x-id"];
       if (typeof id !== "string") return undefined;
-      if (id === INTERNAL_ERROR_ID) throw new TypeError("Meant by the test");
+      if (id === INTERNAL_ERROR_ID) throw new TypeError("Thrown by the test");
       return {
         requestId: id,
         callerTimeoutMs: 4_000,
@@ -150,7 +150,7 @@
   };
 }
 
-/** Starts a host before upstreams that behave as given. */
+/** Starts an entry host with upstreams that behave as given. */
 export async function createForwardFixture(
   behaviours: readonly Behaviour[],
   routeChanges: Partial<Route> = {},
--- a/src/testing/measure_config.ts
+++ b/src/testing/measure_config.ts
@@ -1,7 +1,7 @@
 /**
- * `node dist/testing/measure_config.js`: how long an accepted configuration
- * takes until each real router process has it in force, with the platform up
- * and with the platform down right after the acceptance, in turns.
+ * `node dist/testing/measure_config.js`: measures how long an accepted
+ * configuration takes until it is in force at each router process. The platform
+ * stays up in odd rounds and goes down right after the acceptance in even ones.
  *
  * @module
  */
@@ -27,7 +27,7 @@
 const TARGET_MS = 7_000;
 
 const command = defineCommand({
-  meta: { name: "measure-config", description: "Measures time to in force" },
+  meta: { name: "measure-config", description: "Measures propagation" },
   args: {
     rounds: { type: "string", default: "40", description: "Changes to apply" },
     routers: { type: "string", default: "9", description: "Routers to start" },
@@ -78,7 +78,7 @@
   };
 }
 
-/** Milliseconds from the reply "accepted" until each router has it. */
+/** Times from the acceptance until each router has the version, in ms. */
 async function applyOnce(
   fleet: FleetProcesses,
   input: { round: number; isOutage: boolean; random: () => number },
--- a/src/testing/measure_fairness.ts
+++ b/src/testing/measure_fairness.ts
@@ -1,8 +1,8 @@
 /**
- * Measures the fairness gap, the use of the engines and small teams' waits on
- * real processes: every team keeps more requests open than the engines have
- * slots for, half of the teams through a single host each. The last line is one
- * JSON object; exit code 1 when the gap is over the derived bound.
+ * Measures the fairness gap and the use of the engines on real processes. Every
+ * team keeps more requests open than the engines have slots, half of the teams
+ * through a single host each. The last line of output is a JSON object;
+ * the exit code is 1 if the gap exceeds the derived bound.
  *
  * @module
  */
@@ -36,7 +36,7 @@
   readonly service: Service;
   readonly caller: Caller;
   readonly random: () => number;
-  /** Tokens of ended answers by team. */
+  /** Tokens of completed responses, by team. */
   readonly served: Map<string, number>;
   readonly ends: Map<string, number>;
   isOver: boolean;
@@ -172,7 +172,7 @@
   };
 }
 
-/** Streams that run at the engines, as they say a second late. */
+/** Number of streams that run at the engines, whose reports lag by 1 s. */
 async function countRunning(addresses: readonly string[]): Promise<number> {
   const loads = await Promise.all(addresses.map(async (address) => {
     const res = await fetch(`http://${address}/load`);
--- a/src/testing/measure_leaving.ts
+++ b/src/testing/measure_leaving.ts
@@ -1,7 +1,8 @@
 /**
- * `node dist/testing/measure_leaving.js`: how long after an upstream began to
- * leave it still gets new work, in real processes under traffic. It leaves by
- * its own word and by the platform's list, which lags by 2 s, in turns.
+ * `node dist/testing/measure_leaving.js`: measures how long a leaving upstream
+ * still gets new work, in real processes under traffic. The upstream leaves by
+ * its own report in even rounds, and by the platform's list of machines, which
+ * lags by 2 s, in odd rounds.
  *
  * @module
  */
@@ -21,12 +22,13 @@
 const RETURN_MS = 6_000;
 const BOUND_MS = 5_000;
 
+/** What announces the leave: the upstream's own report or the machine list. */
 type LeaveSource = "word" | "list";
 
 const command = defineCommand({
-  meta: { name: "measure-leaving", description: "Measures late new work" },
+  meta: { name: "measure-leaving", description: "Measures work sent too late" },
   args: {
-    rounds: { type: "string", default: "10", description: "Upstreams to take" },
+    rounds: { type: "string", default: "10", description: "Leaves to measure" },
     seed: { type: "string", default: "1", description: "Seed of the run" },
     rate: { type: "string", default: "60", description: "Requests a second" },
     "port-shift": portShiftArg,
@@ -79,7 +81,7 @@
   });
 }
 
-/** Milliseconds from the beginning of the leaving to the last new work. */
+/** Time from the start of leaving until the last new work, in ms. */
 async function leaveOnce(
   fleet: FleetProcesses,
   source: LeaveSource,
--- a/src/testing/pages_test.ts
+++ b/src/testing/pages_test.ts
@@ -1,5 +1,5 @@
 /**
- * Tests that the pages name what there is: folders, files and metrics.
+ * Tests that the documentation names the folders, files and metrics that exist.
  *
  * @module
  */
@@ -16,13 +16,13 @@
   return readFileSync(join(ROOT, file), "utf8");
 }
 
-/** Names of the project's own metrics in a text. */
+/** Returns the names of the project's metrics in a text. */
 function getMetrics(text: string): readonly string[] {
   const names = text.match(/azurestile_[a-z0-9_]+/g) ?? [];
   return [...new Set(names)];
 }
 
-test("the contributors' page has each folder of the sources", () => {
+test("the contributors' page lists every folder of the sources", () => {
   const page = read("CONTRIBUTING.md");
   const folders = readdirSync(join(ROOT, "src"), { withFileTypes: true })
     .filter((entry) => entry.isDirectory() && entry.name !== "generated")
@@ -38,7 +38,7 @@
   deepStrictEqual(missing, []);
 });
 
-test("the operators' page names metrics that exist, and every one of them", () => {
+test("the operators' page names every metric, and only metrics that exist", () => {
   const sources = ["src/router/metrics.ts", "src/entry/metrics.ts"];
   const declared = sources.flatMap((file) => [
     ...read(file).matchAll(/(?:name: |addGauge\(\s*)"(azurestile_\w+)"/g),
--- a/src/testing/platform_view_checks.ts
+++ b/src/testing/platform_view_checks.ts
@@ -1,6 +1,6 @@
 /**
- * What hosts must know of the platform's tables, checked from outside while a
- * fleet runs.
+ * Checks, while a fleet runs, that hosts learn of changes of the platform's
+ * tables within the bound and never revert to older state.
  *
  * @module
  */
@@ -12,48 +12,48 @@
 /** A change that the platform has accepted. */
 interface AcceptedChange {
   readonly atMs: number;
-  /** Number of the change in its table, from 1. */
+  /** Number of the change in its table, counted from 1. */
   readonly number: number;
 }
 
-/** Ids of the upstreams that a host has had. */
+/** Ids of the upstreams that a host has ever had as ready. */
 interface SeenUpstreams {
   readonly ready: Set<string>;
-  /** Of these, those that it has not had for a while. */
+  /** Those of them that have left the host's ready upstreams since. */
   readonly gone: Set<string>;
 }
 
 /** The checks of one fleet. */
 export interface PlatformViewChecks {
-  /** Each broken promise as one sentence with its time. */
+  /** Each violation, as a sentence with its time. */
   readonly violations: readonly string[];
-  /** Longest time in which a change was not known where it had to be, in ms. */
+  /** Longest time from its acceptance that a host lacked a change, in ms. */
   getWorstDelayMs(): number;
   countChanges(): number;
-  /** Operators put a new configuration in place. */
+  /** Writes a new configuration, as operators do. */
   changeConfig(): void;
-  /** An upstream registers, and one leaves. */
+  /** Registers a new upstream and removes the oldest one. */
   changeUpstreams(): void;
-  /** What the platform has lost by its return is written again. */
+  /** Writes the tables again, after a restore has lost the newest changes. */
   rewriteTables(): void;
-  /** An upstream that is registered says to one host that it leaves. */
+  /** Lets a ready upstream report to one host that it is leaving. */
   markUpstreamLeaving(host: string): void;
-  /** That no host goes back. */
+  /** Checks that no host reverts to an older configuration or upstream. */
   checkNoReversion(): void;
-  /** That every host knows what was accepted `BOUND_MS` before. */
+  /** Checks that hosts have all changes older than `PROPAGATION_BOUND_MS`. */
   checkPropagation(): void;
 }
 
 /**
- * A configuration is in force, and a new upstream known, so soon after its
- * acceptance, in ms.
+ * Time after its acceptance within which a configuration must be in force, and
+ * a new upstream ready, at every host, in ms.
  */
 export const PROPAGATION_BOUND_MS = 2_500;
 
-/** Upstreams that are registered at a time. */
+/** Number of upstreams that are registered at any time. */
 const REGISTERED_UPSTREAMS = 3;
 
-/** Makes the checks; nothing was accepted yet. */
+/** Creates the checks; no change has been accepted yet. */
 export function createPlatformViewChecks(
   fleet: PlatformViewFleet,
 ): PlatformViewChecks {
@@ -85,7 +85,7 @@
     const lateMs = fleet.nowMs() - missing.atMs;
     worstDelayMs = Math.max(worstDelayMs, lateMs);
     if (lateMs <= PROPAGATION_BOUND_MS) return;
-    report(`${name} ${missing.number} is unknown after ${lateMs} ms`);
+    report(`${name} ${missing.number} is missing after ${lateMs} ms`);
   }
 
   function putUpstreams(): void {
@@ -103,7 +103,7 @@
     );
   }
 
-  /** An upstream that is not registered any more, and was gone, stays gone. */
+  /** Checks that an upstream which has left and is unregistered stays away. */
   function checkUpstreams(host: string, view: PlatformView): void {
     const { ready, gone } = getOrCreate(seenUpstreams, view, createSeen);
     const now = getReadyIds(view);
@@ -111,7 +111,7 @@
     for (const id of ready) if (!now.has(id)) gone.add(id);
     for (const id of now) {
       if (gone.has(id) && !registered.includes(id)) {
-        report(`${host} went back to ${id}`);
+        report(`${host} reverted to ${id}`);
       }
       ready.add(id);
     }
@@ -138,7 +138,7 @@
       leaving.add(entry.id);
       view!.markLeaving(entry);
       const isGone = !getReadyIds(view!).has(entry.id);
-      if (!isGone) report(`${host} sends on to ${entry.id}, which leaves`);
+      if (!isGone) report(`${host} still uses ${entry.id}, which leaves`);
     },
     checkNoReversion() {
       for (const host of fleet.hosts) {
@@ -146,7 +146,7 @@
         if (view === undefined) continue;
         const { configVersion } = view.getInputs();
         const isBack = configVersion < (highestVersions.get(view) ?? 0);
-        if (isBack) report(`${host} went back to ${configVersion}`);
+        if (isBack) report(`${host} reverted to ${configVersion}`);
         highestVersions.set(view, configVersion);
         checkUpstreams(host, view);
       }
--- a/src/testing/platform_view_fleet.ts
+++ b/src/testing/platform_view_fleet.ts
@@ -1,7 +1,7 @@
 /**
- * Entry hosts with the real knowledge of the platform's tables, in virtual time.
- * Hosts can be killed and started again, cut from one another, and lose a part of
- * their datagrams.
+ * Entry hosts with real views of the platform's tables, in virtual time. Hosts
+ * can be killed and restarted, partitioned from one another, and lose a share
+ * of their datagrams.
  *
  * @module
  */
@@ -25,54 +25,55 @@
   type Treatment,
 } from "./fake_tables.ts";
 
-/** A logged decision and its host. */
+/** A logged decision and the host that logged it. */
 export interface LoggedDecision {
   readonly host: string;
   readonly decision: Decision;
 }
 
-/** What a fleet is made of. */
+/** Size and behaviour of a fleet. */
 export interface FleetOptions {
   readonly hosts: number;
   readonly seed?: number;
-  /** False: each host knows only what the platform tells it. */
+  /** Whether hosts distribute tables to one another; default true. */
   readonly distributesTables?: boolean;
 }
 
-/** The fleet. */
+/** Entry hosts with a fake platform, in virtual time. */
 export interface PlatformViewFleet {
   readonly tables: FakeTables;
   /** Peer addresses. */
   readonly hosts: readonly string[];
   nowMs(): number;
-  /** How the hosts' fetches from one another ended. */
+  /** Outcomes of the hosts' fetches from one another. */
   readonly fetches: readonly FetchOutcome[];
-  /** What the hosts have logged, in order. */
+  /** Decisions that the hosts have logged, in order. */
   readonly loggedDecisions: readonly LoggedDecision[];
-  /** What the host knows; `undefined` while it is down. */
+  /** The host's view of the tables; `undefined` while the host is down. */
   tryGetView(host: string): PlatformView | undefined;
-  /** Configuration in force at each host that is up; 0 for none. */
+  /** Configuration version in force at each running host; 0 for none. */
   getVersions(): readonly number[];
+  /** Advances the virtual time, in ms. */
   run(ms: number): Effect.Effect<void>;
-  /** Starts the host anew, knowing nothing. */
+  /** Starts the host with an empty view. */
   startHost(host: string): Effect.Effect<void>;
   killHost(host: string): Effect.Effect<void>;
   /** Starts all hosts. */
   readonly start: Effect.Effect<void>;
-  /** Cuts the host from all others, or ends that. */
+  /** Begins or ends a partition of the host from all others. */
   setPartitioned(host: string, isPartitioned: boolean): void;
-  /** Share of the datagrams that is lost from now on. */
+  /** Sets the share of datagrams that are lost from now on. */
   setDatagramLoss(rate: number): void;
   treatAll(treatment: Treatment): void;
 }
 
-/** From one host to another, between regions, in ms. */
+/** Latency between two hosts of different regions, in ms. */
 const LINK_LATENCY_MS = 20;
 
-/** Until a host that is gone no longer counts as alive at the others, in ms. */
+/** Time until the other hosts consider an unreachable host dead, in ms. */
 const FAILURE_DETECTION_MS = 800;
 
-/** Until a fetch from a host that does not answer is given up, in ms. */
+/** Time-out of a fetch from a host that does not respond, in ms. */
 const FETCH_TIMEOUT_MS = 1_500;
 
 const STEP_MS = 10;
@@ -82,7 +83,10 @@
   readonly fiber: Fiber.Fiber<never>;
 }
 
-/** Makes the fleet, no host started; give effects that use it to `runFleet`. */
+/**
+ * Creates a fleet in which no host has started. Effects that use the fleet run
+ * in `runFleet`.
+ */
 export function createPlatformViewFleet(
   options: FleetOptions,
 ): PlatformViewFleet {
@@ -111,7 +115,7 @@
   const isLongAgo = (sinceMs: number | undefined) =>
     sinceMs !== undefined && nowMs() - sinceMs > FAILURE_DETECTION_MS;
 
-  /** Hosts that are alive as far as the host knows, itself included. */
+  /** Hosts that the host considers alive, including itself. */
   function getAlive(host: string): readonly string[] {
     const isIsolated = isLongAgo(isolatedSinceMs.get(host));
     return hosts.filter((each) =>
@@ -121,7 +125,7 @@
     );
   }
 
-  /** To all other hosts, one link later. */
+  /** Sends the fact to all other hosts, which receive it one latency later. */
   function broadcast(from: string, fact: Fact): void {
     if (!distributesTables) return;
     for (const to of hosts) {
@@ -187,7 +191,7 @@
     agenda.runUntil(nowMs() + STEP_MS);
     return TestClock.adjust(STEP_MS);
   }).pipe(
-    // Fetched tables arrive as promises.
+    // Fetched tables arrive as promises, which need the event loop to settle.
     Effect.andThen(Effect.promise(() => setImmediate())),
   );
 
--- a/src/testing/platform_view_soak.ts
+++ b/src/testing/platform_view_soak.ts
@@ -1,6 +1,6 @@
 /**
- * A minute of troubles over hosts with the real knowledge of the platform's
- * tables, while operators and upstreams change things. In virtual time.
+ * A soak test in virtual time: a minute of random faults over hosts with real
+ * views of the platform's tables, while configurations and upstreams change.
  *
  * @module
  */
@@ -12,47 +12,47 @@
 import { createPlatformViewChecks } from "./platform_view_checks.ts";
 import { createPlatformViewFleet, runFleet } from "./platform_view_fleet.ts";
 
-/** What is played. */
+/** Options of one run. */
 export interface SoakOptions {
   readonly seed: number;
   readonly hosts: number;
-  /** False: hosts tell each other nothing; for showing that checks can fail. */
+  /** Whether hosts distribute tables; false shows that the checks can fail. */
   readonly distributesTables?: boolean;
 }
 
-/** What became of the promises. */
+/** Result of one run. */
 export interface SoakResult {
   readonly seed: number;
-  /** Each broken promise as one sentence with its time. */
+  /** Each violation, as a sentence with its time. */
   readonly violations: readonly string[];
-  /** Longest time in which a change was not known where it had to be, in ms. */
+  /** Longest time from its acceptance that a host lacked a change, in ms. */
   readonly worstDelayMs: number;
-  /** Calls to the platform while there was no trouble. */
+  /** Calls to the platform while no fault was active. */
   readonly steadyStateCalls: number;
   /**
-   * What the readers need in that time: a call a second for each table, and one
+   * Calls that the readers need in that time: one per second and table, and one
    * more for each change.
    */
   readonly neededCalls: number;
 }
 
-/** After the end of a trouble all hosts count as reachable again, in ms. */
+/** Time after a fault at which all hosts count as reachable again, in ms. */
 const RECOVERY_MS = 4_000;
 
 const SIMULATED_MS = 60_000;
 const STEP_MS = 100;
 
-/** After its return all is written again at the platform within so long, in ms. */
+/** Most time from a restore until the lost changes are written again, in ms. */
 const MAX_REWRITE_DELAY_MS = 1_000;
 
-/** In so many steps an upstream says that it leaves. */
+/** Probability that an upstream reports in a step that it is leaving. */
 const LEAVE_PROBABILITY = 0.01;
 
-/** Between two changes of a table, at most, in ms. */
+/** Most time between two changes of a table, in ms. */
 const MAX_CONFIG_INTERVAL_MS = 2_500;
 const MAX_UPSTREAM_INTERVAL_MS = 3_000;
 
-/** Plays one seed. */
+/** Runs one seed. */
 export async function runSoak(options: SoakOptions): Promise<SoakResult> {
   const fleet = createPlatformViewFleet(options);
   const random = createRandom(options.seed);
@@ -74,7 +74,7 @@
 
   const getHealthyMs = () => fleet.nowMs() - lastExcusedMs;
 
-  /** What the platform has lost is written again a moment after its return. */
+  /** Writes lost changes again, a random time after a restore. */
   function rewriteAfterRestore(): void {
     const nowMs = fleet.nowMs();
     if (faults.countRestores() > restores) {
@@ -86,7 +86,7 @@
     checks.rewriteTables();
   }
 
-  /** What a step without any trouble cost. */
+  /** Counts the calls of a step, unless a fault is or was recently active. */
   function countCalls(calls: number, changes: number): void {
     if (faults.hasAny() || getHealthyMs() < 2 * RECOVERY_MS) return;
     steadyStateCalls += calls;
@@ -129,7 +129,7 @@
   };
 }
 
-/** Makes what runs the action now and then, first at once. */
+/** Creates a function that runs the action at random times, first at once. */
 function createRandomRepeater(
   maxIntervalMs: number,
   act: () => void,
--- a/src/testing/processes.ts
+++ b/src/testing/processes.ts
@@ -1,6 +1,6 @@
 /**
- * Starts and ends the processes of a demo or a failure run. The launcher is
- * scaffolding: what ships starts no process.
+ * Starts and ends the processes of demos and failure runs. Only used in
+ * development: the shipped programs start no processes.
  *
  * @module
  */
@@ -27,7 +27,7 @@
   readonly onLine?: (line: string) => void;
 }
 
-/** The processes of one run; disposing ends all of them. */
+/** The processes of one run; disposing the group ends all of them. */
 export interface ProcessGroup extends AsyncDisposable {
   /** Starts a compiled program of this repository. */
   start(
@@ -42,10 +42,10 @@
 
 const EXIT_TIMEOUT_MS = 5_000;
 
-/** What a shell reports of a program that an interrupt ended. */
+/** Exit code that shells report for a program ended by SIGINT (128 + 2). */
 const INTERRUPTED_EXIT_CODE = 130;
 
-/** Makes an empty group; output goes to one file a process in the folder. */
+/** Creates an empty group; each process logs to its own file in the folder. */
 export function createProcessGroup(folder: string): ProcessGroup {
   const running = new Set<StartedProcess>();
 
@@ -64,7 +64,7 @@
     if (child.exitCode !== null || child.signalCode !== null) return;
     const exited = once(child, "exit");
     child.kill(signal);
-    // A stopped process takes no SIGTERM; SIGKILL ends it all the same.
+    // A process that SIGSTOP paused ignores SIGTERM, but SIGKILL ends it.
     const late = sleep(EXIT_TIMEOUT_MS, "late", { ref: false });
     if (await Promise.race([exited, late]) !== "late") return;
     child.kill("SIGKILL");
@@ -76,8 +76,8 @@
       const file = fileURLToPath(new URL(`../${program}`, import.meta.url));
       const child = spawn(process.execPath, [file, ...args], {
         stdio: ["ignore", "pipe", "pipe"],
-        // In a group of its own: the terminal's interrupt comes to the launcher
-        // alone, which ends the run in order.
+        // A process group of its own, so that the terminal's interrupt reaches
+        // only the launcher, which shuts the run down in order.
         detached: true,
       });
       const output = createWriteStream(join(folder, `${name}.log`), {
@@ -95,7 +95,8 @@
     end,
     getAll: () => [...running],
     async [Symbol.asyncDispose]() {
-      // Nothing is in flight any more, and a router's drain takes its time.
+      // SIGKILL, since no request is in flight any more and a drain of the
+      // routers would only delay the end of the run.
       await Promise.all([...running].map((started) => end(started, "SIGKILL")));
       process.off("exit", killAll);
     },
@@ -103,8 +104,8 @@
 }
 
 /**
- * Handles interrupts: the first calls `onFirst`, the second ends this process,
- * and with it all that it started.
+ * Handles SIGINT and SIGTERM: the first calls `onFirst`, the second exits this
+ * process, which ends all processes that it started.
  */
 export function handleInterrupts(onFirst: () => void): void {
   let wasInterrupted = false;
--- a/src/testing/relay.ts
+++ b/src/testing/relay.ts
@@ -1,7 +1,7 @@
 /**
- * A relay in the path of connections and datagrams, to cut them or to let them
- * go silent: a silent connection stays open and carries nothing, while new ones
- * work, as when something between the two ends has lost track of it.
+ * A TCP and UDP relay that can block traffic or stall connections. A stalled
+ * connection stays open but carries no data, while new connections work, as
+ * when a middlebox has lost the state of the connection.
  *
  * @module
  */
@@ -10,34 +10,35 @@
 import { createSocket, type Socket as DatagramSocket } from "node:dgram";
 import { connect, createServer, type Socket } from "node:net";
 
-/** A relay of one address. */
+/** A relay for one address. */
 export interface Relay extends AsyncDisposable {
-  /** Open connections carry nothing from now on; new ones work. */
+  /** Open connections carry no data from now on; new ones work. */
   stallOpenConnections(): void;
-  /** Cuts and refuses what comes from the sources that the check names. */
+  /** Closes connections and drops datagrams of the sources that are blocked. */
   setBlocked(isBlocked: (source: string) => boolean): void;
 }
 
-/** What a relay connects. */
+/** Addresses that a relay connects. */
 export interface RelaySpec {
-  /** Address that others dial. */
+  /** Address where the relay listens. */
   readonly from: string;
-  /** Address where the process listens. */
+  /** Address where the process behind the relay listens. */
   readonly to: string;
-  /** Relays datagrams too, for a router's peers. */
+  /** Whether to relay datagrams too, as needed between routers. */
   readonly datagrams: boolean;
-  /** Source of a datagram by its address. */
+  /** Host that sends datagrams from the address; empty if unknown. */
   getDatagramSource(address: string): string;
 }
 
 interface Connection {
   readonly client: Socket;
   readonly target: Socket;
+  /** Id of the connecting host; empty until a chunk contains one. */
   source: string;
   isStalled: boolean;
 }
 
-/** A peer's first frame holds its host's id in plain bytes. */
+/** The first frame of a peer contains its host's id as plain bytes. */
 const HOST_ID_IN_HELLO = /entry-\d+/;
 
 const neverBlocked = () => false;
@@ -71,7 +72,7 @@
     target.on("data", (chunk) => forward(connection, client, chunk));
     for (const socket of [client, target]) {
       socket.on("error", () => close(connection));
-      // A silent connection hides the other end's closing as well.
+      // A stalled connection also hides that the other end has closed.
       socket.on("close", () => {
         if (!connection.isStalled) close(connection);
       });
@@ -104,7 +105,7 @@
   };
 }
 
-/** One socket for each source, so that replies find their way back. */
+/** Relays datagrams, with one socket per source for the way back. */
 async function relayDatagrams(
   spec: RelaySpec,
   isBlocked: (source: string) => boolean,
--- a/src/testing/routing_fixture.ts
+++ b/src/testing/routing_fixture.ts
@@ -7,7 +7,7 @@
 import type { UpstreamEntry } from "../discovery/mod.ts";
 import type { Route, RoutingConfig } from "../routing/mod.ts";
 
-/** A route that takes prompts, changed as asked. */
+/** Creates a route for prompts, with the changes given. */
 export function createRoute(changes: Partial<Route> = {}): Route {
   return {
     name: "drafts",
@@ -27,7 +27,7 @@
   };
 }
 
-/** A configuration with one team, changed as asked. */
+/** Creates a configuration with one team, with the changes given. */
 export function createRoutingConfig(
   changes: Partial<RoutingConfig> = {},
 ): RoutingConfig {
@@ -51,7 +51,7 @@
   };
 }
 
-/** An upstream that is ready, changed as asked. */
+/** Creates a ready upstream, with the changes given. */
 export function createUpstreamEntry(
   changes: Partial<UpstreamEntry> = {},
 ): UpstreamEntry {
--- a/src/testing/run_args.ts
+++ b/src/testing/run_args.ts
@@ -1,10 +1,10 @@
 /**
- * Options that the programs of runs on real processes share.
+ * Command-line options shared by the programs that run real processes.
  *
  * @module
  */
 
-/** Moves every port, so that runs can go on side by side. */
+/** Shifts every port, so that several runs can execute concurrently. */
 export const portShiftArg = {
   type: "string",
   default: "0",
--- a/src/testing/simulated_faults.ts
+++ b/src/testing/simulated_faults.ts
@@ -1,8 +1,8 @@
 /**
- * Troubles of the platform and of hosts, drawn by a seed. They come in series and
- * overlap. Where two of a kind meet a host (kills, cuts) or the fleet (lost
- * datagrams), the end of the first ends both for it; what they excuse lasts until
- * the second is over.
+ * Random faults of the platform and of hosts. They come in series and overlap.
+ * If two faults of a kind affect a host (kills, partitions) or the fleet (lost
+ * datagrams) at once, the end of the first also ends the effect of the second;
+ * `hasDelayingFault` stays true until the second is over.
  *
  * @module
  */
@@ -14,27 +14,29 @@
 import type { PlatformViewFleet } from "./platform_view_fleet.ts";
 
 /**
- * `away`: the platform answers no host. `one-table`: it answers no host that asks
- * for one of the tables. `turned-away`: it treats a third of the hosts so.
- * `history-dropped`: watches hear nothing for a second, then what happened
- * meanwhile is forgotten. `returned`: the platform answers no host, and comes back
- * from an older copy of itself.
+ * `outage`: the platform serves no host. `table-outage`: it does not serve one
+ * of the tables. `turned-away`: it does not serve a third of the hosts.
+ * `history-dropped`: watches report nothing for a second, after which the
+ * history up to that time is lost. `returned`: the platform serves no host, and
+ * is then restored from an older backup. `killed`: hosts crash and restart.
+ * `cut`: hosts are partitioned from all others. `datagram-loss`: a share of the
+ * datagrams is lost.
  */
 type FaultKind =
-  | "away"
-  | "one-table"
+  | "outage"
+  | "table-outage"
   | "turned-away"
   | "history-dropped"
   | "returned"
   | "killed"
   | "cut"
-  | "lossy";
+  | "datagram-loss";
 
-/** Each is drawn as often as it stands here. */
+/** A kind is drawn in proportion to how often it is listed. */
 const faultKinds: readonly FaultKind[] = [
-  "away",
-  "away",
-  "one-table",
+  "outage",
+  "outage",
+  "table-outage",
   "turned-away",
   "turned-away",
   "history-dropped",
@@ -42,51 +44,53 @@
   "returned",
   "killed",
   "cut",
-  "lossy",
+  "datagram-loss",
 ];
 
 interface Fault {
   readonly kind: FaultKind;
   readonly untilMs: number;
-  /** Hosts that it meets. */
+  /** Hosts that the fault affects. */
   readonly hosts: readonly string[];
-  /** Tables of the platform that it meets, and how their hosts are treated. */
+  /** Tables that are not served, and how calls for them fail. */
   readonly tables: readonly TableName[];
   readonly treatment: Treatment;
 }
 
-/** The troubles of one fleet. */
+/** The faults of one fleet over time. */
 export interface FaultSchedule {
-  /** How often the platform has come back from a copy. */
+  /** Number of times that the platform was restored from a backup. */
   countRestores(): number;
-  /** Begins what is due by now and ends what is over. */
+  /** Begins the fault that is due and ends those that are over. */
   readonly update: Effect.Effect<void>;
-  /** Whether there is any, hosts that are turned away included. */
+  /** Whether any fault is active, including `turned-away`. */
   hasAny(): boolean;
   /**
-   * Whether there is one that excuses a host for lacking a change. That the
-   * platform turns some hosts away excuses nothing: the others tell them.
+   * Whether a fault is active that may delay a change beyond the bound. It must
+   * hold for rejected hosts (`turned-away`), since other hosts inform them.
    */
   hasDelayingFault(): boolean;
 }
 
-/** Until the first trouble, in ms: all hosts have started by then. */
+/** Earliest start of the first fault, in ms: all hosts have started by then. */
 const FIRST_FAULT_MS = 4_000;
 
-/** Between two troubles of a series, and beside it between two series, in ms. */
+/** Most time between two faults of a series, in ms. */
 const MAX_INTERVAL_MS = 4_000;
+/** Added between two series of faults, in ms. */
 const PAUSE_DURATION_MS = 16_000;
 
-/** How often a series ends. */
+/** Probability that a series ends after a fault. */
 const PAUSE_PROBABILITY = 0.35;
 
+/** Share of datagrams that is lost during `datagram-loss`. */
 const DATAGRAM_LOSS_RATE = 0.1;
 
-/** How old a copy is from which the platform comes back, in ms. */
+/** Minimum and range of the age of a restored backup, in ms. */
 const MIN_BACKUP_AGE_MS = 500;
 const BACKUP_AGE_RANGE_MS = 7_000;
 
-/** Makes the troubles; none has begun. */
+/** Creates the schedule; no fault is active yet. */
 export function createFaultSchedule(
   fleet: PlatformViewFleet,
   random: Random,
@@ -102,7 +106,7 @@
     );
   }
 
-  /** Where troubles overlap, the newest says how a host is treated. */
+  /** Where faults overlap, the newest decides how a host is treated. */
   function applyTreatments(): void {
     fleet.treatAll("served");
     for (const { hosts, tables, treatment } of activeFaults) {
@@ -120,7 +124,7 @@
       activeFaults.add(fault);
       applyTreatments();
       if (kind === "history-dropped") fleet.tables.pauseWatchesUntil(untilMs);
-      if (kind === "lossy") fleet.setDatagramLoss(DATAGRAM_LOSS_RATE);
+      if (kind === "datagram-loss") fleet.setDatagramLoss(DATAGRAM_LOSS_RATE);
       for (const host of hosts) {
         if (kind === "killed") yield* fleet.killHost(host);
         if (kind === "cut") fleet.setPartitioned(host, true);
@@ -135,7 +139,7 @@
       applyTreatments();
       if (kind === "history-dropped") fleet.tables.dropHistory();
       if (kind === "returned") restoreBackup();
-      if (kind === "lossy") fleet.setDatagramLoss(0);
+      if (kind === "datagram-loss") fleet.setDatagramLoss(0);
       for (const host of hosts) {
         const isDown = fleet.tryGetView(host) === undefined;
         if (kind === "killed" && isDown) yield* fleet.startHost(host);
@@ -183,8 +187,8 @@
   kind: FaultKind,
   table: TableName,
 ): readonly TableName[] {
-  if (kind === "one-table") return [table];
-  const affectsAllTables = kind === "away" || kind === "turned-away" ||
+  if (kind === "table-outage") return [table];
+  const affectsAllTables = kind === "outage" || kind === "turned-away" ||
     kind === "returned";
   return affectsAllTables ? TABLE_NAMES : [];
 }
@@ -201,8 +205,8 @@
   kind: FaultKind,
   random: Random,
 ): readonly string[] {
-  if (kind === "lossy" || kind === "history-dropped") return [];
-  if (["away", "one-table", "returned"].includes(kind)) return hosts;
+  if (kind === "datagram-loss" || kind === "history-dropped") return [];
+  if (["outage", "table-outage", "returned"].includes(kind)) return hosts;
   const isAll = kind === "killed" && random() < 0.3;
   const count = Math.ceil(hosts.length / (isAll ? 1 : 3));
   const first = Math.floor(random() * hosts.length);
--- a/src/testing/slot_owner_fixture.ts
+++ b/src/testing/slot_owner_fixture.ts
@@ -1,5 +1,5 @@
 /**
- * A slot owner for tests, with what it sent.
+ * A slot owner for tests that records the messages it sends.
  *
  * @module
  */
@@ -7,13 +7,13 @@
 import { createSlotOwner, tryPickLowestCounter } from "../slots/mod.ts";
 import type { Grant, Recall } from "../slots/mod.ts";
 
-/** Makes the owner of "engine-1"; hosts named "far…" are of another region. */
+/** Creates the owner of "engine-1"; "far…" hosts are in another region. */
 export function createOwnerFixture(limit: number | (() => number)) {
   const grants: { to: string; grant: Grant }[] = [];
   const recalls: { to: string; recall: Recall }[] = [];
   const counters = new Map<string, number>();
   const unreachable = new Set<string>();
-  /** Slots that the adaptive limit takes for in flight. */
+  /** Slots whose requests the adaptive limit counts as in flight. */
   const inFlight = new Set<number>();
   const owner = createSlotOwner("engine-1", {
     nowMs: () => 1_000,
--- a/src/testing/traffic.ts
+++ b/src/testing/traffic.ts
@@ -1,6 +1,7 @@
 /**
  * Mixed traffic of a deployment's teams: long survey streams, short chats,
- * bookings that run at most once, and reads. A few large teams send most.
+ * bookings that run at most once, and reads. Teams send in proportion to their
+ * weights, so a few large teams send most of it.
  *
  * @module
  */
@@ -10,13 +11,13 @@
 import type { Deployment, Team } from "../types.ts";
 import type { CallerRequest } from "./caller.ts";
 
-/** Numbers from 0 up to 1, the same for the same seed. */
+/** Creates a generator of numbers in [0, 1) that is determined by the seed. */
 export function createRandom(seed: number): () => number {
   const generator = xoroshiro128plus(seed);
   return () => (generator.next() >>> 0) / 2 ** 32;
 }
 
-/** Makes the requests of a run, the same for the same seed. */
+/** Creates a source of requests that is determined by the random numbers. */
 export function createRequestSource(
   deployment: Deployment,
   random: () => number,
@@ -77,7 +78,7 @@
   };
 }
 
-/** Calls `send` at the rate a second, for so many seconds; waits for all. */
+/** Calls `send` at the given rate for the duration; waits for all calls. */
 export async function sendAtRate(
   send: () => Promise<void>,
   options: { perSecond: number; seconds: number; isStopped: () => boolean },
