--- a/src/fleet/links.ts
+++ b/src/fleet/links.ts
@@ -1,10 +1,10 @@
 /**
- * The links that this host dials: opened when something is to be sent, closed
- * when unused for long. One fiber for each link.
+ * The links that this host dials. A link is opened when something is to be sent
+ * and closed after a time without use. Each link runs in one fiber.
  *
- * A full mesh of 390 hosts would be 152,100 links, whose pings alone exceed the
- * control budget; a host needs only the owners that it asks and the parents of
- * its counters.
+ * A full mesh of 390 hosts would have 152,100 links, whose heartbeats alone
+ * exceed the budget for control traffic. A host needs links only to the owners
+ * of the upstreams that it uses and to the parents of its counters.
  *
  * @module
  */
@@ -17,42 +17,45 @@
 import type { PeerLink } from "../peers/mod.ts";
 import type { FleetHost } from "./types.ts";
 
-/** A link that nobody used for so long is closed, in ms. */
+/** Time without use after which a link is closed, in ms. */
 export const LINK_IDLE_MS = 60_000;
 
-/** What was sent so lately may still be answered: counters, for one. */
-const LINK_BUSY_MS = 5_000;
+/**
+ * Time after the last message in which the peer may still answer, for example a
+ * counter report, in ms. The link is kept open meanwhile.
+ */
+const RECENT_USE_MS = 5_000;
 
-/** What the links tell the fleet. */
+/** Events of the links, and what they ask of the fleet. */
 export interface LinksHost {
   onOpen(peer: string): void;
   onFrame(peer: string, frame: Frame): void;
-  /** Whether the peer owns slots that are used or asked for here. */
+  /** Whether the peer owns upstreams that this host uses or waits for. */
   isNeeded(peer: string): boolean;
 }
 
-/** The links that this host dials. */
+/** The set of links that this host dials. */
 export interface Links {
-  /** Opens the link unless it is open or opening. */
+  /** Opens the link unless it is open or being opened. */
   ensure(peer: string): void;
   isOpen(peer: string): boolean;
-  /** Sends over an open link; false without one. */
+  /** Sends over an open link; returns false without one. */
   trySend(peer: string, frame: Frame): boolean;
-  /** Closes links to dead hosts, to old addresses, and idle ones. */
+  /** Closes links to dead hosts, links to outdated addresses and idle links. */
   reconcile(): void;
   getCount(): number;
 }
 
-interface Entry {
+interface LinkEntry {
   readonly link: PeerLink;
   readonly address: string;
   readonly fiber: Fiber.Fiber<never>;
   lastUsedMs: number;
 }
 
-/** Makes the set of links, all closed. */
+/** Creates the set without links. */
 export function createLinks(host: FleetHost, events: LinksHost): Links {
-  const entries = new Map<string, Entry>();
+  const entries = new Map<string, LinkEntry>();
 
   function tryGetMember(peer: string): Member | undefined {
     const member = host.membership.getMembers()
@@ -60,9 +63,9 @@
     return member?.state === "dead" ? undefined : member;
   }
 
-  function isBusy(peer: string): boolean {
+  function isRecentlyUsed(peer: string): boolean {
     const lastUsedMs = entries.get(peer)?.lastUsedMs ?? -Infinity;
-    return host.clock.monotonicMs() - lastUsedMs < LINK_BUSY_MS;
+    return host.clock.monotonicMs() - lastUsedMs < RECENT_USE_MS;
   }
 
   function open(peer: string, address: string): void {
@@ -73,7 +76,7 @@
         create(FrameSchema, {
           hello: { host: host.id, incarnation: host.incarnation },
         }),
-      isInUse: () => events.isNeeded(peer) || isBusy(peer),
+      isInUse: () => events.isNeeded(peer) || isRecentlyUsed(peer),
       onOpen: () => events.onOpen(peer),
       onFrame: (frame) => events.onFrame(peer, frame),
       onLost: (reason) => host.onPeerLost(peer, reason),
@@ -83,7 +86,7 @@
     entries.set(peer, { link, address, fiber, lastUsedMs });
   }
 
-  function close(peer: string, entry: Entry): void {
+  function close(peer: string, entry: LinkEntry): void {
     entries.delete(peer);
     Effect.runFork(Fiber.interrupt(entry.fiber));
   }
--- a/src/fleet/owned_upstreams.ts
+++ b/src/fleet/owned_upstreams.ts
@@ -1,14 +1,14 @@
 /**
- * The upstreams that this host owns: for each its slot owner, its adaptive limit
- * and its part in the service's counters.
+ * The upstreams that this host owns, each with its slot owner, its adaptive
+ * concurrency limit and its share in the service's counters.
  *
  * @module
  */
 
 import { getOrCreate } from "../core/mod.ts";
 import {
-  type CostEstimate,
-  createCostEstimate,
+  type CostEstimator,
+  createCostEstimator,
   type ServiceCounters,
 } from "../fairness/mod.ts";
 import { getRegion } from "../placement/mod.ts";
@@ -27,41 +27,54 @@
 import type { FleetHost, OwnedUpstream } from "./types.ts";
 
 /**
- * So long after it took over, an owner grants half the limit: another host may
- * still think itself the owner and grant, too. Views agree sooner; a dead host
- * is known everywhere within three seconds.
+ * Time after a takeover in which the new owner grants only half the limit, in
+ * ms: another host may not know of the takeover yet and still grant, too. The
+ * hosts agree sooner than that; all know a dead host within 3 s.
  */
 export const TAKEOVER_MS = 3_000;
 
 /**
- * A team of the other region goes first when it is behind by so many of the
- * largest requests. Without this, every second answer under saturation would
- * cross the billed link although each region could serve its own.
+ * A team of the other region gets a slot first only when its counter is behind
+ * by this many of the largest requests. Without this penalty, every second
+ * answer under saturation would cross the billed regional link, although each
+ * region could serve its own teams.
  */
-export const FAR_PENALTY_REQUESTS = 2;
+export const CROSS_REGION_PENALTY_REQUESTS = 2;
 
-/** Room between the slot numbers of successive owners. */
+/**
+ * Range of the random first slot number, so that successive owners of an
+ * upstream use different slot numbers.
+ */
 const FIRST_SLOT_RANGE = 2 ** 31;
 
-/** What the owned upstreams need of the rest of the fleet. */
-export interface OwnedHost {
+/** Dependencies of the owned upstreams that the fleet provides. */
+export interface OwnedUpstreamsHost {
   getLeaf(service: string): ServiceCounters;
   trySendGrant(entryHost: string, grant: Grant): boolean;
   sendRecall(entryHost: string, recall: Recall): void;
 }
 
-/** The upstreams that this host owns. */
+/** The set of upstreams that this host owns. */
 export interface OwnedUpstreams {
   tryGet(upstream: string): SlotOwner | undefined;
-  /** Takes ownership; at half the limit when another host may have it. */
-  take(upstream: Upstream, mayHaveOther: boolean): void;
-  /** Gives ownership up. */
+  /**
+   * Takes ownership. With a previous owner, which may not know of the takeover
+   * yet, only half the limit is granted for `TAKEOVER_MS`.
+   */
+  acquire(upstream: Upstream, mayHavePreviousOwner: boolean): void;
+  /** Gives up ownership. */
   drop(upstream: string): void;
-  /** Drops what is no longer declared, and takes over changed limits. */
-  followDeclared(): void;
-  forgetHost(entryHost: string): void;
-  askToRedeclare(entryHost: string): void;
-  /** Grants what became free by time alone: after a take-over, or a pause. */
+  /**
+   * Drops upstreams that are no longer declared, and applies changed slot
+   * limits.
+   */
+  reconcileWithDeployment(): void;
+  removeHost(entryHost: string): void;
+  requestResync(entryHost: string): void;
+  /**
+   * Grants slots that became free only by the passing of time: after a
+   * takeover, or after a pause of a circuit breaker.
+   */
   tick(): void;
   getAll(): readonly OwnedUpstream[];
 }
@@ -70,25 +83,25 @@
   readonly upstream: Upstream;
   readonly owner: SlotOwner;
   readonly limit: AdaptiveLimit;
-  isSettled: boolean;
-  readonly settledMs: number;
+  isTakeoverComplete: boolean;
+  readonly takeoverEndMs: number;
 }
 
-/** Makes the set with no upstream owned. */
+/** Creates the set without upstreams. */
 export function createOwnedUpstreams(
   host: FleetHost,
-  rest: OwnedHost,
+  fleet: OwnedUpstreamsHost,
 ): OwnedUpstreams {
   const owned = new Map<string, Owned>();
-  const estimates = new Map<string, CostEstimate>();
-  /** Upstreams of this host for which a team waits, by service and team. */
+  const estimates = new Map<string, CostEstimator>();
+  /** Owned upstreams that a team waits for, by service and team. */
   const waiting = new Map<string, Map<string, Set<string>>>();
 
-  function getEstimate(service: string): CostEstimate {
+  function getCostEstimate(service: string): CostEstimator {
     return getOrCreate(estimates, service, () => {
       const declared = host.getDeployment()?.services
         .find((each) => each.id === service);
-      return createCostEstimate(declared?.expectedCost ?? 1);
+      return createCostEstimator(declared?.expectedCost ?? 1);
     });
   }
 
@@ -97,7 +110,10 @@
     return teams.find((each) => each.id === team)?.weight ?? 1;
   }
 
-  /** A team waits at this host while it waits for any upstream owned here. */
+  /**
+   * Marks whether the team waits for the upstream. A team counts as waiting at
+   * this host while it waits for any upstream owned here.
+   */
   function setWaiting(
     upstream: Upstream,
     team: string,
@@ -107,34 +123,35 @@
     const upstreams = getOrCreate(teams, team, () => new Set<string>());
     if (isWaiting) upstreams.add(upstream.id);
     else upstreams.delete(upstream.id);
-    rest.getLeaf(upstream.service).setWaiting(team, upstreams.size > 0);
+    fleet.getLeaf(upstream.service).setWaiting(team, upstreams.size > 0);
   }
 
   /**
-   * While no other team waits, service takes nothing from anybody and is not
-   * charged; a team that used an idle night would else pay for it by day.
+   * Charges the expected cost of a starting request. While no other team waits,
+   * service takes nothing from other teams and is not charged. Otherwise a team
+   * that used idle capacity at night would have to make up for it by day.
    */
   function chargeStart(service: string, team: string): number {
-    const leaf = rest.getLeaf(service);
+    const leaf = fleet.getLeaf(service);
     if (!leaf.isContended(team)) return 0;
-    const cost = getEstimate(service).get(team);
+    const cost = getCostEstimate(service).get(team);
     leaf.charge(team, cost / getWeight(team));
     return cost;
   }
 
   function chargeEnd(service: string, release: Release, charged: number): void {
     const { team, result, cost } = release;
-    const leaf = rest.getLeaf(service);
+    const leaf = fleet.getLeaf(service);
     const weight = getWeight(team);
     if (result === "answered") {
-      getEstimate(service).observe(team, cost);
-      leaf.observeLargest(cost / weight);
+      getCostEstimate(service).record(team, cost);
+      leaf.recordLargest(cost / weight);
     }
     if (charged === 0 && !leaf.isContended(team)) return;
     leaf.charge(team, (cost - charged) / weight);
   }
 
-  function isNear(upstream: Upstream, entryHost: string): boolean {
+  function isSameRegion(upstream: Upstream, entryHost: string): boolean {
     const deployment = host.getDeployment();
     const member = host.membership.getMembers()
       .find((each) => each.host === entryHost);
@@ -143,7 +160,10 @@
       getRegion(deployment, upstream.dataCentre);
   }
 
-  function createOwned(upstream: Upstream, mayHaveOther: boolean): Owned {
+  function createOwned(
+    upstream: Upstream,
+    mayHavePreviousOwner: boolean,
+  ): Owned {
     const { id, service } = upstream;
     const createLimit = host.policy.createLimit ?? createAdaptiveLimit;
     const limit = createLimit({
@@ -157,7 +177,7 @@
         }),
     });
     const nowMs = host.clock.monotonicMs();
-    const leaf = rest.getLeaf(service);
+    const leaf = fleet.getLeaf(service);
     const owner = createSlotOwner(id, {
       nowMs: host.clock.monotonicMs,
       getCounter: leaf.get,
@@ -166,12 +186,13 @@
       chargeEnd: (release, charged) => chargeEnd(service, release, charged),
       getLimit() {
         if (host.isUpstreamLeaving(id)) return 0;
-        if (entry.isSettled) return limit.get();
+        if (entry.isTakeoverComplete) return limit.get();
         return Math.max(1, Math.floor(limit.get() / 2));
       },
       tryPick: host.policy.tryPick,
-      getCrossRegionPenalty: () => FAR_PENALTY_REQUESTS * leaf.getLargest(),
-      isSameRegion: (entryHost) => isNear(upstream, entryHost),
+      getCrossRegionPenalty: () =>
+        CROSS_REGION_PENALTY_REQUESTS * leaf.getLargest(),
+      isSameRegion: (entryHost) => isSameRegion(upstream, entryHost),
       trySendGrant(entryHost, grant) {
         host.recorder.record({
           kind: "slot-granted",
@@ -180,9 +201,9 @@
           to: entryHost,
           counter: leaf.get(grant.team),
         });
-        return rest.trySendGrant(entryHost, grant);
+        return fleet.trySendGrant(entryHost, grant);
       },
-      sendRecall: rest.sendRecall,
+      sendRecall: fleet.sendRecall,
       onRequestStarted: (slot) =>
         limit.observeStart(slot, host.clock.monotonicMs()),
       onRequestEnded({ slot, result, firstByteMs, tokenIntervalMs }) {
@@ -198,8 +219,8 @@
       upstream,
       owner,
       limit,
-      isSettled: !mayHaveOther,
-      settledMs: nowMs + TAKEOVER_MS,
+      isTakeoverComplete: !mayHavePreviousOwner,
+      takeoverEndMs: nowMs + TAKEOVER_MS,
     };
     return entry;
   }
@@ -211,32 +232,32 @@
 
   return {
     tryGet: (upstream) => owned.get(upstream)?.owner,
-    take: (upstream, mayHaveOther) =>
-      void owned.set(upstream.id, createOwned(upstream, mayHaveOther)),
+    acquire: (upstream, mayHavePreviousOwner) =>
+      void owned.set(upstream.id, createOwned(upstream, mayHavePreviousOwner)),
     drop,
-    followDeclared() {
+    reconcileWithDeployment() {
       const declared = new Map(
         host.getDeployment()?.upstreams.map((each) => [each.id, each]),
       );
       for (const [id, { limit }] of [...owned]) {
         const upstream = declared.get(id);
-        // A changed maximum is in force at once, not at the next owner.
+        // A changed maximum applies at once, not only to the next owner.
         if (upstream !== undefined) limit.setMaxSlots(upstream.maxSlots);
         else drop(id);
       }
     },
-    forgetHost(entryHost) {
+    removeHost(entryHost) {
       for (const { owner } of owned.values()) owner.removeHost(entryHost);
     },
-    askToRedeclare(entryHost) {
+    requestResync(entryHost) {
       for (const { owner } of owned.values()) owner.requestResync(entryHost);
     },
     tick() {
       const nowMs = host.clock.monotonicMs();
       for (const entry of owned.values()) {
-        if (nowMs >= entry.settledMs) entry.isSettled = true;
-        // A breaker that has waited lets a probe through; nothing else tells
-        // the owner to grant then.
+        if (nowMs >= entry.takeoverEndMs) entry.isTakeoverComplete = true;
+        // A circuit breaker whose waiting time is over allows one trial
+        // request, and no other event makes the owner grant it.
         entry.limit.tick(nowMs);
         entry.owner.grantFreeSlots();
       }
--- a/src/forwarding/pick_upstream.ts
+++ b/src/forwarding/pick_upstream.ts
@@ -15,7 +15,11 @@
   rankByAffinity,
   rankByLoad,
 } from "../placement/mod.ts";
-import type { Choice, PromptRefusal, WaitingPrompt } from "../queue/mod.ts";
+import type {
+  PromptRefusal,
+  RankedUpstream,
+  WaitingPrompt,
+} from "../queue/mod.ts";
 import { hasDisconnected } from "../requests/caller.ts";
 import { type Call, type ForwardHost, getRemainingMs } from "./call.ts";
 import { createNotRunRejection, Rejected } from "./rejections.ts";
@@ -124,16 +128,16 @@
       targetMs: Math.min(call.route.targetMs, getRemainingMs(host, call)),
       service: call.service,
       route: call.route.name,
-      size,
+      serviceTokens: size,
       workTokens,
-      getChoices: createRankingCache(host, call, prompt),
-      isWanted: () => !hasDisconnected(call.res),
+      getUpstreams: createRankingCache(host, call, prompt),
+      isCallerConnected: () => !hasDisconnected(call.res),
       start(id, { readingTokens, queuedTokens }) {
         const upstream = host.directory.getReady(call.service)
           .find((each) => each.id === id)!;
         let isPrefilling = true;
         call.progress.endPrefill = () => {
-          if (isPrefilling) host.load.endReading(id, readingTokens);
+          if (isPrefilling) host.load.endPrefill(id, readingTokens);
           isPrefilling = false;
         };
         resume(Effect.succeed({ upstream, readingTokens, queuedTokens }));
@@ -155,8 +159,8 @@
   prompt: Prompt,
 ): void {
   const size = getServiceTokens(prompt);
-  host.load.noteAsked(team, size);
-  host.load.noteWork(size, getWorkTokens(prompt));
+  host.load.recordAsked(team, size);
+  host.load.recordWork(size, getWorkTokens(prompt));
 }
 
 /**
@@ -167,8 +171,8 @@
   host: ForwardHost,
   call: Call,
   prompt: Prompt,
-): () => readonly Choice[] {
-  let choices: readonly Choice[] = [];
+): () => readonly RankedUpstream[] {
+  let choices: readonly RankedUpstream[] = [];
   let ready: readonly UpstreamEntry[] | undefined;
   let rankedAtMs = -Infinity;
   return () => {
@@ -191,7 +195,7 @@
   host: ForwardHost,
   call: Call,
   prompt: Prompt,
-): readonly Choice[] {
+): readonly RankedUpstream[] {
   const key = getAffinityKey(prompt.model, prompt.parts);
   const candidates = getCandidates(host, call);
   const ranked = rankByAffinity(key, candidates);
--- a/src/load/mod.ts
+++ b/src/load/mod.ts
@@ -1,11 +1,11 @@
 /**
- * The load of the fleet, as hosts tell each other.
+ * The load of the fleet on its upstreams, as hosts report it to each other.
  *
  * @module
  */
 
-export * from "./load_sums.ts";
+export * from "./load_reporter.ts";
 export * from "./load_view.ts";
-export * from "./rate.ts";
+export * from "./decaying_rate.ts";
 export * from "./team_shares.ts";
 export * from "./types.ts";
--- a/src/measure/prompt_world.ts
+++ b/src/measure/prompt_world.ts
@@ -12,9 +12,9 @@
 } from "../forwarding/pick_upstream.ts";
 import type { Prompt } from "../forwarding/mod.ts";
 import {
-  createLoadSums,
+  createLoadReporter,
   createLoadView,
-  type LoadSums,
+  type LoadReporter,
   type LoadView,
 } from "../load/mod.ts";
 import { createPacing, type Pacing } from "../pacing/mod.ts";
@@ -23,10 +23,10 @@
 import { getPrefillTokens } from "../placement/mod.ts";
 import {
   createPromptQueue,
+  type PrefillTokens,
   type PromptQueue,
   type PromptQueueOptions,
   type PromptRefusal,
-  type StartedReading,
 } from "../queue/mod.ts";
 import {
   createEmulatedEngine,
@@ -100,7 +100,7 @@
 
 interface Host {
   readonly view: LoadView;
-  readonly sums: LoadSums;
+  readonly sums: LoadReporter;
   readonly queue: PromptQueue;
   readonly pacing: Pacing;
 }
@@ -137,13 +137,13 @@
       getRemoteStats: () => view.getOthersLearned(SERVICE),
       onChanged: () => {},
     });
-    const sums = createLoadSums({
+    const sums = createLoadReporter({
       clock,
       self,
       getHosts: () => peers,
       getDigest: getNameDigest,
-      createOwn: view.createUse,
-      onOthers: view.receive,
+      createOwnContent: view.createOwnContent,
+      onOthersLoad: view.receive,
     });
     return { view, sums, pacing, queue: createQueue(view, pacing) };
   });
@@ -164,17 +164,17 @@
         underservedElsewhere: view.getUnderservedElsewhere(engine),
       }),
       getShareUsed: view.getShareUsed,
-      isAhead: view.isAhead,
+      isOverserved: view.isOverserved,
       isUnderserved: view.isUnderserved,
       onUnderservedWaiting: view.setUnderserved,
-      getMeanYield: view.getMeanYield,
+      getMeanEfficiency: view.getMeanEfficiency,
       getLimitTokens: () =>
         options.limitTokens ?? pacing.getLimitTokens(TIGHTEST_TARGET_MS),
       random,
       onStart(prompt, engine, readingTokens) {
-        view.beginReading(engine, readingTokens);
-        view.begin(engine);
-        view.noteBegun(prompt.team, prompt.size);
+        view.beginPrefill(engine, readingTokens);
+        view.beginRequest(engine);
+        view.recordBegun(prompt.team, prompt.serviceTokens);
       },
     }, options.queue);
   }
@@ -203,8 +203,8 @@
     const prompt = toPrompt(req);
     const size = getServiceTokens(prompt);
     const workTokens = getWorkTokens(prompt);
-    view.noteAsked(req.team, size);
-    view.noteWork(size, workTokens);
+    view.recordAsked(req.team, size);
+    view.recordWork(size, workTokens);
     const early = queue.tryRefuseEarly({
       team: req.team,
       route: kind.name,
@@ -224,10 +224,10 @@
       targetMs: kind.targetMs,
       service: SERVICE,
       route: kind.name,
-      size,
+      serviceTokens: size,
       workTokens,
-      getChoices: () => choices,
-      isWanted: () => true,
+      getUpstreams: () => choices,
+      isCallerConnected: () => true,
       start: (engine, reading) => run(req, host, engine, reading),
       refuse: (refusal) => comeBack(req, refusal),
     });
@@ -242,7 +242,7 @@
     req: Meant,
     { view, pacing }: Host,
     engine: string,
-    { readingTokens, queuedTokens }: StartedReading,
+    { readingTokens, queuedTokens }: PrefillTokens,
   ): void {
     const { kind } = req;
     const startedMs = nowMs();
@@ -268,7 +268,7 @@
       onEvent(atMs) {
         if (lastMs === undefined) {
           runAt(atMs + LINK_MS, () => {
-            view.endReading(engine, readingTokens);
+            view.endPrefill(engine, readingTokens);
             pacing.recordFirstEvent(queuedTokens, nowMs() - startedMs);
           });
         } else notePause(atMs - lastMs, atMs);
@@ -279,7 +279,7 @@
         lastMs = atMs;
       },
       onEnd(atMs) {
-        runAt(atMs + LINK_MS, () => view.end(engine));
+        runAt(atMs + LINK_MS, () => view.endRequest(engine));
         req.isServed = true;
         req.isOnTime = isOnTime;
       },
--- a/src/queue/backlog.ts
+++ b/src/queue/backlog.ts
@@ -1,76 +1,94 @@
 /**
- * Decides whether one more prompt of a team would wait in vain.
+ * Tracks how many prompts of each team and route wait at this host and how fast
+ * they start, to decide whether one more prompt could still start in time.
  *
  * Load: a team sends many times its share. Harm prevented: each of its prompts
- * waits for half a second and is refused then, which its caller could have been
- * told at once; hundreds that wait cost the host the time that others need.
+ * waits for half a second before it is refused, although its caller could have
+ * been told at once, and hundreds of waiting prompts take processing time that
+ * the host needs for other teams.
  *
  * @module
  */
 
 import { getOrCreate } from "../core/mod.ts";
-import { createRate, type Rate } from "../load/mod.ts";
+import { createDecayingRate, type DecayingRate } from "../load/mod.ts";
 
-/** Prompts that are alike in what they wait for. */
+/** Groups prompts that wait for the same upstreams. */
 export interface BacklogKey {
   readonly team: string;
   readonly route: string;
 }
 
-/** The prompts that wait at one host, by team and route. */
-export interface Backlogs {
-  noteAdded(key: BacklogKey): void;
-  /** It has left the queue, started or not. */
-  noteLeft(key: BacklogKey, isStarted: boolean): void;
-  getBacklog(key: BacklogKey): Backlog;
+/** Waiting prompts of one host, by team and route. */
+export interface PromptBacklogTracker {
+  recordAdded(key: BacklogKey): void;
+  /**
+   * Records that a prompt has left the queue, whether or not it was started.
+   */
+  recordRemoved(key: BacklogKey, isStarted: boolean): void;
+  getBacklog(key: BacklogKey): PromptBacklog;
 }
 
-/** What waits, and how fast it starts. */
-export interface Backlog {
+/** Number of waiting prompts of one group, and their recent start rate. */
+export interface PromptBacklog {
   readonly waiting: number;
   readonly startedPerSecond: number;
 }
 
-/** How fast prompts start fades to a half in so long, in ms. */
+/** Half-life of the decaying start rate. */
 const HALF_LIFE_MS = 1_000;
 
-/** So many may always wait: whether they start at all must be found out. */
-const LEAST_WAITING = 4;
+/**
+ * This many prompts of a group may always wait. Without them the start rate
+ * would stay unknown.
+ */
+const MIN_ALLOWED_WAITING = 4;
 
-/** So many times as many may wait as would start: room may appear. */
-const SPARE = 1.5;
+/**
+ * Prompts that may wait, relative to the number expected to start in time. The
+ * margin allows for upstreams that become free.
+ */
+const HEADROOM_FACTOR = 1.5;
 
-interface Line {
+interface TrackedBacklog {
   waiting: number;
-  readonly started: Rate;
+  readonly started: DecayingRate;
 }
 
-/** Makes the counts of a host where nothing waits. */
-export function createBacklogs(nowMs: () => number): Backlogs {
-  const lines = new Map<string, Line>();
-  const getLine = ({ team, route }: BacklogKey) =>
+/** Creates a tracker for a host with an empty queue. */
+export function createPromptBacklogTracker(
+  nowMs: () => number,
+): PromptBacklogTracker {
+  const tracked = new Map<string, TrackedBacklog>();
+  const getTracked = ({ team, route }: BacklogKey) =>
     getOrCreate(
-      lines,
+      tracked,
       `${team}\n${route}`,
-      () => ({ waiting: 0, started: createRate(HALF_LIFE_MS) }),
+      () => ({ waiting: 0, started: createDecayingRate(HALF_LIFE_MS) }),
     );
 
   return {
-    noteAdded: (key) => void getLine(key).waiting++,
-    noteLeft(key, isStarted) {
-      const line = getLine(key);
-      line.waiting--;
-      if (isStarted) line.started.add(1, nowMs());
+    recordAdded: (key) => void getTracked(key).waiting++,
+    recordRemoved(key, isStarted) {
+      const entry = getTracked(key);
+      entry.waiting--;
+      if (isStarted) entry.started.add(1, nowMs());
     },
     getBacklog(key) {
-      const { waiting, started } = getLine(key);
+      const { waiting, started } = getTracked(key);
       return { waiting, startedPerSecond: started.get(nowMs()) };
     },
   };
 }
 
-/** Whether more wait than can start within the wait given, in ms. */
-export function isInVain(backlog: Backlog, longestWaitMs: number): boolean {
-  const starting = backlog.startedPerSecond * longestWaitMs / 1_000;
-  return backlog.waiting >= Math.max(LEAST_WAITING, starting * SPARE);
+/**
+ * Whether more prompts wait than are expected to start within the time given.
+ */
+export function isTooLong(
+  backlog: PromptBacklog,
+  maxWaitMs: number,
+): boolean {
+  const expectedStarts = backlog.startedPerSecond * maxWaitMs / 1_000;
+  return backlog.waiting >=
+    Math.max(MIN_ALLOWED_WAITING, expectedStarts * HEADROOM_FACTOR);
 }
