--- a/src/testing/caller.ts
+++ b/src/testing/caller.ts
@@ -51,7 +51,7 @@
   send(req: CallerRequest): Promise<CallerResult>;
 }
 
-/** Time after its deadline at which a request times out at the caller, in ms. */
+/** Time after its deadline until a request times out at the caller, in ms. */
 const RESPONSE_GRACE_MS = 10_000;
 
 interface CachedHosts {
--- a/src/testing/fault_environment.ts
+++ b/src/testing/fault_environment.ts
@@ -39,7 +39,7 @@
     path: string,
     body?: unknown,
   ): Promise<{ readonly status: number; readonly value: unknown }>;
-  /** Key of the work whose content crashes engines; empty before the first. */
+  /** Tag of the work whose content crashes engines; empty before the first. */
   crashingWork: string;
   /** Whether callers currently send the crashing work. */
   isCrashing: boolean;
--- a/src/testing/faults.ts
+++ b/src/testing/faults.ts
@@ -30,6 +30,7 @@
 import { portShiftArg } from "./run_args.ts";
 import { createRandom, createRequestSource, sendAtRate } from "./traffic.ts";
 
+/** Time without failures after each round, in ms. */
 const RECOVERY_MS = 3_000;
 
 const command = defineCommand({
--- a/src/testing/fleet_processes.ts
+++ b/src/testing/fleet_processes.ts
@@ -50,7 +50,7 @@
   readonly routers: number;
   /** Added to every port. */
   readonly portShift: number;
-  /** Whether relays precede the upstreams and the routers' peer addresses. */
+  /** Whether to put relays before upstreams and routers' peer addresses. */
   readonly withRelays?: boolean;
   /** Called with each line of an upstream's standard output. */
   readonly onUpstreamLine?: (upstream: string, line: string) => void;
--- a/src/testing/measure_config.ts
+++ b/src/testing/measure_config.ts
@@ -23,7 +23,9 @@
 import { createRandom } from "./traffic.ts";
 
 const POLL_PERIOD_MS = 20;
+/** Time-out for a version to be in force at a router, in ms. */
 const PROPAGATION_TIMEOUT_MS = 20_000;
+/** Longest permitted time until a version is in force, in ms. */
 const TARGET_MS = 7_000;
 
 const command = defineCommand({
--- a/src/testing/measure_fairness.ts
+++ b/src/testing/measure_fairness.ts
@@ -1,8 +1,8 @@
 /**
  * Measures the fairness gap and the use of the engines on real processes. Every
  * team keeps more requests open than the engines have slots, half of the teams
- * through a single host each. The last line of output is a JSON object;
- * the exit code is 1 if the gap exceeds the derived bound.
+ * through a single host each. The last line of output is a JSON object; the
+ * exit code is 1 if the gap exceeds the derived bound.
  *
  * @module
  */
@@ -26,6 +26,7 @@
 /** Open requests of a team for each unit of its weight. */
 const OPEN_PER_WEIGHT = 12;
 
+/** Range of the length of responses, in tokens. */
 const MIN_TOKENS = 20;
 const MAX_TOKENS = 200;
 const WARM_UP_MS = 10_000;
--- a/src/testing/measure_leaving.ts
+++ b/src/testing/measure_leaving.ts
@@ -18,8 +18,11 @@
 import { createRandom, createRequestSource, sendAtRate } from "./traffic.ts";
 
 const POLL_PERIOD_MS = 20;
+/** Time in which late new work is counted after the leave, in ms. */
 const OBSERVATION_MS = 7_000;
+/** Time in which an upstream must get work again after its return, in ms. */
 const RETURN_MS = 6_000;
+/** Latest permitted new work after the leave, in ms. */
 const BOUND_MS = 5_000;
 
 /** What announces the leave: the upstream's own report or the machine list. */
@@ -30,7 +33,7 @@
   args: {
     rounds: { type: "string", default: "10", description: "Leaves to measure" },
     seed: { type: "string", default: "1", description: "Seed of the run" },
-    rate: { type: "string", default: "60", description: "Requests a second" },
+    rate: { type: "string", default: "60", description: "Requests per second" },
     "port-shift": portShiftArg,
   },
   async run({ args }) {
