--- a/src/entry/platform_view_test.ts
+++ b/src/entry/platform_view_test.ts
@@ -2,10 +2,10 @@
 import { test } from "node:test";
 import * as Effect from "effect/Effect";
 import {
-  createKnowledgeFleet,
-  type KnowledgeFleet,
+  createPlatformViewFleet,
+  type PlatformViewFleet,
   runFleet,
-} from "../testing/knowledge_fleet.ts";
+} from "../testing/platform_view_fleet.ts";
 
 /** A configuration must be in force at all hosts within this time, in ms. */
 const BOUND_MS = 2_500;
@@ -18,13 +18,16 @@
  * returns the time until the last host has it in force, in ms.
  */
 async function measureChange(
-  causeFailures: (fleet: KnowledgeFleet) => void | Effect.Effect<void>,
-  { hosts = 9, isPassingOn = true } = {},
+  causeFailures: (fleet: PlatformViewFleet) => void | Effect.Effect<void>,
+  { hosts = 9, distributesTables = true } = {},
 ): Promise<number> {
-  const fleet = createKnowledgeFleet({ hosts, isPassingOn });
+  const fleet = createPlatformViewFleet({
+    hosts,
+    distributesTables,
+  });
   let tookMs = 0;
   await runFleet(Effect.gen(function* () {
-    fleet.tables.put(1);
+    fleet.tables.putConfig(1);
     fleet.tables.putUpstreams(["one", "two"]);
     yield* fleet.start;
     // Without the distribution a host reads the tables itself after two
@@ -32,7 +35,7 @@
     yield* fleet.run(5_000);
     deepStrictEqual(new Set(fleet.getVersions()), new Set([1]));
     yield* causeFailures(fleet) ?? Effect.void;
-    fleet.tables.put(2);
+    fleet.tables.putConfig(2);
     const sinceMs = fleet.nowMs();
     while (fleet.getVersions().some((each) => each < 2)) {
       yield* fleet.run(10);
@@ -47,7 +50,7 @@
  * The platform answers no host for `outageMs`, and all upstream entries expire.
  */
 function simulateOutage(
-  fleet: KnowledgeFleet,
+  fleet: PlatformViewFleet,
   outageMs: number,
 ): Effect.Effect<void> {
   return Effect.gen(function* () {
@@ -71,7 +74,7 @@
     for (let first = 0; first < 9; first++) {
       const tookMs = await measureChange(({ tables, hosts }) => {
         for (let at = 0; at < 3; at++) {
-          tables.treat(hosts[(first + at) % hosts.length]!, treatment);
+          tables.setTreatment(hosts[(first + at) % hosts.length]!, treatment);
         }
       });
       ok(tookMs <= BOUND_MS, `${tookMs} ms from host ${first}`);
@@ -81,8 +84,8 @@
 
 test("without the distribution, hosts whose reads fail miss the bound", async () => {
   const tookMs = await measureChange(({ tables, hosts }) => {
-    for (const host of hosts.slice(0, 3)) tables.treat(host, "refused");
-  }, { isPassingOn: false });
+    for (const host of hosts.slice(0, 3)) tables.setTreatment(host, "refused");
+  }, { distributesTables: false });
   ok(tookMs > BOUND_MS, `${tookMs} ms`);
 });
 
@@ -90,7 +93,7 @@
   // Polls return no changes for a second while an operator changes a route.
   // Then the change history is dropped, so no later poll returns that change.
   const tookMs = await measureChange((fleet) => {
-    fleet.tables.silenceUntil(fleet.nowMs() + 1_000);
+    fleet.tables.pauseWatchesUntil(fleet.nowMs() + 1_000);
     fleet.tables.dropHistory();
   });
   ok(tookMs <= BOUND_MS, `${tookMs} ms`);
@@ -99,14 +102,14 @@
 test("no host goes back to an older configuration when the platform does", async () => {
   // A host that missed the change may answer a fetch; its older copy must not
   // replace a newer one.
-  const fleet = createKnowledgeFleet({ hosts: 9 });
+  const fleet = createPlatformViewFleet({ hosts: 9 });
   await runFleet(Effect.gen(function* () {
-    fleet.tables.put(1);
+    fleet.tables.putConfig(1);
     yield* fleet.start;
     yield* fleet.run(1_000);
-    fleet.tables.put(5);
+    fleet.tables.putConfig(5);
     yield* fleet.run(1_000);
-    fleet.tables.put(3);
+    fleet.tables.putConfig(3);
     yield* fleet.run(1_000);
   }));
   deepStrictEqual(new Set(fleet.getVersions()), new Set([5]));
@@ -138,7 +141,7 @@
     const tookMs = await measureChange((fleet) => {
       const refused = fleet.hosts.filter((_, at) => at !== served);
       for (const host of refused) {
-        fleet.tables.treatTable(host, "config", "silent");
+        fleet.tables.setTableTreatment(host, "config", "silent");
       }
       return fleet.run(4_000);
     });
@@ -152,9 +155,9 @@
   // any change in it. Hosts used to mistake that for a newer configuration and
   // fetched it after each report until a configuration was published, which
   // wasted processor time and bandwidth.
-  const fleet = createKnowledgeFleet({ hosts: 9 });
+  const fleet = createPlatformViewFleet({ hosts: 9 });
   await runFleet(Effect.gen(function* () {
-    fleet.tables.put(1);
+    fleet.tables.putConfig(1);
     yield* fleet.start;
     yield* fleet.run(8_000);
     const before = fleet.fetches.length;
@@ -168,13 +171,13 @@
 test("a host logs whether it reads a table, and why", async () => {
   // Operators need to find out why a host had an old configuration: whether it
   // was a reader, and if not, why not.
-  const fleet = createKnowledgeFleet({ hosts: 9 });
+  const fleet = createPlatformViewFleet({ hosts: 9 });
   await runFleet(Effect.gen(function* () {
-    fleet.tables.put(1);
+    fleet.tables.putConfig(1);
     yield* fleet.start;
     yield* fleet.run(5_000);
   }));
-  const lines = fleet.logged.map((each) => each.decision)
+  const lines = fleet.loggedDecisions.map((each) => each.decision)
     .filter((each) => each.event === "table-reader-changed")
     .filter((each) => each.table === "config");
   const countLines = (because: string) =>
@@ -210,19 +213,19 @@
 test("a restored platform is detected at once, even if its version is unchanged", async () => {
   // Guards against a poll that waits for changes in an era that has ended.
   for (let outageMs = 0; outageMs <= 3_000; outageMs += 150) {
-    const fleet = createKnowledgeFleet({ hosts: 9 });
+    const fleet = createPlatformViewFleet({ hosts: 9 });
     let tookMs = 0;
     await runFleet(Effect.gen(function* () {
-      fleet.tables.put(1);
+      fleet.tables.putConfig(1);
       yield* fleet.start;
       yield* fleet.run(6_000);
-      fleet.tables.put(2);
+      fleet.tables.putConfig(2);
       yield* fleet.run(1_000);
       fleet.treatAll("silent");
       yield* fleet.run(Math.max(10, outageMs));
-      fleet.tables.rewind(outageMs + 1_200);
+      fleet.tables.restoreBackup(outageMs + 1_200);
       fleet.treatAll("served");
-      fleet.tables.put(3);
+      fleet.tables.putConfig(3);
       const sinceMs = fleet.nowMs();
       while (fleet.getVersions().some((each) => each < 3)) {
         yield* fleet.run(10);
--- a/src/forwarding/blocked_loop_test.ts
+++ b/src/forwarding/blocked_loop_test.ts
@@ -3,7 +3,7 @@
 import { test } from "node:test";
 import { setTimeout as sleep } from "node:timers/promises";
 import type { Socket } from "node:net";
-import { block } from "../testing/block.ts";
+import { blockEventLoop } from "../testing/block_event_loop.ts";
 import {
   type Behaviour,
   createForwardFixture,
@@ -16,7 +16,7 @@
 async function openQueuedCalls(
   fixture: ForwardFixture,
 ): Promise<readonly Socket[]> {
-  fixture.delay.inFlight = 48;
+  fixture.controls.inFlight = 48;
   const sockets = Array.from(
     { length: CALLERS },
     (_, at) => fixture.sendRaw(`waits-${at}`),
@@ -39,11 +39,11 @@
         kind: "stream",
         hasPrompts: true,
       });
-      using _looks = fixture.startLooks();
+      using _passes = fixture.startSchedulingPasses();
       const sockets = await openQueuedCalls(fixture);
       sockets.forEach(closes[kind]);
-      block(turnMs);
-      fixture.delay.inFlight = 0;
+      blockEventLoop(turnMs);
+      fixture.controls.inFlight = 0;
       await sleep(100);
       strictEqual(fixture.arrivals.length, 0);
     });
@@ -55,10 +55,10 @@
     kind: "stream",
     hasPrompts: true,
   });
-  using _looks = fixture.startLooks();
+  using _passes = fixture.startSchedulingPasses();
   await openQueuedCalls(fixture);
-  block(200);
-  fixture.delay.inFlight = 0;
+  blockEventLoop(200);
+  fixture.controls.inFlight = 0;
   await sleep(100);
   deepStrictEqual(fixture.arrivals, Array(CALLERS).fill("up-0"));
 });
@@ -73,7 +73,7 @@
 ): Behaviour {
   return (socket, { id }) => {
     socket.write(text(id));
-    block(forMs);
+    blockEventLoop(forMs);
   };
 }
 
@@ -119,13 +119,13 @@
     // Timers that fall due in the meantime run next, as after any blocked turn.
     const sendNext = () => {
       socket.write("f\r\nid: 2\ndata: b\n\n\r\n0\r\n\r\n");
-      block(1_800);
+      blockEventLoop(1_800);
     };
     setTimeout(() => setImmediate(sendNext), 50);
   };
   await using fixture = await createForwardFixture([answers, answers]);
   const res = await fixture.call();
-  deepStrictEqual([res.status, res.isCut], [200, false]);
+  deepStrictEqual([res.status, res.isTruncated], [200, false]);
   strictEqual(fixture.arrivals.length, 1);
 });
 
@@ -150,13 +150,13 @@
   forMs: number,
   onBlocked = () => {},
 ): void {
-  fixture.delay.onDecision = ({ event }) => {
+  fixture.controls.onDecision = ({ event }) => {
     if (event !== "attempt-started") return;
     // Runs after the tick in which Node connects.
     queueMicrotask(() =>
       process.nextTick(() => {
         onBlocked();
-        block(forMs);
+        blockEventLoop(forMs);
       })
     );
   };
--- a/src/measure/prompt_load.ts
+++ b/src/measure/prompt_load.ts
@@ -12,7 +12,7 @@
   type PromptQueueOptions,
   type WaitingPrompt,
 } from "../queue/mod.ts";
-import { getReadingMs, wideEngine } from "../testing/emulated_engine.ts";
+import { getPrefillMs, largeChunkEngine } from "../testing/emulated_engine.ts";
 import type { ScenarioOptions } from "./main.ts";
 import { getMeans, type PromptResult } from "./prompt_result.ts";
 import { simulatePrompts } from "./prompt_simulation.ts";
@@ -69,7 +69,7 @@
   isLoadShared: true,
   limitTokens: 150,
   countPrefillTokens: (tokens, cachedTokens) =>
-    Math.ceil(getReadingMs(wideEngine, tokens, cachedTokens)),
+    Math.ceil(getPrefillMs(largeChunkEngine, tokens, cachedTokens)),
 };
 
 /**
@@ -177,7 +177,7 @@
       hosts,
       factor: LOAD_FACTOR,
       overloadingTeamShare: OVERLOADING_TEAM_SHARE,
-      engine: wideEngine,
+      engine: largeChunkEngine,
       pauseTargetMs: PAUSE_TARGET_MS,
     })
   ));
--- a/src/measure/prompt_simulation.ts
+++ b/src/measure/prompt_simulation.ts
@@ -31,7 +31,7 @@
 import {
   createEmulatedEngine,
   type EmulatedEngine,
-  type EngineFigures,
+  type EngineProfile,
 } from "../testing/emulated_engine.ts";
 import { createVirtualScheduler } from "./virtual_scheduler.ts";
 import { type DrawnPrompt, drawPrompt, promptKinds } from "./prompt_kinds.ts";
@@ -58,7 +58,7 @@
   readonly limitTokens?: number | undefined;
   /** Weight of a prompt in the prefill limit; the router's count if absent. */
   readonly countPrefillTokens?: typeof getPrefillTokens | undefined;
-  readonly engine: EngineFigures;
+  readonly engine: EngineProfile;
   /** Target for the pauses between two events of an answer, in ms. */
   readonly pauseTargetMs: number;
 }
@@ -273,11 +273,11 @@
     let lastMs: number | undefined;
     let isOnTime = true;
     engines.get(engine)!.add({
-      sharedPart: req.sharedPrefix,
-      sharedTokens: kind.sharedTokens,
-      ownTokens: req.ownTokens,
+      sharedPrefix: req.sharedPrefix,
+      prefixTokens: kind.sharedTokens,
+      suffixTokens: req.ownTokens,
       outputTokens: req.outputTokens,
-      onRead: () => {},
+      onPrefilled: () => {},
       onEvent(atMs) {
         if (lastMs === undefined) {
           runAt(atMs + LINK_MS, () => {
--- a/src/queue/prompt_load_test.ts
+++ b/src/queue/prompt_load_test.ts
@@ -8,9 +8,9 @@
 import { getMeans, type PromptResult } from "../measure/prompt_result.ts";
 import { simulatePrompts } from "../measure/prompt_simulation.ts";
 import {
-  type EngineFigures,
-  narrowEngine,
-  wideEngine,
+  type EngineProfile,
+  largeChunkEngine,
+  smallChunkEngine,
 } from "../testing/emulated_engine.ts";
 import { defaultPromptQueueOptions } from "./prompt_queue.ts";
 
@@ -24,12 +24,12 @@
 
 /** Engine figures, and the target for pauses within their answers, in ms. */
 interface Engines {
-  readonly engine: EngineFigures;
+  readonly engine: EngineProfile;
   readonly pauseTargetMs: number;
 }
 
-const wide: Engines = { engine: wideEngine, pauseTargetMs: 400 };
-const narrow: Engines = { engine: narrowEngine, pauseTargetMs: 300 };
+const wide: Engines = { engine: largeChunkEngine, pauseTargetMs: 400 };
+const narrow: Engines = { engine: smallChunkEngine, pauseTargetMs: 300 };
 
 const currentPolicy: PromptPolicy = {
   queue: defaultPromptQueueOptions,
--- a/src/testing/caller.ts
+++ b/src/testing/caller.ts
@@ -1,7 +1,7 @@
 /**
- * A caller as the documentation tells one to be: asks `where`, keeps the answer
- * for its time to live, connects there, and checks that the answer is its own
- * and whole.
+ * A caller that behaves as the documentation asks: it queries `/where`, caches
+ * the hosts for their time to live, connects to one of them, and checks that
+ * each response is complete and belongs to the request.
  *
  * @module
  */
@@ -10,77 +10,78 @@
 import type { Outcome } from "../types.ts";
 import { getTeamKey } from "./fleet_processes.ts";
 
-/** What the caller asks for. */
+/** A request of the caller. */
 export interface CallerRequest {
   readonly team: string;
   readonly service: string;
   readonly operation: string;
-  /** Marks the request's content; every part of its answer repeats it. */
+  /** Identifies the content; each token of the response repeats it. */
   readonly tag: string;
-  /** Length of the answer; 0 for a call to a plain service. */
+  /** Length of the response in tokens; 0 for a call to a plain service. */
   readonly tokens: number;
   readonly idempotencyKey: string;
   readonly timeoutMs: number;
-  /** Text of the request; a mark in it makes a stand-in engine crash. */
+  /** Text of the request; a marker in it crashes a fake engine. */
   readonly prompt?: string;
 }
 
 /**
- * How the request ended for the caller: "lost" when its connection ended without
- * a final answer, "silent" when none came long after the deadline.
+ * How the request ended for the caller. "lost": its connection closed before a
+ * final response. "silent": the request, or the query of `/where` before it,
+ * timed out.
  */
-export interface CallerEnd {
-  /** Public address of the host; empty when none was reached. */
+export interface CallerResult {
+  /** Public address of the host; empty if none could be chosen. */
   readonly address: string;
-  /** The request's id at the system; empty when it was never told. */
+  /** The id that the system gave the request; empty if none was received. */
   readonly request: string;
-  /** When coming back helps, in ms; 0 when nothing was said. */
+  /** Delay from `Retry-After`, in ms; 0 without the header. */
   readonly retryAfterMs: number;
   readonly outcome: Outcome | "lost" | "silent";
   readonly status: number;
   readonly firstByteMs: number;
   readonly totalMs: number;
-  /** Empty when the answer was whole and its own. */
+  /** What is wrong with the response's content; empty if nothing. */
   readonly fault: string;
   readonly detail: string;
 }
 
-/** Sends requests of all teams through the hosts that `where` names. */
+/** Sends requests of all teams through the hosts that `/where` names. */
 export interface Caller {
-  send(req: CallerRequest): Promise<CallerEnd>;
+  send(req: CallerRequest): Promise<CallerResult>;
 }
 
-/** A final answer that is later than this after the deadline never comes. */
-const GRACE_MS = 10_000;
+/** Time after its deadline until a request times out at the caller, in ms. */
+const RESPONSE_GRACE_MS = 10_000;
 
-interface KnownHosts {
+interface CachedHosts {
   readonly addresses: readonly string[];
-  readonly untilMs: number;
+  readonly expiresMs: number;
 }
 
-/** A seed that is cut off or paused answers nothing. */
-const ASK_TIMEOUT_MS = 2_000;
+/** Limits a query to a seed that is partitioned or paused, in ms. */
+const WHERE_TIMEOUT_MS = 2_000;
 
-/** Which of the named addresses a team's callers use. */
+/** Chooses the advertised addresses that a team's callers use. */
 export type ChooseHosts = (
   team: string,
   addresses: readonly string[],
 ) => readonly string[];
 
-/** Makes a caller that knows the addresses to ask first. */
+/** Creates a caller that queries `/where` at the seed addresses. */
 export function createCaller(
   seeds: readonly string[],
   random: () => number,
   options: { choose?: ChooseHosts } = {},
 ): Caller {
-  const known = new Map<string, KnownHosts>();
+  const cachedHosts = new Map<string, CachedHosts>();
 
   function pick(addresses: readonly string[]): string {
     return addresses[Math.floor(random() * addresses.length)]!;
   }
 
-  /** Asks one seed after the other: one of them may be down. */
-  async function askWhere(
+  /** Tries the seeds one after the other, since some may be down. */
+  async function fetchHosts(
     team: string,
   ): Promise<{ seed: string; res: Response }> {
     const first = pick(seeds);
@@ -90,7 +91,7 @@
       try {
         const res = await fetch(`http://${seed}/where`, {
           headers: { authorization: `Bearer ${getTeamKey(team)}` },
-          signal: AbortSignal.timeout(ASK_TIMEOUT_MS),
+          signal: AbortSignal.timeout(WHERE_TIMEOUT_MS),
         });
         if (res.ok) return { seed, res };
         failure = `Status ${res.status} from ${seed}`;
@@ -101,20 +102,20 @@
     throw failure;
   }
 
-  async function getAddress(team: string): Promise<string> {
-    const kept = known.get(team);
-    if (kept !== undefined && Date.now() < kept.untilMs) {
-      return pick(kept.addresses);
+  async function chooseAddress(team: string): Promise<string> {
+    const cached = cachedHosts.get(team);
+    if (cached !== undefined && Date.now() < cached.expiresMs) {
+      return pick(cached.addresses);
     }
-    const { seed, res } = await askWhere(team);
+    const { seed, res } = await fetchHosts(team);
     const body = await res.json() as {
       ttlMs: number;
       hosts: { address: string }[];
     };
-    const named = body.hosts.map((host) => host.address)
+    const advertised = body.hosts.map((host) => host.address)
       .filter((address) => address !== "");
-    const addresses = options.choose?.(team, named) ?? named;
-    known.set(team, { addresses, untilMs: Date.now() + body.ttlMs });
+    const addresses = options.choose?.(team, advertised) ?? advertised;
+    cachedHosts.set(team, { addresses, expiresMs: Date.now() + body.ttlMs });
     return pick(addresses.length > 0 ? addresses : [seed]);
   }
 
@@ -123,10 +124,10 @@
       const startMs = performance.now();
       let address = "";
       try {
-        address = await getAddress(req.team);
+        address = await chooseAddress(req.team);
         return await sendTo(address, req, startMs);
       } catch (err) {
-        known.delete(req.team);
+        cachedHosts.delete(req.team);
         return {
           address,
           request: "",
@@ -147,7 +148,7 @@
   address: string,
   req: CallerRequest,
   startMs: number,
-): Promise<CallerEnd> {
+): Promise<CallerResult> {
   const { tag, tokens, timeoutMs } = req;
   const res = await fetch(
     `http://${address}/v1/${req.service}/${req.operation}`,
@@ -162,7 +163,7 @@
           : { "idempotency-key": req.idempotencyKey }),
       },
       body: JSON.stringify({ tag, tokens, prompt: req.prompt ?? "" }),
-      signal: AbortSignal.timeout(timeoutMs + GRACE_MS),
+      signal: AbortSignal.timeout(timeoutMs + RESPONSE_GRACE_MS),
     },
   );
   const firstByteMs = performance.now() - startMs;
@@ -177,12 +178,12 @@
     status: res.status,
   };
   const isStream = res.headers.get("content-type") === "text/event-stream";
-  if (isStream) return { ...times, ...checkStream(text, req) };
+  if (isStream) return { ...times, ...validateStream(text, req) };
   const outcome = res.headers.get("azurestile-outcome") as Outcome | null;
   if (outcome === "answered") {
     const fault = text.includes(`"key":"${req.idempotencyKey}"`)
       ? ""
-      : "The answer is another request's";
+      : "The response belongs to another request";
     return { ...times, outcome, fault, detail: "" };
   }
   return { ...times, outcome: outcome ?? "lost", fault: "", detail: text };
@@ -192,12 +193,12 @@
   return err instanceof Error && err.name === "TimeoutError";
 }
 
-/** Checks that every token came once, in order, and is the request's own. */
-function checkStream(
+/** Checks that every token of this request arrived once and in order. */
+function validateStream(
   text: string,
   req: CallerRequest,
-): Pick<CallerEnd, "outcome" | "fault" | "detail"> {
-  let next = 0;
+): Pick<CallerResult, "outcome" | "fault" | "detail"> {
+  let nextToken = 0;
   let fault = "";
   let end: { outcome: Outcome } | undefined;
   const parser = createParser({
@@ -206,19 +207,19 @@
         end = JSON.parse(event.data);
         return;
       }
-      const expected = JSON.stringify({ text: `${req.tag}:${next} ` });
+      const expected = JSON.stringify({ text: `${req.tag}:${nextToken} ` });
       if (fault === "" && event.data !== expected) {
         fault = `Expected ${expected}, got ${event.data}`;
       }
-      next++;
+      nextToken++;
     },
   });
   parser.feed(text);
   if (end === undefined) {
-    return { outcome: "lost", fault, detail: "No last event" };
+    return { outcome: "lost", fault, detail: "No final event" };
   }
-  if (end.outcome === "answered" && next !== req.tokens) {
-    fault = `Expected ${req.tokens} tokens, got ${next}`;
+  if (end.outcome === "answered" && nextToken !== req.tokens) {
+    fault = `Expected ${req.tokens} tokens, got ${nextToken}`;
   }
   return { outcome: end.outcome, fault, detail: JSON.stringify(end) };
 }
--- a/src/testing/demo.ts
+++ b/src/testing/demo.ts
@@ -1,6 +1,7 @@
 /**
- * `npm run demo`: the whole system as processes on loopback, with mixed traffic
- * and a summary. Exits with 1 when a request was refused, lost or doubled.
+ * `npm run demo`: runs the whole system as processes on loopback, sends mixed
+ * traffic and prints a summary. Exits with 1 if a request was refused or lost,
+ * or if a call that may run at most once ran more often.
  *
  * @module
  */
@@ -8,7 +9,11 @@
 import process from "node:process";
 import { setTimeout as sleep } from "node:timers/promises";
 import { defineCommand, runMain } from "citty";
-import { type CallerEnd, type CallerRequest, createCaller } from "./caller.ts";
+import {
+  type CallerRequest,
+  type CallerResult,
+  createCaller,
+} from "./caller.ts";
 import {
   type ExampleName,
   type FleetProcesses,
@@ -30,8 +35,8 @@
 const command = defineCommand({
   meta: { name: "demo", description: "Runs the whole system on loopback" },
   args: {
-    seconds: { type: "string", default: "20", description: "Time of traffic" },
-    rate: { type: "string", default: "30", description: "Requests a second" },
+    seconds: { type: "string", default: "20", description: "Seconds to run" },
+    rate: { type: "string", default: "30", description: "Requests per second" },
     seed: { type: "string", default: "1", description: "Seed of the traffic" },
     routers: { type: "string", default: "6", description: "Routers to start" },
     "port-shift": portShiftArg,
@@ -54,18 +59,18 @@
     );
     await fleet.apply();
     await fleet.waitUntilReady(15_000);
-    const addresses = fleet.routers.map((place) => place.publicAddress);
+    const addresses = fleet.routers.map((router) => router.publicAddress);
     console.log(
-      `demo: ${args.deployment}, ${addresses.length} routers; first ask ` +
+      `demo: ${args.deployment}, ${addresses.length} routers; query ` +
         `http://${addresses[0]}/where`,
     );
-    const isGood = await runTraffic(fleet, {
+    const hasPassed = await runTraffic(fleet, {
       perSecond: Number(args.rate),
       seconds: Number(args.seconds),
       seed: Number(args.seed),
       isStopped: () => isStopped,
     });
-    process.exitCode = isGood ? 0 : 1;
+    process.exitCode = hasPassed ? 0 : 1;
   },
 });
 
@@ -80,36 +85,36 @@
 ): Promise<boolean> {
   const random = createRandom(options.seed);
   const caller = createCaller(
-    fleet.routers.map((place) => place.publicAddress),
+    fleet.routers.map((router) => router.publicAddress),
     random,
   );
   const nextRequest = createRequestSource(fleet.deployment, random);
   const summaries = new Map<string, TeamSummary>();
-  const faults: string[] = [];
+  const failures: string[] = [];
   let done = 0;
 
   const progress = setInterval(
-    () => console.log(`demo: ${done} ended`),
+    () => console.log(`demo: ${done} requests ended`),
     2_000,
   );
   await sendAtRate(async () => {
     const req = nextRequest();
     const end = await caller.send(req);
     done++;
-    addEnd(summaries, req, end);
-    if (end.fault !== "") faults.push(`${req.tag}: ${end.fault}`);
+    recordResult(summaries, req, end);
+    if (end.fault !== "") failures.push(`${req.tag}: ${end.fault}`);
     else if (end.outcome !== "answered") {
-      faults.push(`${req.tag}: ${end.detail}`);
+      failures.push(`${req.tag}: ${end.detail}`);
     }
   }, options);
   clearInterval(progress);
   await sleep(200);
-  await printControl(fleet, done);
-  return printSummary(summaries, faults, await countDoubled(fleet));
+  await printControlTraffic(fleet, done);
+  return printSummary(summaries, failures, await countDuplicateRuns(fleet));
 }
 
 /** Prints the bytes of control frames by kind, from the routers' metrics. */
-async function printControl(
+async function printControlTraffic(
   fleet: FleetProcesses,
   requests: number,
 ): Promise<void> {
@@ -126,15 +131,15 @@
   const total = [...byKind.values()].reduce((sum, each) => sum + each, 0);
   const kinds = [...byKind].map(([kind, bytes]) => `${kind} ${bytes}`);
   console.log(
-    `demo: ${Math.round(total / requests)} control bytes a request ` +
+    `demo: ${Math.round(total / requests)} control bytes per request ` +
       `(${kinds.join(", ")})`,
   );
 }
 
-function addEnd(
+function recordResult(
   summaries: Map<string, TeamSummary>,
   req: CallerRequest,
-  end: CallerEnd,
+  end: CallerResult,
 ): void {
   const summary = summaries.get(req.team) ?? {
     requests: 0,
@@ -157,10 +162,10 @@
   }
 }
 
-/** Calls that may run at most once and ran more often, by the upstreams' logs. */
-async function countDoubled(fleet: FleetProcesses): Promise<number> {
+/** Counts at-most-once calls that ran more often, by the upstreams' logs. */
+async function countDuplicateRuns(fleet: FleetProcesses): Promise<number> {
   const { services, upstreams } = fleet.deployment;
-  const once = new Set(
+  const atMostOnce = new Set(
     services.flatMap((service) =>
       service.operations.filter((each) => !each.idempotent)
         .map((each) => each.name)
@@ -171,7 +176,7 @@
     const res = await fetch(`http://${upstream.address}/log`);
     const log = await res.json() as { key: string; operation: string }[];
     for (const { key, operation } of log) {
-      if (once.has(operation)) runs.set(key, (runs.get(key) ?? 0) + 1);
+      if (atMostOnce.has(operation)) runs.set(key, (runs.get(key) ?? 0) + 1);
     }
   }
   return [...runs.values()].filter((count) => count > 1).length;
@@ -179,8 +184,8 @@
 
 function printSummary(
   summaries: ReadonlyMap<string, TeamSummary>,
-  faults: readonly string[],
-  doubled: number,
+  failures: readonly string[],
+  duplicates: number,
 ): boolean {
   const rows = [...summaries].map(([team, summary]) => ({
     team,
@@ -192,16 +197,16 @@
     "first byte p95, ms": Math.round(getPercentile(summary.firstByteMs, 0.95)),
   }));
   console.table(rows);
-  for (const fault of faults.slice(0, 10)) console.log(`fault: ${fault}`);
+  for (const each of failures.slice(0, 10)) console.log(`failure: ${each}`);
   const sum = (name: "requests" | "answered" | "refused" | "lost") =>
     rows.reduce((total, row) => total + row[name], 0);
   const [requests, answered] = [sum("requests"), sum("answered")];
   const [refused, lost] = [sum("refused"), sum("lost")];
   console.log(
     `demo: ${requests} requests, ${answered} answered, ${refused} refused, ` +
-      `${lost} lost, ${doubled} doubled`,
+      `${lost} lost, ${duplicates} run more than once`,
   );
-  return refused === 0 && lost === 0 && doubled === 0 &&
+  return refused === 0 && lost === 0 && duplicates === 0 &&
     requests === answered;
 }
 
--- a/src/testing/fake_request_host.ts
+++ b/src/testing/fake_request_host.ts
@@ -1,6 +1,6 @@
 /**
- * A host for the life of a request over the real modules, with fake slots,
- * upstreams and table service, and a record of what callers and upstreams saw.
+ * A host that serves requests with the real modules, over fake slots, upstreams
+ * and table service, and records what callers and upstreams observed.
  *
  * @module
  */
@@ -29,7 +29,7 @@
 } from "../upstreams/mod.ts";
 import {
   createFakeStore,
-  createFakeTables,
+  createFakeTableService,
   createIo,
   type Io,
   IoError,
@@ -37,41 +37,41 @@
   runScheduled,
 } from "./fake_io.ts";
 
-/** The world that the fake hosts share. */
-export interface FakeWorld {
+/** What the fake hosts share. */
+export interface FakeEnvironment {
   readonly scheduler: fc.Scheduler;
   readonly store: ReturnType<typeof createFakeStore>;
   readonly history: Observation[];
-  readonly dead: Set<string>;
-  /** Scheduler steps that a timeout of a second lasts. */
-  readonly patience: number;
+  readonly crashedHosts: Set<string>;
+  /** Scheduler steps that a timeout of 0.5 s to 5 s lasts. */
+  readonly timeoutSteps: number;
   observe(body: ObservationBody): void;
 }
 
-/** Makes a world in which nothing happened. */
-export function createFakeWorld(
+/** Creates an environment with an empty store and history. */
+export function createFakeEnvironment(
   scheduler: fc.Scheduler,
-  patience = 15,
-): FakeWorld {
+  timeoutSteps = 15,
+): FakeEnvironment {
   const history: Observation[] = [];
   return {
     scheduler,
     store: createFakeStore(),
     history,
-    dead: new Set(),
-    patience,
+    crashedHosts: new Set(),
+    timeoutSteps,
     observe: (body) => history.push({ ...body, atMs: history.length }),
   };
 }
 
-/** A fake host. */
+/** A host with fake slots and upstreams. */
 export interface FakeHost {
   readonly id: string;
   readonly io: Io;
   readonly serveHost: ServeHost;
-  /** Slots that were granted and not given back. */
+  /** Number of slots that were granted and not released. */
   getSlotsInUse(): number;
-  getReleases(): number;
+  countReleases(): number;
 }
 
 const upstream: Upstream = {
@@ -83,7 +83,7 @@
   fencing: "ignores",
 };
 
-const noCrashes: Quarantine = {
+const emptyQuarantine: Quarantine = {
   getCrashes: () => 0,
   isQuarantined: () => false,
   recordCrash: () => Effect.succeed(1),
@@ -95,32 +95,36 @@
   refresh: Effect.void,
 };
 
-/** Makes a host; `claims` replaces the real ones, to show what they prevent. */
+/**
+ * Creates a host. `claims` replaces the real claims, to show which failures
+ * these prevent.
+ */
 export function createFakeHost(
-  world: FakeWorld,
+  env: FakeEnvironment,
   id: string,
   options: {
     readonly plan: IoPlan;
     readonly claims?: Claims;
-    /** Makes the upstreams that the host reaches. */
+    /** Creates the client of the host's upstreams. */
     readonly createUpstreams?: (io: Io) => UpstreamClient;
-    /** Called when a slot goes back that was used. */
+    /** Called when a slot that was used is released. */
     readonly onRelease?: () => void;
   },
 ): FakeHost {
-  const { scheduler } = world;
+  const { scheduler } = env;
   const io = createIo(scheduler, options.plan);
-  void io.died.then(() => world.dead.add(id));
+  void io.crashed.then(() => env.crashedHosts.add(id));
   const clock = createManualClock(1_000_000);
   const slots = createFakeSlots(scheduler, io, () => {
-    // Time passes with each slot, so that an upstream is not down for good.
+    // The clock advances with each slot, so that an upstream that is marked as
+    // down becomes available again.
     clock.advance(DOWN_PERIOD_MS / 2);
   }, options.onRelease);
   const claims = options.claims ?? createClaims({
     id,
     incarnation: 1,
     clock,
-    tables: createFakeTables(world.store, io),
+    tables: createFakeTableService(env.store, io),
     random: () => 0,
   });
   const serveHost: ServeHost = {
@@ -132,20 +136,20 @@
     slots: slots.client,
     claims,
     upstreams: options.createUpstreams?.(io) ??
-      createFakeUpstreams(world, io),
+      createFakeUpstreams(env, io),
     health: createUpstreamHealth(clock),
     occupancy: createUpstreamLocks(),
-    quarantine: noCrashes,
+    quarantine: emptyQuarantine,
     recorder: { record() {}, getSince: () => [] },
     backlog: createBacklog({ clock, random: () => 0 }),
     retryBudget: createRetryBudget(clock),
     getDeployment: () => undefined,
     isDraining: () => false,
     waitUntilDrainTimeout: Effect.never,
-    isProcessDead: (other) => world.dead.has(other),
+    isProcessDead: (other) => env.crashedHosts.has(other),
     charge() {},
     runDetached: (effect) =>
-      void runScheduled(scheduler, effect, world.patience),
+      void runScheduled(scheduler, effect, env.timeoutSteps),
     onEnded() {},
   };
   return {
@@ -153,7 +157,7 @@
     io,
     serveHost,
     getSlotsInUse: () => slots.counts.granted - slots.counts.released,
-    getReleases: () => slots.counts.released,
+    countReleases: () => slots.counts.released,
   };
 }
 
@@ -185,7 +189,7 @@
     acquire(req: AdmittedRequest, start: (slot: SlotHandle) => void) {
       waiting.add(req);
       void scheduler.schedule(Promise.resolve(), "grant").then(() => {
-        if (waiting.delete(req) && !io.isDead()) start(createHandle());
+        if (waiting.delete(req) && !io.hasCrashed()) start(createHandle());
       });
     },
     cancel: (req: AdmittedRequest) => waiting.delete(req),
@@ -193,9 +197,12 @@
   return { client: client as unknown as SlotClient, counts };
 }
 
-/** A plain service that notes what it runs; `getFailure` names a lost call. */
+/**
+ * Creates a plain service that records the calls it runs. `getFailure`
+ * classifies the error of a call that failed.
+ */
 export function createFakeUpstreams(
-  world: FakeWorld,
+  env: FakeEnvironment,
   io: Io,
   getFailure: (err: unknown) => UpstreamFailure = getCertainFailure,
 ): UpstreamClient {
@@ -204,7 +211,7 @@
       Effect.uninterruptible(Effect.tryPromise({
         try: () =>
           io.run("call", () => {
-            world.observe({
+            env.observe({
               kind: "upstream-ran",
               upstream: upstream.id,
               request: call.request,
@@ -226,14 +233,14 @@
   return err instanceof IoError && err.wasRefused ? "refused" : "broken";
 }
 
-/** What a sending came to. */
-export interface SendingEnd {
+/** Result of sending a request once. */
+export interface SendResult {
   readonly outcome: Outcome | "cut";
   readonly status: number;
   readonly body: string;
 }
 
-/** How the life of a request is run. */
+/** Serves a request from its admission to its response. */
 export type RunRequest = (
   host: ServeHost,
   admitted: AdmittedRequest,
@@ -241,16 +248,16 @@
   res: ServerResponse,
 ) => Effect.Effect<void, RequestRejected | CallerLost>;
 
-/** Sends a booking to the host and waits for its end or the host's death. */
+/** Sends a booking to the host and waits until it ends or the host crashes. */
 export async function sendBooking(
-  world: FakeWorld,
+  env: FakeEnvironment,
   host: FakeHost,
   options: {
     readonly run: RunRequest;
     readonly sending: string;
     readonly work: string;
   },
-): Promise<SendingEnd> {
+): Promise<SendResult> {
   const { run, sending, work } = options;
   const admitted: AdmittedRequest = {
     id: sending,
@@ -262,7 +269,7 @@
     expectedCost: 1,
     fingerprint: getDigest(work),
   };
-  world.observe({
+  env.observe({
     kind: "request-sent",
     sending,
     team: "alder",
@@ -271,17 +278,17 @@
     idempotent: false,
     work,
   });
-  const answer = { outcome: "", status: 0, body: "" };
-  const res = createFakeResponse(answer);
+  const response = { outcome: "", status: 0, body: "" };
+  const res = createFakeResponse(response);
   const served = runScheduled(
-    world.scheduler,
+    env.scheduler,
     run(host.serveHost, admitted, createCall(work), res).pipe(
       Effect.match({
-        onSuccess: (): SendingEnd => ({
-          ...answer,
-          outcome: answer.outcome as Outcome,
+        onSuccess: (): SendResult => ({
+          ...response,
+          outcome: response.outcome as Outcome,
         }),
-        onFailure: (err): SendingEnd =>
+        onFailure: (err): SendResult =>
           err._tag === "CallerLost"
             ? { outcome: "cut", status: 0, body: "" }
             : {
@@ -291,15 +298,15 @@
             },
       }),
     ),
-    world.patience,
+    env.timeoutSteps,
   );
-  const cut = host.io.died.then((): SendingEnd => ({
+  const cut = host.io.crashed.then((): SendResult => ({
     outcome: "cut",
     status: 0,
     body: "",
   }));
   const end = await Promise.race([served, cut]);
-  world.observe({
+  env.observe({
     kind: "request-ended",
     sending,
     outcome: end.outcome,
@@ -330,7 +337,7 @@
   };
 }
 
-/** A response that notes the head and the body, and never closes. */
+/** A response that records outcome, status and body, and never closes. */
 export function createFakeResponse(
   answer: { outcome: string; status: number; body: string },
 ): ServerResponse {
--- a/src/testing/fake_tables.ts
+++ b/src/testing/fake_tables.ts
@@ -1,7 +1,7 @@
 /**
- * The platform's tables as entry hosts find them: it can turn hosts away, keep
- * silent to them, keep its watches silent, drop its history, and come back from an
- * older copy. In virtual time.
+ * A fake of the platform's tables for entry hosts, in virtual time. It can
+ * reject hosts, leave their calls unanswered, pause its watches, drop its
+ * history, and restore itself from an older backup.
  *
  * @module
  */
@@ -22,38 +22,38 @@
 import type { RoutingConfig } from "../routing/mod.ts";
 import { createRoutingConfig, createUpstreamEntry } from "./routing_fixture.ts";
 
-/** How the platform treats a host. */
+/** How the platform handles a host's calls. */
 export type Treatment = "served" | "refused" | "silent";
 
-/** The platform as tests set it. */
+/** The platform with the controls of a test. */
 export interface FakeTables {
-  /** Puts a configuration in place, as operators do. */
-  put(version: number): void;
-  /** Replaces the upstreams that are registered. */
+  /** Writes a configuration, as operators do. */
+  putConfig(version: number): void;
+  /** Replaces the registered upstreams. */
   putUpstreams(ids: readonly string[]): void;
-  treat(host: string, treatment: Treatment): void;
-  /** As the platform treats a host that asks for this table. */
-  treatTable(host: string, table: TableName, treatment: Treatment): void;
-  /** Watches hear nothing until the time given, in ms. */
-  silenceUntil(ms: number): void;
-  /** Watches from an older version are told that the history is gone. */
+  setTreatment(host: string, treatment: Treatment): void;
+  /** Sets how the platform handles the host's calls for this table. */
+  setTableTreatment(host: string, table: TableName, treatment: Treatment): void;
+  /** Watches report no change until the time given, in ms. */
+  pauseWatchesUntil(ms: number): void;
+  /** Watches from an older version fail, since the history is lost. */
   dropHistory(): void;
-  /** Comes back as it was so long ago, in ms, with the next era. */
-  rewind(ms: number): void;
-  /** Calls of all hosts so far, those without an answer included. */
+  /** Restores the state of `ms` milliseconds ago, with the next era. */
+  restoreBackup(ms: number): void;
+  /** Number of calls by all hosts so far, with those that got no response. */
   countCalls(): number;
-  /** The platform as the host finds it. */
+  /** Creates the host's client of the platform. */
   createPlatform(host: string): EntryPlatform;
 }
 
 interface FakeTable<T> {
   changedVersion: number;
   rows: readonly TableRow<T>[];
-  /** Of all rows that ever were. */
+  /** Keys of all rows that were ever written. */
   readonly keys: Set<string>;
 }
 
-/** All tables as of a moment. */
+/** All tables at one point in time. */
 interface Snapshot {
   readonly atMs: number;
   readonly version: number;
@@ -61,16 +61,16 @@
   readonly upstreams: FakeTable<UpstreamEntry>;
 }
 
-/** Step in which a watch looks for news, in ms. */
-const STEP_MS = 10;
+/** Interval at which a watch checks for changes, in ms. */
+const WATCH_POLL_MS = 10;
 
-/** Time after which a client gives a silent platform up, besides its wait. */
-const ANSWER_LIMIT_MS = 700;
+/** Time, besides a watch's wait, after which an unanswered call times out. */
+const RESPONSE_TIMEOUT_MS = 700;
 
-/** A call to the platform, in ms. */
-const CALL_MS = 5;
+/** Duration of a call to the platform, in ms. */
+const CALL_DURATION_MS = 5;
 
-/** Makes a platform that serves all hosts and has no rows. */
+/** Creates a platform that serves all hosts and has no rows. */
 export function createFakeTables(clock: Clock): FakeTables {
   const treatments: Readonly<Record<TableName, Map<string, Treatment>>> = {
     config: new Map(),
@@ -89,8 +89,8 @@
   const snapshots: Snapshot[] = [];
   let era = 1;
   let version = 1;
-  let keptFrom = 0;
-  let silentUntilMs = 0;
+  let oldestVersion = 0;
+  let pausedUntilMs = 0;
   let calls = 0;
 
   function takeSnapshot(): void {
@@ -102,7 +102,7 @@
     });
   }
 
-  /** Both tables count by the platform's one version. */
+  /** The platform has one version, which all tables share. */
   function setRows<T>(
     table: FakeTable<T>,
     rows: readonly TableRow<T>[],
@@ -113,10 +113,10 @@
     takeSnapshot();
   }
 
-  /** A row that is there stays as it was written. */
-  function putUpstream(id: string): TableRow<UpstreamEntry> {
-    const known = upstreams.rows.find((each) => each.key === id);
-    return known ?? { key: id, version, value: createUpstreamEntry({ id }) };
+  /** An existing row keeps the version at which it was written. */
+  function getOrCreateRow(id: string): TableRow<UpstreamEntry> {
+    const existing = upstreams.rows.find((each) => each.key === id);
+    return existing ?? { key: id, version, value: createUpstreamEntry({ id }) };
   }
 
   function getRemoved<T>(table: FakeTable<T>): readonly string[] {
@@ -128,33 +128,33 @@
     return Effect.sync(() => ({ era, version, rows: table.rows }));
   }
 
-  function follow<T>(
+  function pollChanges<T>(
     table: FakeTable<T>,
     after: number,
     waitMs: number,
   ): Effect.Effect<TableChange<T>, TableError> {
     return Effect.suspend(() => {
-      const isSilent = clock.monotonicMs() < silentUntilMs;
-      if (!isSilent && (after < keptFrom || after > version)) {
-        const reason = "The history is gone";
+      const isPaused = clock.monotonicMs() < pausedUntilMs;
+      if (!isPaused && (after < oldestVersion || after > version)) {
+        const reason = "The history is lost";
         return Effect.fail(new TableError({ kind: "history-lost", reason }));
       }
-      const hasNews = !isSilent && table.changedVersion > after;
-      if (hasNews || waitMs <= 0) {
+      const hasChanges = !isPaused && table.changedVersion > after;
+      if (hasChanges || waitMs <= 0) {
         return Effect.succeed({
           era,
-          version: isSilent ? after : version,
-          changed: hasNews ? table.rows : [],
-          removed: hasNews ? getRemoved(table) : [],
+          version: isPaused ? after : version,
+          changed: hasChanges ? table.rows : [],
+          removed: hasChanges ? getRemoved(table) : [],
         });
       }
-      return Effect.sleep(STEP_MS).pipe(
-        Effect.andThen(follow(table, after, waitMs - STEP_MS)),
+      return Effect.sleep(WATCH_POLL_MS).pipe(
+        Effect.andThen(pollChanges(table, after, waitMs - WATCH_POLL_MS)),
       );
     });
   }
 
-  /** A call by the host, as it is treated when the call begins. */
+  /** Handles a call by the host's treatment at the beginning of the call. */
   function call<A>(
     host: string,
     table: TableName,
@@ -167,11 +167,13 @@
       calls++;
       const treatment = treatments[table].get(host) ?? "served";
       if (treatment === "served") {
-        return Effect.sleep(CALL_MS).pipe(Effect.andThen(options.answer));
+        return Effect.sleep(CALL_DURATION_MS).pipe(
+          Effect.andThen(options.answer),
+        );
       }
       const afterMs = treatment === "refused"
-        ? CALL_MS
-        : options.waitMs + ANSWER_LIMIT_MS;
+        ? CALL_DURATION_MS
+        : options.waitMs + RESPONSE_TIMEOUT_MS;
       const err = new TableError({ kind: "unreachable", reason: treatment });
       return Effect.sleep(afterMs).pipe(Effect.andThen(Effect.fail(err)));
     });
@@ -185,34 +187,34 @@
     return {
       read: () => call(host, name, { waitMs: 0, answer: read(table) }),
       pollChanges: (after, waitMs) =>
-        call(host, name, { waitMs, answer: follow(table, after, waitMs) }),
+        call(host, name, { waitMs, answer: pollChanges(table, after, waitMs) }),
     };
   }
 
   return {
-    put(next) {
+    putConfig(next) {
       const value = createRoutingConfig({ version: next });
       version++;
       setRows(config, [{ key: "config", version, value }]);
     },
     putUpstreams(ids) {
       version++;
-      setRows(upstreams, ids.map(putUpstream));
+      setRows(upstreams, ids.map(getOrCreateRow));
     },
-    treat(host, treatment) {
+    setTreatment(host, treatment) {
       for (const name of TABLE_NAMES) treatments[name].set(host, treatment);
     },
-    treatTable: (host, table, treatment) =>
+    setTableTreatment: (host, table, treatment) =>
       void treatments[table].set(host, treatment),
-    silenceUntil: (ms) => silentUntilMs = ms,
-    dropHistory: () => keptFrom = version,
-    rewind(ms) {
+    pauseWatchesUntil: (ms) => pausedUntilMs = ms,
+    dropHistory: () => oldestVersion = version,
+    restoreBackup(ms) {
       const untilMs = clock.monotonicMs() - ms;
       const old = snapshots.findLast((each) => each.atMs <= untilMs);
       if (old === undefined) return;
       snapshots.length = snapshots.indexOf(old) + 1;
       era++;
-      keptFrom = 0;
+      oldestVersion = 0;
       version = old.version;
       Object.assign(config, old.config);
       Object.assign(upstreams, old.upstreams);
--- a/src/testing/fleet_processes.ts
+++ b/src/testing/fleet_processes.ts
@@ -1,6 +1,6 @@
 /**
- * A whole deployment as processes on loopback: platform, upstreams, routers, and
- * the example's files applied through `azurestile-apply`.
+ * A whole deployment as processes on loopback: platform, upstreams and routers.
+ * `azurestile-apply` applies the example's files.
  *
  * @module
  */
@@ -30,18 +30,18 @@
   type ProcessGroup,
   type StartedProcess,
 } from "./processes.ts";
-import { type Relay, type RelayPlace, startRelay } from "./relay.ts";
+import { type Relay, type RelaySpec, startRelay } from "./relay.ts";
 
-/** The examples that can be run. */
+/** Names of the example deployments. */
 export type ExampleName = "ikeja" | "kvinta";
 
-/** A router's place in the run. */
-export interface RouterPlace {
+/** Id, data centre and addresses of a router. */
+export interface RouterSpec {
   readonly id: string;
   readonly dataCentre: string;
   readonly publicAddress: string;
   readonly peerAddress: string;
-  /** Where it listens itself; differs from `peerAddress` behind a relay. */
+  /** Address where it listens; differs from `peerAddress` behind a relay. */
   readonly peerBindAddress: string;
 }
 
@@ -50,9 +50,9 @@
   readonly routers: number;
   /** Added to every port. */
   readonly portShift: number;
-  /** Puts relays before upstreams and before the routers' peer addresses. */
+  /** Whether to put relays before upstreams and routers' peer addresses. */
   readonly withRelays?: boolean;
-  /** Called with each line that an upstream writes. */
+  /** Called with each line of an upstream's standard output. */
   readonly onUpstreamLine?: (upstream: string, line: string) => void;
 }
 
@@ -61,24 +61,24 @@
   readonly deployment: Deployment;
   readonly folder: string;
   readonly group: ProcessGroup;
-  readonly routers: readonly RouterPlace[];
+  readonly routers: readonly RouterSpec[];
   readonly platformAddress: string;
   /** Relays by the id of the upstream or router behind them. */
   readonly relays: ReadonlyMap<string, Relay>;
-  startRouter(place: RouterPlace): StartedProcess;
+  startRouter(router: RouterSpec): StartedProcess;
   startUpstream(id: string): StartedProcess;
-  /** Where the upstream itself listens, past its relay. */
+  /** Address where the upstream listens, behind its relay if there is one. */
   getDirectAddress(upstream: string): string;
   /** Runs `azurestile-apply` on the example's files. */
   apply(): Promise<void>;
-  /** Waits until every router is ready; throws after the limit. */
-  waitUntilReady(limitMs: number): Promise<void>;
+  /** Waits until all routers are ready, each up to the time-out in ms. */
+  waitUntilReady(timeoutMs: number): Promise<void>;
 }
 
-/** Key of the operator that the run uses. */
+/** API key of the operator of the run. */
 export const OPERATOR_KEY = "key-of-the-demo-operator";
 
-/** Key of a team in the examples. */
+/** API key of a team in the examples. */
 export function getTeamKey(team: string): string {
   return `key-of-${team}`;
 }
@@ -86,7 +86,7 @@
 const PLATFORM_PORT = 21_000;
 const PUBLIC_PORT = 21_001;
 const PEER_PORT = 21_051;
-const RELAYED_PORTS = 500;
+const RELAY_PORT_OFFSET = 500;
 const EXAMPLES = fileURLToPath(new URL("../../examples", import.meta.url));
 
 /** Starts platform, upstreams and routers; `portShift` moves every port. */
@@ -102,22 +102,24 @@
   const deployment = decodeFileSet(files);
   const deploymentFolder = join(folder, "deployment");
   writeFileSet(deploymentFolder, files);
-  // A key on the command line would show in the list of processes.
+  // A key on the command line would be visible in the list of processes.
   const keyFile = join(folder, "operator.key");
   writeFileSync(keyFile, OPERATOR_KEY, { mode: 0o600 });
   const group = createProcessGroup(folder);
   const platformAddress = `127.0.0.1:${PLATFORM_PORT + options.portShift}`;
-  const routers = getPlaces(deployment, options);
+  const routers = createRouterSpecs(deployment, options);
   const relays = new Map<string, Relay>();
   if (options.withRelays) {
-    for (const place of getRelayPlaces(deployment, routers)) {
-      relays.set(place.id, await startRelay(place));
+    for (const spec of createRelaySpecs(deployment, routers)) {
+      relays.set(spec.id, await startRelay(spec));
     }
   }
 
   function getDirectAddress(id: string): string {
     const { address } = deployment.upstreams.find((each) => each.id === id)!;
-    return options.withRelays ? moveAddress(address, RELAYED_PORTS) : address;
+    return options.withRelays
+      ? shiftAddress(address, RELAY_PORT_OFFSET)
+      : address;
   }
 
   function startUpstream(id: string): StartedProcess {
@@ -126,26 +128,26 @@
       each.id === upstream.service
     )!;
     const port = getDirectAddress(id).split(":")[1]!;
-    return group.start(id, "testing/stand_in_upstream.js", {
+    return group.start(id, "testing/fake_upstream_server.js", {
       args: [id, port, service.kind, upstream.fencing],
       onLine: (line) => options.onUpstreamLine?.(id, line),
     });
   }
 
-  function startRouter(place: RouterPlace): StartedProcess {
-    const file = join(folder, `${place.id}.toml`);
-    writeFileSync(file, createSettings(place, platformAddress));
+  function startRouter(router: RouterSpec): StartedProcess {
+    const file = join(folder, `${router.id}.toml`);
+    writeFileSync(file, createSettings(router, platformAddress));
     const args = ["--settings", file];
-    return group.start(place.id, "bin/azurestile_router.js", { args });
+    return group.start(router.id, "bin/azurestile_router.js", { args });
   }
 
-  group.start("platform", "testing/stand_in_platform.js", {
+  group.start("platform", "testing/fake_platform_server.js", {
     args: [platformAddress.split(":")[1]!],
   });
   for (const { id } of deployment.upstreams) startUpstream(id);
   await waitFor(() => setMachines(platformAddress, routers), 5_000);
-  for (const place of routers) startRouter(place);
-  for (const place of routers) await waitForPath(place, "/healthz", 15_000);
+  for (const router of routers) startRouter(router);
+  for (const router of routers) await waitForPath(router, "/healthz", 15_000);
 
   return {
     deployment,
@@ -174,9 +176,9 @@
       const output = readFileSync(join(folder, "apply.log"), "utf8");
       throw new Error(`azurestile-apply failed: ${output}`);
     },
-    async waitUntilReady(limitMs) {
-      for (const place of routers) {
-        await waitForPath(place, "/readyz", limitMs);
+    async waitUntilReady(timeoutMs) {
+      for (const router of routers) {
+        await waitForPath(router, "/readyz", timeoutMs);
       }
     },
     async [Symbol.asyncDispose]() {
@@ -187,28 +189,28 @@
   };
 }
 
-/** Asks again until the check holds; throws after the limit in ms. */
+/** Polls until the check succeeds; throws after the time-out in ms. */
 export async function waitFor(
   check: () => Promise<boolean>,
-  limitMs: number,
+  timeoutMs: number,
 ): Promise<void> {
-  const endMs = Date.now() + limitMs;
+  const endMs = Date.now() + timeoutMs;
   while (Date.now() < endMs) {
     if (await check().catch(() => false)) return;
     await sleep(100);
   }
-  throw new Error(`Not so within ${limitMs} ms: ${check}`);
+  throw new Error(`Condition not met within ${timeoutMs} ms: ${check}`);
 }
 
 function waitForPath(
-  place: RouterPlace,
+  router: RouterSpec,
   path: string,
-  limitMs: number,
+  timeoutMs: number,
 ): Promise<void> {
   return waitFor(async () => {
-    const res = await fetch(`http://${place.publicAddress}${path}`);
+    const res = await fetch(`http://${router.publicAddress}${path}`);
     return res.ok;
-  }, limitMs);
+  }, timeoutMs);
 }
 
 function shiftPorts(files: FileSet, shift: number): FileSet {
@@ -229,10 +231,10 @@
   }
 }
 
-function getPlaces(
+function createRouterSpecs(
   deployment: Deployment,
   options: FleetOptions,
-): readonly RouterPlace[] {
+): readonly RouterSpec[] {
   const { dataCentres } = deployment;
   return Array.from({ length: options.routers }, (_, index) => {
     const dataCentre = dataCentres[index % dataCentres.length]!.id;
@@ -243,48 +245,48 @@
       publicAddress: `127.0.0.1:${PUBLIC_PORT + shift}`,
       peerAddress: `127.0.0.1:${PEER_PORT + shift}`,
       peerBindAddress: `127.0.0.1:${
-        PEER_PORT + shift + (options.withRelays ? RELAYED_PORTS : 0)
+        PEER_PORT + shift + (options.withRelays ? RELAY_PORT_OFFSET : 0)
       }`,
     };
   });
 }
 
-function moveAddress(address: string, ports: number): string {
+function shiftAddress(address: string, ports: number): string {
   const [host, port] = address.split(":");
   return `${host}:${Number(port) + ports}`;
 }
 
-function getRelayPlaces(
+function createRelaySpecs(
   deployment: Deployment,
-  routers: readonly RouterPlace[],
-): readonly (RelayPlace & { readonly id: string })[] {
+  routers: readonly RouterSpec[],
+): readonly (RelaySpec & { readonly id: string })[] {
   const hosts = new Map(
-    routers.map((place) => [place.peerBindAddress, place.id]),
+    routers.map((router) => [router.peerBindAddress, router.id]),
   );
   const getDatagramSource = (address: string) => hosts.get(address) ?? "";
   const upstreams = deployment.upstreams.map((upstream) => ({
     id: upstream.id,
     from: upstream.address,
-    to: moveAddress(upstream.address, RELAYED_PORTS),
+    to: shiftAddress(upstream.address, RELAY_PORT_OFFSET),
     datagrams: false,
     getDatagramSource,
   }));
-  const peers = routers.map((place) => ({
-    id: place.id,
-    from: place.peerAddress,
-    to: place.peerBindAddress,
+  const peers = routers.map((router) => ({
+    id: router.id,
+    from: router.peerAddress,
+    to: router.peerBindAddress,
     datagrams: true,
     getDatagramSource,
   }));
   return [...upstreams, ...peers];
 }
 
-function createSettings(place: RouterPlace, platformAddress: string): string {
-  return `host = "${place.id}"
-data_centre = "${place.dataCentre}"
-public_address = "${place.publicAddress}"
-peer_address = "${place.peerAddress}"
-peer_bind_address = "${place.peerBindAddress}"
+function createSettings(router: RouterSpec, platformAddress: string): string {
+  return `host = "${router.id}"
+data_centre = "${router.dataCentre}"
+public_address = "${router.publicAddress}"
+peer_address = "${router.peerAddress}"
+peer_bind_address = "${router.peerBindAddress}"
 platform_address = "${platformAddress}"
 fleet_secret = "secret-of-the-demo-fleet"
 log_level = "info"
@@ -297,13 +299,13 @@
 
 async function setMachines(
   platformAddress: string,
-  routers: readonly RouterPlace[],
+  routers: readonly RouterSpec[],
 ): Promise<boolean> {
-  const entries: ListedMachine[] = routers.map((place) => ({
-    id: place.id,
+  const entries: ListedMachine[] = routers.map((router) => ({
+    id: router.id,
     role: "router",
-    dataCentre: place.dataCentre,
-    address: place.peerAddress,
+    dataCentre: router.dataCentre,
+    address: router.peerAddress,
     state: "live",
   }));
   const res = await fetch(`http://${platformAddress}/control/machines`, {
--- a/src/testing/forward_fixture.ts
+++ b/src/testing/forward_fixture.ts
@@ -1,6 +1,6 @@
 /**
- * An entry host's forwarding on loopback, between a caller and upstreams that
- * answer as the test says, byte by byte.
+ * An entry host's forwarding on loopback, between a caller and upstreams whose
+ * responses the test controls byte by byte.
  *
  * @module
  */
@@ -33,87 +33,87 @@
   createUpstreamEntry,
 } from "./routing_fixture.ts";
 
-/** What a stand-in upstream does with a request. */
+/** What a fake upstream does with a request. */
 export type Behaviour = (
   socket: Socket,
   request: { readonly text: string; readonly id: string },
 ) => void;
 
-/** An answer as the caller got it. */
-export interface CallerAnswer {
+/** A response as the caller received it. */
+export interface CallerResponse {
   readonly status: number;
   readonly headers: IncomingHttpHeaders;
   readonly body: string;
-  /** The connection closed before the end of the answer. */
-  readonly isCut: boolean;
+  /** Whether the connection closed before the end of the response. */
+  readonly isTruncated: boolean;
 }
 
-/** A host with its upstreams. */
+/** An entry host with its upstreams. */
 export interface ForwardFixture extends AsyncDisposable {
-  /** Sends a request and waits for its end. */
-  call(options?: CallOptions): Promise<CallerAnswer>;
-  /** Sends a request's head alone; gives what comes first of the answer. */
+  /** Sends a request and waits for its response to end. */
+  call(options?: CallOptions): Promise<CallerResponse>;
+  /** Sends only the head of a request; resolves to the first response bytes. */
   sendHead(): Promise<string>;
-  /** Sends a request and closes without a moment between. */
+  /** Sends a request and half-closes the connection immediately. */
   sendAndClose(): Promise<void>;
-  /** Sends a request; gives its connection at once. */
+  /** Sends a request and returns its connection. */
   sendRaw(id: string): Socket;
-  /** Looks at the queue again and again, as an entry host does. */
-  startLooks(): Disposable;
-  /** Reading that counts at the first upstream, in tokens. */
+  /** Runs scheduling passes periodically, as an entry host does. */
+  startSchedulingPasses(): Disposable;
+  /** Prefill tokens that count as outstanding at the first upstream. */
   getReadingTokens(): number;
-  /** Requests that have reached upstreams, by upstream. */
+  /** The upstream of each request that has arrived at one, in order. */
   readonly arrivals: readonly string[];
   readonly log: readonly Decision[];
-  readonly delay: Delay;
-  readonly paced: Paced;
+  readonly controls: Controls;
+  readonly recordedPacing: RecordedPacing;
 }
 
-/** What the service's pacing was told. */
-export interface Paced {
-  /** What upstreams had to read before first events, in tokens. */
+/** What was recorded in the service's pacing. */
+export interface RecordedPacing {
+  /** Prefill tokens at the upstream before each first event. */
   readonly firstEvents: number[];
-  /** Whether answers paused past their target. */
+  /** For each inter-event pause, whether it exceeded its target. */
   readonly pauses: boolean[];
 }
 
-/** How busy host and upstreams are; set by tests. */
-export interface Delay {
-  isBehind: boolean;
+/** Simulated load of the host and its upstreams; set by tests. */
+export interface Controls {
+  isOverloaded: boolean;
   unreadMs: number;
   /** Requests in flight at each upstream. */
   inFlight: number;
-  /** What each team was given, over its share. */
+  /** Service that each team received, divided by its share. */
   shareUsed: number;
-  /** Called with each decision as it is logged. */
+  /** Called with each decision when it is logged. */
   onDecision(decision: Decision): void;
 }
 
-/** A request of the caller. */
+/** Options of a caller's request. */
 export interface CallOptions {
   readonly id?: string;
   readonly body?: string;
   readonly key?: string;
-  /** Closes the connection after so long, in ms. */
-  readonly leaveAfterMs?: number;
+  /** Time after which the caller closes the connection, in ms. */
+  readonly disconnectAfterMs?: number;
 }
 
-/** What an upstream may have to read at once. */
-const LIMIT_TOKENS = 14_000;
+/** Most prefill tokens that may be outstanding at an upstream. */
+const PREFILL_LIMIT_TOKENS = 14_000;
 
-/** Between two looks at the queue, in ms. */
-const LOOK_PERIOD_MS = 10;
+/** Interval between two scheduling passes, in ms. */
+const SCHEDULING_PERIOD_MS = 10;
 
-/** A request of this id meets a fault of the program. */
-export const FAULTY_ID = "faulty";
+/** Parsing a request with this id throws, as on a fault of the program. */
+export const INTERNAL_ERROR_ID = "faulty";
 
-/** The product's own header names, for tests. */
+/** A codec with short header names for tests. */
 export function createTestCodec(): CallCodec {
   return {
     tryReadCall(req) {
       const id = req.headers["x-id"];
       if (typeof id !== "string") return undefined;
-      if (id === FAULTY_ID) throw new TypeError("Meant by the test");
+      if (id === INTERNAL_ERROR_ID) throw new TypeError("Thrown by the test");
       return {
         requestId: id,
         callerTimeoutMs: 4_000,
@@ -150,7 +150,7 @@
   };
 }
 
-/** Starts a host before upstreams that behave as given. */
+/** Starts an entry host with upstreams that behave as given. */
 export async function createForwardFixture(
   behaviours: readonly Behaviour[],
   routeChanges: Partial<Route> = {},
@@ -180,20 +180,20 @@
   );
   const route = createRoute({ hasPrompts: false, ...routeChanges });
   const routes = createRouteTable(createRoutingConfig({ routes: [route] }));
-  const delay: Delay = {
-    isBehind: false,
+  const controls: Controls = {
+    isOverloaded: false,
     unreadMs: 0,
     inFlight: 0,
     shareUsed: 0,
     onDecision: () => {},
   };
-  const paced: Paced = { firstEvents: [], pauses: [] };
+  const recordedPacing: RecordedPacing = { firstEvents: [], pauses: [] };
   const host = createHost(directory, {
-    delay,
-    paced,
+    controls,
+    recordedPacing,
     log(decision) {
       log.push(decision);
-      delay.onDecision(decision);
+      controls.onDecision(decision);
     },
     tryGetRoutes: () => routes,
   });
@@ -206,13 +206,14 @@
   return {
     arrivals,
     log,
-    delay,
-    paced,
+    controls,
+    recordedPacing,
     call: (options = {}) => send(port, options),
     sendHead: () => sendHead(port),
     sendAndClose: () => sendAndClose(port),
     sendRaw: (id) => sendRaw(port, id),
-    startLooks: () => startTicker(LOOK_PERIOD_MS, { decide: host.queue.tick }),
+    startSchedulingPasses: () =>
+      startTicker(SCHEDULING_PERIOD_MS, { decide: host.queue.tick }),
     getReadingTokens: () => host.load.getReadingTokens("up-0"),
     async [Symbol.asyncDispose]() {
       host.agent.destroy();
@@ -226,8 +227,8 @@
 function createHost(
   directory: ForwardHost["directory"],
   parts: Pick<ForwardHost, "log" | "tryGetRoutes"> & {
-    readonly delay: Delay;
-    readonly paced: Paced;
+    readonly controls: Controls;
+    readonly recordedPacing: RecordedPacing;
   },
 ): ForwardHost {
   const clock = systemClock;
@@ -239,9 +240,10 @@
     getLearned: () => [],
   });
   const pacing: Pacing = {
-    recordFirstEvent: (tokens) => void parts.paced.firstEvents.push(tokens),
-    recordPause: (isLate) => void parts.paced.pauses.push(isLate),
-    getLimitTokens: () => LIMIT_TOKENS,
+    recordFirstEvent: (tokens) =>
+      void parts.recordedPacing.firstEvents.push(tokens),
+    recordPause: (isLate) => void parts.recordedPacing.pauses.push(isLate),
+    getLimitTokens: () => PREFILL_LIMIT_TOKENS,
     getStats: () => EMPTY_PACING_STATS,
   };
   return {
@@ -259,16 +261,16 @@
       nowMs: clock.monotonicMs,
       getLoad: () => ({
         slots: 48,
-        inFlight: parts.delay.inFlight,
+        inFlight: parts.controls.inFlight,
         readingTokens: 0,
         underservedElsewhere: 0,
       }),
-      getShareUsed: () => parts.delay.shareUsed,
+      getShareUsed: () => parts.controls.shareUsed,
       isOverserved: () => false,
       isUnderserved: () => false,
       onUnderservedWaiting: () => {},
       getMeanEfficiency: () => 0,
-      getLimitTokens: () => LIMIT_TOKENS,
+      getLimitTokens: () => PREFILL_LIMIT_TOKENS,
       random: () => 0.5,
       onStart: (_prompt, upstream, readingTokens) =>
         load.beginPrefill(upstream, readingTokens),
@@ -282,9 +284,9 @@
     }),
     retryBudget: createRetryBudget(clock),
     getDistance: () => "same-data-centre",
-    isOverloaded: () => parts.delay.isBehind,
+    isOverloaded: () => parts.controls.isOverloaded,
     getTurnOverrunMs: () => 0,
-    getUnreadMs: () => parts.delay.unreadMs,
+    getUnreadMs: () => parts.controls.unreadMs,
     mayStartRequest: () => true,
     getInputs: () => ({
       configVersion: 1,
@@ -353,7 +355,7 @@
   });
 }
 
-function send(port: number, options: CallOptions): Promise<CallerAnswer> {
+function send(port: number, options: CallOptions): Promise<CallerResponse> {
   const { id = "request-1", body = "{}", key = "key-of-fitters" } = options;
   return new Promise((resolve, reject) => {
     const req = request({
@@ -372,12 +374,12 @@
           status: res.statusCode ?? 0,
           headers: res.headers,
           body: Buffer.concat(chunks).toString(),
-          isCut: !res.complete,
+          isTruncated: !res.complete,
         }));
     });
     req.on("error", reject);
-    if (options.leaveAfterMs !== undefined) {
-      setTimeout(() => req.destroy(), options.leaveAfterMs);
+    if (options.disconnectAfterMs !== undefined) {
+      setTimeout(() => req.destroy(), options.disconnectAfterMs);
     }
     req.end(body);
   });
--- a/src/testing/measure_fairness.ts
+++ b/src/testing/measure_fairness.ts
@@ -1,8 +1,8 @@
 /**
- * Measures the fairness gap, the use of the engines and small teams' waits on
- * real processes: every team keeps more requests open than the engines have
- * slots for, half of the teams through a single host each. The last line is one
- * JSON object; exit code 1 when the gap is over the derived bound.
+ * Measures the fairness gap and the use of the engines on real processes. Every
+ * team keeps more requests open than the engines have slots, half of the teams
+ * through a single host each. The last line of output is a JSON object; the
+ * exit code is 1 if the gap exceeds the derived bound.
  *
  * @module
  */
@@ -26,8 +26,9 @@
 /** Open requests of a team for each unit of its weight. */
 const OPEN_PER_WEIGHT = 12;
 
-const SHORTEST = 20;
-const LONGEST = 200;
+/** Range of the length of responses, in tokens. */
+const MIN_TOKENS = 20;
+const MAX_TOKENS = 200;
 const WARM_UP_MS = 10_000;
 const SAMPLE_MS = 500;
 const LAG_SECONDS = 3;
@@ -36,7 +37,7 @@
   readonly service: Service;
   readonly caller: Caller;
   readonly random: () => number;
-  /** Tokens of ended answers by team. */
+  /** Tokens of completed responses, by team. */
   readonly served: Map<string, number>;
   readonly ends: Map<string, number>;
   isOver: boolean;
@@ -67,7 +68,7 @@
     const open = fleet.deployment.teams.flatMap((team) =>
       Array.from(
         { length: team.weight * OPEN_PER_WEIGHT },
-        () => keepOpen(run, team),
+        () => keepRequestOpen(run, team),
       )
     );
     await sleep(WARM_UP_MS);
@@ -84,16 +85,16 @@
 
 function createRun(fleet: FleetProcesses, random: () => number): Run {
   const { teams, services } = fleet.deployment;
-  const single = new Map(
+  const singleHostTeams = new Map(
     teams.filter((_, index) => index % 2 === 0)
       .map((team, index) => [team.id, index]),
   );
   const caller = createCaller(
-    fleet.routers.map((place) => place.publicAddress),
+    fleet.routers.map((router) => router.publicAddress),
     random,
     {
       choose(team, addresses) {
-        const index = single.get(team);
+        const index = singleHostTeams.get(team);
         if (index === undefined) return addresses;
         const sorted = [...addresses].sort();
         return [sorted[index % sorted.length]!];
@@ -112,10 +113,12 @@
 }
 
 /** Keeps one request of the team open until the run is over. */
-async function keepOpen(run: Run, team: Team): Promise<void> {
+async function keepRequestOpen(run: Run, team: Team): Promise<void> {
   const { caller, random, served, ends } = run;
   for (let count = 0; !run.isOver; count++) {
-    const tokens = Math.floor(SHORTEST + random() * (LONGEST - SHORTEST));
+    const tokens = Math.floor(
+      MIN_TOKENS + random() * (MAX_TOKENS - MIN_TOKENS),
+    );
     const end = await caller.send({
       team: team.id,
       service: run.service.id,
@@ -154,7 +157,7 @@
   );
   const bound = getGapBound({
     weights: teams.map((team) => team.weight),
-    largestCost: LONGEST,
+    largestCost: MAX_TOKENS,
     slots,
     servicePerSecond: tokens / ranSeconds,
     lagSeconds: LAG_SECONDS,
@@ -170,7 +173,7 @@
   };
 }
 
-/** Streams that run at the engines, as they say a second late. */
+/** Number of streams that run at the engines, whose reports lag by 1 s. */
 async function countRunning(addresses: readonly string[]): Promise<number> {
   const loads = await Promise.all(addresses.map(async (address) => {
     const res = await fetch(`http://${address}/load`);
--- /dev/null
+++ b/src/testing/platform_view_fleet.ts
@@ -0,0 +1,228 @@
+/**
+ * Entry hosts with real views of the platform's tables, in virtual time. Hosts
+ * can be killed and restarted, partitioned from one another, and lose a share
+ * of their datagrams.
+ *
+ * @module
+ */
+
+import { setImmediate } from "node:timers/promises";
+import * as Effect from "effect/Effect";
+import * as Fiber from "effect/Fiber";
+import * as TestClock from "effect/testing/TestClock";
+import type { Decision } from "../diagnostics/mod.ts";
+import {
+  createPlatformView,
+  type FetchOutcome,
+  type PlatformView,
+} from "../entry/platform_view.ts";
+import { createVirtualScheduler } from "../measure/virtual_scheduler.ts";
+import { createRandom } from "../measure/random.ts";
+import type { Fact } from "../membership/mod.ts";
+import {
+  createFakeTables,
+  type FakeTables,
+  type Treatment,
+} from "./fake_tables.ts";
+
+/** A logged decision and the host that logged it. */
+export interface LoggedDecision {
+  readonly host: string;
+  readonly decision: Decision;
+}
+
+/** Size and behaviour of a fleet. */
+export interface FleetOptions {
+  readonly hosts: number;
+  readonly seed?: number;
+  /** Whether hosts distribute tables to one another; default true. */
+  readonly distributesTables?: boolean;
+}
+
+/** Entry hosts with a fake platform, in virtual time. */
+export interface PlatformViewFleet {
+  readonly tables: FakeTables;
+  /** Peer addresses. */
+  readonly hosts: readonly string[];
+  nowMs(): number;
+  /** Outcomes of the hosts' fetches from one another. */
+  readonly fetches: readonly FetchOutcome[];
+  /** Decisions that the hosts have logged, in order. */
+  readonly loggedDecisions: readonly LoggedDecision[];
+  /** The host's view of the tables; `undefined` while the host is down. */
+  tryGetView(host: string): PlatformView | undefined;
+  /** Configuration version in force at each running host; 0 for none. */
+  getVersions(): readonly number[];
+  /** Advances the virtual time, in ms. */
+  run(ms: number): Effect.Effect<void>;
+  /** Starts the host with an empty view. */
+  startHost(host: string): Effect.Effect<void>;
+  killHost(host: string): Effect.Effect<void>;
+  /** Starts all hosts. */
+  readonly start: Effect.Effect<void>;
+  /** Begins or ends a partition of the host from all others. */
+  setPartitioned(host: string, isPartitioned: boolean): void;
+  /** Sets the share of datagrams that are lost from now on. */
+  setDatagramLoss(rate: number): void;
+  treatAll(treatment: Treatment): void;
+}
+
+/** Latency between two hosts of different regions, in ms. */
+const LINK_LATENCY_MS = 20;
+
+/** Time until the other hosts consider an unreachable host dead, in ms. */
+const FAILURE_DETECTION_MS = 800;
+
+/** Time-out of a fetch from a host that does not respond, in ms. */
+const FETCH_TIMEOUT_MS = 1_500;
+
+const STEP_MS = 10;
+
+interface RunningHost {
+  readonly view: PlatformView;
+  readonly fiber: Fiber.Fiber<never>;
+}
+
+/**
+ * Creates a fleet in which no host has started. Effects that use the fleet run
+ * in `runFleet`.
+ */
+export function createPlatformViewFleet(
+  options: FleetOptions,
+): PlatformViewFleet {
+  const { seed = 1, distributesTables = true } = options;
+  const scheduler = createVirtualScheduler();
+  const { clock } = scheduler;
+  const nowMs = clock.monotonicMs;
+  const tables = createFakeTables(clock);
+  const hosts = Array.from(
+    { length: options.hosts },
+    (_, at) => `10.0.0.${at + 1}:1`,
+  );
+  const lossRandom = createRandom(seed);
+  const runningHosts = new Map<string, RunningHost>();
+  const killedSinceMs = new Map<string, number>();
+  const isolatedSinceMs = new Map<string, number>();
+  const fetches: FetchOutcome[] = [];
+  const loggedDecisions: LoggedDecision[] = [];
+  let lastIncarnation = 0;
+  let lossRate = 0;
+
+  const isConnected = (from: string, to: string) =>
+    runningHosts.has(to) && !isolatedSinceMs.has(from) &&
+    !isolatedSinceMs.has(to);
+
+  const isLongAgo = (sinceMs: number | undefined) =>
+    sinceMs !== undefined && nowMs() - sinceMs > FAILURE_DETECTION_MS;
+
+  /** Hosts that the host considers alive, including itself. */
+  function getAlive(host: string): readonly string[] {
+    const isIsolated = isLongAgo(isolatedSinceMs.get(host));
+    return hosts.filter((each) =>
+      each === host ||
+      !isIsolated && !isLongAgo(isolatedSinceMs.get(each)) &&
+        !isLongAgo(killedSinceMs.get(each))
+    );
+  }
+
+  /** Sends the fact to all other hosts, which receive it one latency later. */
+  function broadcast(from: string, fact: Fact): void {
+    if (!distributesTables) return;
+    for (const to of hosts) {
+      if (to === from || lossRandom() < lossRate) continue;
+      scheduler.after(LINK_LATENCY_MS, () => {
+        if (isConnected(from, to)) runningHosts.get(to)!.view.receive(fact);
+      });
+    }
+  }
+
+  function fetchTable(
+    host: string,
+    peer: string,
+    name: string,
+  ): Promise<Uint8Array | undefined> {
+    return new Promise((resolve) => {
+      const answer = () =>
+        resolve(runningHosts.get(peer)?.view.tryGetTable(name));
+      if (isConnected(host, peer)) scheduler.after(2 * LINK_LATENCY_MS, answer);
+      else scheduler.after(FETCH_TIMEOUT_MS, () => resolve(undefined));
+    });
+  }
+
+  function createHost(host: string): PlatformView {
+    const send = (fact: Fact) => broadcast(host, fact);
+    lastIncarnation++;
+    return createPlatformView({
+      clock,
+      platform: tables.createPlatform(host),
+      peerAddress: host,
+      incarnation: lastIncarnation,
+      random: createRandom(seed * 1_000 + lastIncarnation),
+      log: (decision) => loggedDecisions.push({ host, decision }),
+      onFetched: (_, outcome) => fetches.push(outcome),
+      onPlatformRestored: () => {},
+      getHosts: () => getAlive(host),
+      pushFact: send,
+      spreadFact: send,
+      fetchTable: (name, peer) => fetchTable(host, peer, name),
+    });
+  }
+
+  function startHost(host: string): Effect.Effect<void> {
+    return Effect.gen(function* () {
+      const view = createHost(host);
+      killedSinceMs.delete(host);
+      const fiber = yield* Effect.forkDetach(view.run);
+      runningHosts.set(host, { view, fiber });
+    });
+  }
+
+  function killHost(host: string): Effect.Effect<void> {
+    return Effect.suspend(() => {
+      const running = runningHosts.get(host);
+      if (running === undefined) return Effect.void;
+      runningHosts.delete(host);
+      killedSinceMs.set(host, nowMs());
+      return Fiber.interrupt(running.fiber).pipe(Effect.asVoid);
+    });
+  }
+
+  const step = Effect.suspend(() => {
+    scheduler.runUntil(nowMs() + STEP_MS);
+    return TestClock.adjust(STEP_MS);
+  }).pipe(
+    // Fetched tables arrive as promises, which need the event loop to settle.
+    Effect.andThen(Effect.promise(() => setImmediate())),
+  );
+
+  return {
+    tables,
+    hosts,
+    nowMs,
+    fetches,
+    loggedDecisions,
+    tryGetView: (host) => runningHosts.get(host)?.view,
+    getVersions: () =>
+      [...runningHosts.values()]
+        .map(({ view }) => view.getInputs().configVersion),
+    run: (ms) => Effect.repeat(step, { times: Math.ceil(ms / STEP_MS) - 1 }),
+    startHost,
+    killHost,
+    start: Effect.forEach(hosts, startHost, { discard: true }),
+    setPartitioned(host, isPartitioned) {
+      if (!isPartitioned) isolatedSinceMs.delete(host);
+      else if (!isolatedSinceMs.has(host)) isolatedSinceMs.set(host, nowMs());
+    },
+    setDatagramLoss: (rate) => lossRate = rate,
+    treatAll(treatment) {
+      for (const host of hosts) tables.setTreatment(host, treatment);
+    },
+  };
+}
+
+/** Runs the effect in virtual time. */
+export function runFleet(
+  effect: Effect.Effect<void>,
+): Promise<void> {
+  return Effect.runPromise(effect.pipe(Effect.provide(TestClock.layer())));
+}
