--- a/src/queue/backlog.ts
+++ b/src/queue/backlog.ts
@@ -46,7 +46,7 @@
 
 /**
  * Prompts that may wait, relative to the number expected to start in time. The
- * margin allows for upstreams that become free.
+ * margin allows for upstreams that become free sooner than expected.
  */
 const HEADROOM_FACTOR = 1.5;
 
--- a/src/queue/prompt_queue.ts
+++ b/src/queue/prompt_queue.ts
@@ -184,7 +184,10 @@
     return upstreams.find((each) => !similar.includes(each) && isIdle(each));
   }
 
-  /** Whether prefilling a shared prefix again there would delay nothing. */
+  /**
+   * Whether the upstream has no work, so that prefilling a shared prefix there
+   * again delays no other request.
+   */
   function isIdle({ upstream }: RankedUpstream): boolean {
     const { inFlight, readingTokens } = getLoad(upstream);
     return readingTokens <= 0 && inFlight <= 0;
@@ -207,8 +210,9 @@
   }
 
   /**
-   * 0: yields to no others. 1: inefficient, yields to those of level 0. 2: of a
-   * team over its share, yields to all others.
+   * Returns 0 for a prompt that yields to no others, 1 for an inefficient
+   * prompt, which yields to those of level 0, and 2 for a prompt of a team over
+   * its share, which yields to all others.
    */
   function getYieldLevel(prompt: WaitingPrompt): 0 | 1 | 2 {
     if (host.getShareUsed(prompt.team) > 1) return 2;
@@ -277,7 +281,8 @@
   }
 
   /**
-   * Applies only to teams over their share; others are entitled to their share.
+   * Refuses only prompts of teams over their share; the other teams are
+   * entitled to the capacity that they ask for.
    */
   function tryRefuseEarly(prompt: NewPrompt): PromptRefusal | undefined {
     if (!options.refusesEarly) return undefined;
@@ -374,7 +379,7 @@
   readonly slotShare: number;
   /** Tokens that the upstream may be prefilling, with this prompt. */
   readonly limitTokens: number;
-  /** The same limit for prompts that yield to no others. */
+  /** The value of `limitTokens` for prompts that yield to no others. */
   readonly fullLimitTokens: number;
   /**
    * Whether the prompt leaves the last room to prompts of underserved teams.
--- a/src/queue/prompt_queue_test.ts
+++ b/src/queue/prompt_queue_test.ts
@@ -417,7 +417,7 @@
   strictEqual(fixture.log.at(-1), "flood-1 to a");
 });
 
-test("a prompt that leaves room for another starts whoever waits elsewhere", () => {
+test("a prompt that leaves room for another starts even if others wait elsewhere", () => {
   // Guards against upstreams that stay idle because of outdated reports.
   const fixture = createFixture();
   fixture.overShare.add("flood");
