--- a/src/forwarding/blocked_loop_test.ts
+++ b/src/forwarding/blocked_loop_test.ts
@@ -32,7 +32,7 @@
 
 for (const kind of ["end", "reset"] as const) {
   for (const turnMs of [200, 1_400]) {
-    test(`after the event loop was blocked for ${turnMs} ms nothing is forwarded for callers that left meanwhile (${kind})`, async () => {
+    test(`after the event loop was blocked for ${turnMs} ms nothing is forwarded for callers that disconnected meanwhile (${kind})`, async () => {
       // Guards against a timer that starts prompts before the closes have been
       // read.
       await using fixture = await createForwardFixture([() => {}], {
@@ -88,8 +88,8 @@
   "f\r\nid: 1\ndata: a\n\n\r\n";
 
 test("an idempotent call whose response arrived while the event loop was blocked is not sent again", async () => {
-  // Guards against an event-loop pause of this host that counts as silence of
-  // the upstream.
+  // Guards against counting the time for which this host's event loop was
+  // blocked as silence of the upstream.
   const answers = respondAndBlock(2_300, createFullResponse);
   await using fixture = await createForwardFixture([answers, answers], {
     kind: "idempotent",
@@ -101,7 +101,7 @@
 });
 
 test("a stream whose first event arrived while the event loop was blocked is not sent again", async () => {
-  // Guards against an event-loop pause that counts as a missing response head.
+  // Guards against counting the blocked time as a missing response head.
   const answers = respondAndBlock(
     1_800,
     (id) => `${createOpenStream(id)}0\r\n\r\n`,
@@ -112,11 +112,11 @@
 });
 
 test("a stream whose next event arrived while the event loop was blocked stays at its upstream", async () => {
-  // Guards against an event-loop pause that counts as silence between two
-  // events.
+  // Guards against counting the blocked time as silence between two events.
   const answers: Behaviour = (socket, { id }) => {
     socket.write(createOpenStream(id));
-    // Timers that fall due in the meantime run next, as after any blocked turn.
+    // Timers that fall due in the meantime run next, as after any blocked
+    // iteration of the event loop.
     const sendNext = () => {
       socket.write("f\r\nid: 2\ndata: b\n\n\r\n0\r\n\r\n");
       block(1_800);
--- a/src/forwarding/call.ts
+++ b/src/forwarding/call.ts
@@ -54,8 +54,8 @@
    */
   isOverloaded(): boolean;
   /**
-   * Time by which the current event-loop turn exceeds its expected period, in
-   * ms.
+   * Time by which the current event-loop iteration exceeds its expected period,
+   * in ms.
    */
   getTurnOverrunMs(): number;
   /**
@@ -121,8 +121,8 @@
   /**
    * Removes the request's tokens from the upstream's load once prefill has
    * ended. Kept here and not only with the picked upstream, because a caller
-   * may leave just as its prompt is picked: without this function its tokens
-   * would count as load forever.
+   * may disconnect just as its prompt is picked: without this function its
+   * tokens would count as load forever.
    */
   endPrefill: () => void;
   /** Id of the last event that was sent to the caller. */
@@ -131,8 +131,8 @@
   /** Monotonic milliseconds at which the latest attempt started. */
   attemptStartedMs: number;
   /**
-   * Number of event chunks relayed, and below it the longest time between two,
-   * in ms.
+   * Number of event chunks relayed; the next property is the longest time
+   * between two of them, in ms.
    */
   chunks: number;
   longestPauseMs: number;
--- a/src/forwarding/crash_watch.ts
+++ b/src/forwarding/crash_watch.ts
@@ -49,7 +49,8 @@
 export const CRASH_KEY_PREFIX = "crash/";
 
 /**
- * A request is blocked at this number of crashes: the third is no coincidence.
+ * A request is blocked at this number of crashes; a third one is no longer a
+ * coincidence.
  */
 export const CRASH_LIMIT = 3;
 
@@ -100,8 +101,8 @@
     const crashes = getCrashes(fingerprint) + 1;
     setCrashes(fingerprint, crashes);
     host.onSuspected(fingerprint, crashes);
-    // At the first crash most suspects merely ran beside the poison request.
-    // The count is gossiped from the second crash on.
+    // After one crash most suspects are requests that merely ran beside the
+    // poison request, so the count is gossiped only from the second crash on.
     if (crashes === 1) return;
     host.broadcastFact({
       key: `${CRASH_KEY_PREFIX}${fingerprint}`,
--- a/src/forwarding/forward.ts
+++ b/src/forwarding/forward.ts
@@ -40,7 +40,7 @@
 /**
  * If an upstream sends no response head for a resumable stream within this
  * time, in ms, the request is sent to another upstream. Callers abandon a
- * stream after two seconds or more.
+ * silent stream after two seconds or more.
  */
 const STREAM_HEAD_TIMEOUT_MS = 1_600;
 
--- a/src/forwarding/forward_test.ts
+++ b/src/forwarding/forward_test.ts
@@ -201,7 +201,7 @@
   strictEqual(fixture.arrivals.length, 1);
 });
 
-test("the upstream's connection is closed at once when the caller leaves", async () => {
+test("the upstream's connection is closed at once when the caller disconnects", async () => {
   let closedMs = 0;
   await using fixture = await createForwardFixture([(socket) => {
     socket.on("close", () => closedMs = performance.now());
@@ -231,16 +231,17 @@
 });
 
 test("a request whose caller closed right after sending it is not forwarded", async () => {
-  // The event loop was blocked for seconds, and the caller gave up in the
-  // meantime. Request and close are in the socket together, so that the
-  // upstream would work for a caller that has left.
+  // The event loop was blocked for seconds, and the caller disconnected in the
+  // meantime. Its request and its close are in the socket together. If only the
+  // request were read, the upstream would work for a caller that has
+  // disconnected.
   await using fixture = await createForwardFixture([answers], once);
   await fixture.sendAndClose();
   await sleep(100);
   deepStrictEqual(fixture.arrivals, []);
 });
 
-test("a prompt whose caller leaves as it is picked leaves no load behind", async () => {
+test("a prompt whose caller disconnects as it is picked leaves no load behind", async () => {
   // If its tokens stayed in the load sums, the upstream would look busy to all
   // hosts forever.
   await using fixture = await createForwardFixture([() => {}], {
@@ -252,7 +253,7 @@
 });
 
 test("an overloaded host rejects requests and closes the connection", async () => {
-  // A burst of requests through one connection pool overloads one host for
+  // A burst of requests over one connection pool overloads one host for
   // seconds. Requests that it reads late are rejected without being run; the
   // closed connection makes the caller reconnect to another host, which can
   // serve the request in time.
@@ -267,7 +268,7 @@
 });
 
 test("a request whose time-out passed before it was read is not forwarded", async () => {
-  // The caller has left; its close is in the socket behind the request.
+  // The caller has disconnected; its close is in the socket behind the request.
   await using fixture = await createForwardFixture([answers], once);
   fixture.delay.unreadMs = 60_000;
   strictEqual((await fixture.call()).status, 503);
@@ -319,7 +320,7 @@
   ]);
 });
 
-test("a prompt that would wait in vain is refused before its body has arrived", async () => {
+test("a prompt that could not start in time is refused before its body has arrived", async () => {
   // Guards against a burst of requests that costs a host CPU time although it
   // rejects them.
   await using fixture = await createForwardFixture([answers], {
@@ -355,8 +356,8 @@
 });
 
 test("attempt-started logs the waiting time and the event-loop delay", async () => {
-  // Guards against requests forwarded for callers that have left, without a log
-  // line that shows why.
+  // Guards against requests forwarded for callers that have disconnected,
+  // without a log line that shows why.
   await using fixture = await createForwardFixture([answers], {
     kind: "stream",
     hasPrompts: true,
@@ -373,7 +374,7 @@
 
 test("a pause caused by this host is not sampled as a late pause", async () => {
   // Guards against an overloaded host that reduces the prefill limit of all
-  // hosts.
+  // hosts because its own delays count as pauses of the upstream.
   await using fixture = await createForwardFixture([async (socket, { id }) => {
     socket.write(streamHead(id) + chunk("id: 1\ndata: a\n\n"));
     await sleep(60);
--- a/src/forwarding/next_step.ts
+++ b/src/forwarding/next_step.ts
@@ -43,7 +43,7 @@
   tryTakeRetry(): boolean;
 }
 
-/** The decision, with the reason for giving up. */
+/** The decision, with the reason if no further attempt is made. */
 export type NextStep =
   | { readonly kind: "another-upstream" | "resume" }
   | { readonly kind: "give-up"; readonly because: string };
--- a/src/forwarding/next_step_test.ts
+++ b/src/forwarding/next_step_test.ts
@@ -58,7 +58,7 @@
   strictEqual(decide({ ...begun, hasEventId: false }).step, "give-up");
 });
 
-test("a request that may have run is given up without a retry if no upstream is left", () => {
+test("a request that may have run fails without a retry if no upstream is left", () => {
   // Guards against a 503, which promises "not run", when no upstream can be
   // picked.
   deepStrictEqual(decide({ hasCandidate: false }), {
--- a/src/forwarding/refuse_early.ts
+++ b/src/forwarding/refuse_early.ts
@@ -1,11 +1,12 @@
 /**
- * Refuses a prompt by its headers alone if it would certainly be refused by the
- * queue later.
+ * Refuses a prompt by its headers alone if the queue would certainly refuse it
+ * later.
  *
  * Load: a team sends many times its share.
  *
- * Failure prevented: for each refused prompt the body was read, a fiber was
- * run, and a place in the queue was held for half a second.
+ * Failure prevented: for each refused prompt the host reads the body, runs a
+ * fiber and keeps a place in the queue for half a second, all for the same
+ * refusal.
  *
  * @module
  */
@@ -24,8 +25,8 @@
 }
 
 /**
- * Returns the rejection of a prompt that would wait in vain; `undefined` if the
- * request may proceed.
+ * Returns the rejection of a prompt that could not start in time; `undefined`
+ * if the request may proceed.
  */
 export function tryRefuseEarly(
   host: ForwardHost,
--- a/src/forwarding/relay_stream.ts
+++ b/src/forwarding/relay_stream.ts
@@ -30,7 +30,7 @@
 /**
  * A resumable stream that delivers no event within this time, in ms, is resumed
  * at another upstream. This is four times the longest pause that counts as on
- * time, and less than the 2 s and more after which callers leave.
+ * time, and less than the 2 s or more after which callers disconnect.
  */
 const STREAM_IDLE_TIMEOUT_MS = 1_600;
 
@@ -74,8 +74,8 @@
       progress.longestPauseMs = Math.max(progress.longestPauseMs, pauseMs);
       progress.chunks++;
       lastChunkMs = nowMs;
-      // The time for which events waited unread in a long event-loop turn is a
-      // pause of this host and not of the upstream.
+      // The time for which events waited unread during a long event-loop
+      // iteration is a pause of this host and not of the upstream.
       pauseSampler?.addPause(pauseMs - host.getUnreadMs(), nowMs);
       if (!caller.headersSent) startStream(call, response);
       progress.lastEventId = chunk.lastEventId ?? progress.lastEventId;
--- a/src/forwarding/serve.ts
+++ b/src/forwarding/serve.ts
@@ -209,10 +209,11 @@
 
 /**
  * Waits until a close that is already in the socket has been read. A caller
- * that gave up while the event loop was busy has sent its request and closed;
- * the request is read first. The close is read in the next event-loop turn,
- * which has passed when the second `setImmediate` callback runs. Without this
- * wait, requests would be forwarded for callers that have left.
+ * that disconnected while the event loop was busy has sent its request and
+ * closed the connection; the request is read before the close. The close is
+ * read in the next event-loop iteration, which has passed when the second
+ * `setImmediate` callback runs. Without this wait, requests would be forwarded
+ * for callers that have disconnected.
  */
 function awaitPendingClose(
   res: ServerResponse,
--- a/src/forwarding/upstream_agent.ts
+++ b/src/forwarding/upstream_agent.ts
@@ -1,6 +1,6 @@
 /**
- * An HTTP agent with keep-alive connections to upstreams. It closes two gaps of
- * Node's agent:
+ * An HTTP agent with keep-alive connections to upstreams. It handles two cases
+ * that Node's agent does not:
  *
  * - An upstream sends a second or a late response. It would wait in the idle
  *   connection and be read as the response to the next request. Therefore an
@@ -20,7 +20,7 @@
 
 /**
  * Margin, in ms, by which this side closes a connection earlier than the
- * upstream: covers network delays on a slow day.
+ * upstream: covers unusually long network delays.
  */
 const IDLE_MARGIN_MS = 700;
 
--- a/src/forwarding/upstream_call.ts
+++ b/src/forwarding/upstream_call.ts
@@ -205,10 +205,7 @@
   );
 }
 
-/**
- * Adds a `Content-Length` header that states the length of the body actually
- * sent.
- */
+/** Adds a `Content-Length` header with the length of the body actually sent. */
 function getHeadersWithLength(call: UpstreamCall): string[] {
   const hasBody = call.body.length > 0 ||
     !["GET", "HEAD", "DELETE", "OPTIONS"].includes(call.method);
