--- a/src/admission/admission.ts
+++ b/src/admission/admission.ts
@@ -170,9 +170,9 @@
 
 /**
  * Whether a waiting request can no longer meet its deadline. Load: capacity is
- * lost while thousands of requests wait. Harm prevented: they wait in vain
- * until their deadlines, and their callers learn too late that they should go
- * elsewhere.
+ * lost while thousands of requests wait. Harm prevented: they wait until their
+ * deadlines without being served, and their callers learn too late that they
+ * should go elsewhere.
  */
 export function isDeadlineUnreachable(
   input: {
--- a/src/admission/backlog.ts
+++ b/src/admission/backlog.ts
@@ -25,7 +25,7 @@
   random(): number;
 }
 
-/** A request on whose admission is decided. */
+/** A request that is to be admitted or refused. */
 export interface AdmissionRequest {
   readonly req: AdmittedRequest;
   readonly bodyBytes: number;
--- a/src/admission/run_times.ts
+++ b/src/admission/run_times.ts
@@ -47,7 +47,8 @@
 export function createRunTimes(): RunTimes {
   let minMs = Infinity;
   let runs = 0;
-  // Of the logarithms of the run times, which differ by factors.
+  // Mean and variance of the logarithms of the run times, because run times
+  // differ by factors.
   let logMean = 0;
   let logVariance = 0;
 
