--- a/src/pacing/pause_limit.ts
+++ b/src/pacing/pause_limit.ts
@@ -7,10 +7,10 @@
  * responses. How much they prefill in one step depends on the engine: from
  * 1,024 tokens of one prompt to 4,096 tokens of each prompt.
  *
- * Failure prevented: with the limit that is right for one kind of engine, a
- * fifth of the responses of another paused for longer than their target; with
- * the limit that is right for the latter, half of the prefill capacity of the
- * former was unused.
+ * Failure prevented: no fixed limit suits two kinds of engines. With the best
+ * limit for kind A, a fifth of the responses of kind B pause for longer than
+ * their target; with the best limit for kind B, half of the prefill capacity of
+ * kind A is unused.
  *
  * @module
  */
--- a/src/pacing/types.ts
+++ b/src/pacing/types.ts
@@ -19,8 +19,8 @@
    */
   readonly limitTokens: number;
   /**
-   * Number of responses, and below it the number that paused for longer than
-   * their target.
+   * Number of responses; `lateAnswers` of them paused for longer than their
+   * target.
    */
   readonly answers: number;
   readonly lateAnswers: number;
