--- a/src/placement/placement.ts
+++ b/src/placement/placement.ts
@@ -21,8 +21,8 @@
 export const CROSS_REGION_START_WAIT_MS = 1_000;
 
 /**
- * Other regions are asked until waits are shorter than this, in ms. Less than
- * the starting threshold, so that the decision does not flap.
+ * Other regions are asked until waits are shorter than this, in ms. Lower than
+ * `CROSS_REGION_START_WAIT_MS`, so that the decision does not flap.
  */
 export const CROSS_REGION_STOP_WAIT_MS = 500;
 
--- a/src/placement/prefix_affinity.ts
+++ b/src/placement/prefix_affinity.ts
@@ -24,11 +24,12 @@
 }
 
 /**
- * Returns the key of the last shared part. The parts before it are few, and
- * soon cached by every upstream: when the first part was the key, prompts of a
- * kind with four first parts went to four of seven upstreams while the others
- * were idle, and fewer were on time. The last part of a prompt is unique to the
- * request, and is the key only if there is no other part.
+ * Returns the key of the last shared part. The parts before it have few
+ * distinct values, which every upstream soon has cached. If the first part were
+ * the key, prompts of a kind with four first parts would go to four of seven
+ * upstreams while the others were idle, and fewer would be on time. The last
+ * part of a prompt is unique to the request, and is the key only if there is no
+ * other part.
  */
 export function getAffinityKey(
   model: string,
