--- a/src/load/load_reporter.ts
+++ b/src/load/load_reporter.ts
@@ -158,7 +158,8 @@
     const ownDigest = host.getDigest(self.peerAddress);
     const entry = report.included.find((each) => each.host === ownDigest);
     const own = ownReports.find((each) => each.sequence === entry?.sequence);
-    // If the own report is too old to be subtracted, it would be counted twice.
+    // If this host's own report is no longer kept, it cannot be subtracted, and
+    // this host's use would be counted twice.
     if (entry !== undefined && own === undefined) return;
     const others = own === undefined ? report : subtractReport(report, own);
     host.onOthersLoad({ ...others, from: FLEET_SENDER });
--- a/src/load/load_test.ts
+++ b/src/load/load_test.ts
@@ -113,7 +113,7 @@
   deepStrictEqual(b.view.getShareUsed("nobody"), 0);
 });
 
-test("a team is underserved if it gets far less than it asks for and others get", () => {
+test("a team is underserved if it gets far less than it asks for and than others get", () => {
   const { clock, view } = createView("a");
   for (let at = 0; at < 10; at++) {
     view.recordAsked("rich", 500);
@@ -153,8 +153,8 @@
 });
 
 test("reports do not expire while this host itself is blocked", () => {
-  // Guards against a host that, after a long event-loop iteration, takes full
-  // upstreams for free because the reports of other hosts seem to be too old.
+  // Guards against a host that, after a long event-loop iteration, treats full
+  // upstreams as free because the reports of other hosts seem to be too old.
   const a = createView("a");
   const working = createStallTolerantClock(a.clock);
   const b = createView("b", a.clock, working);
--- a/src/load/load_view.ts
+++ b/src/load/load_view.ts
@@ -96,7 +96,8 @@
 }
 
 /**
- * Half-life of the rates, in ms: shares are due over a period of four seconds.
+ * Half-life of the rates, in ms: a team is entitled to its share over periods
+ * of four seconds.
  */
 const HALF_LIFE_MS = 1_400;
 
@@ -143,8 +144,8 @@
   let lastEvictionMs = -Infinity;
   let statedFairLevel = Infinity;
   /**
-   * Fair level of the service that is really begun, which may be far below the
-   * stated capacity.
+   * Fair level computed from the service that is really begun, which may be far
+   * below the stated capacity.
    */
   let servedFairLevel = Infinity;
   let askedByTeam: ReadonlyMap<number, number> = new Map();
