--- a/src/slots/circuit_breaker.ts
+++ b/src/slots/circuit_breaker.ts
@@ -30,8 +30,8 @@
   /** Records the end of a request. */
   observeEnd(end: UseEnd, nowMs: number): void;
   /**
-   * Moves the state on by time; `probeSinceMs` is the start of the probe in
-   * flight.
+   * Changes the state when its time has passed; `probeSinceMs` is the start of
+   * the probe in flight.
    */
   tick(probeSinceMs: number | undefined, nowMs: number): void;
   /**
@@ -45,8 +45,8 @@
  * Consecutive failures that open the breaker. One failure may be caused by the
  * request itself, and so may the failure of its retry; three without a success
  * between them are caused by the upstream. An upstream with fewer slots needs
- * only as many failures as it has slots: with a single slot, three would take a
- * stalled upstream three times the time-out of a silent stream.
+ * only as many failures as it has slots: with a single slot, three failures at
+ * a stalled upstream take three times the time-out of a silent stream.
  */
 const FAILURE_LIMIT = 3;
 
--- a/src/slots/latency_tracker.ts
+++ b/src/slots/latency_tracker.ts
@@ -58,7 +58,7 @@
 
   return {
     observe(valueMs) {
-      // Below 1 ms the resolution of the clock would look like a ratio.
+      // Below 1 ms, the resolution of the clock would cause large ratios.
       const value = Math.log(Math.max(1, valueMs));
       count++;
       recent += Math.max(RECENT_WEIGHT, 1 / count) * (value - recent);
--- a/src/slots/slot_owner.ts
+++ b/src/slots/slot_owner.ts
@@ -233,8 +233,8 @@
       free: Math.max(0, host.getLimit() - inUse - 1),
     });
     // Without a connection the slot would stay idle until the host is found
-    // dead. The host's waiting requests are dropped too; the host sends them
-    // again once it has reconnected.
+    // dead. The owner also discards what it knows of the host's waiting
+    // requests; the host reports them again once it has reconnected.
     if (!isSent) {
       clearWants(entryHost);
       return;
--- a/src/slots/slot_owner_test.ts
+++ b/src/slots/slot_owner_test.ts
@@ -81,7 +81,7 @@
   assert.deepEqual(recalls.map((each) => each.to), ["entry-1"]);
 });
 
-test("another region goes first only when behind by the penalty", () => {
+test("a team in another region goes first only if its counter is lower by the penalty", () => {
   const { owner, grants } = createOwnerFixture(1);
   want(owner, "entry-1", "alder", 9);
   want(owner, "far-1", "birch", 1);
