--- a/src/entry/entry.ts
+++ b/src/entry/entry.ts
@@ -331,7 +331,11 @@
     intake.tick();
   }
 
-  /** Waiting prompts depend on elapsed time as well as on events. */
+  /**
+   * Runs a scheduling pass and applies the configured time-outs for callers.
+   * Runs in each tick, because the waiting prompts change with elapsed time
+   * too.
+   */
   function decide(): void {
     queue.tick();
     const limits = platformView.tryGetRoutes()?.config.callerLimits;
--- a/src/entry/event_loop_monitor_test.ts
+++ b/src/entry/event_loop_monitor_test.ts
@@ -7,8 +7,8 @@
 
 test("a host in a long event-loop iteration is overloaded until the iteration ends", () => {
   // A host that processes 15 requests per second receives 200. Its iterations
-  // grow to seconds, so callers have given up on what it reads at an
-  // iteration's end.
+  // grow to seconds, so that callers have disconnected before the host reads
+  // their requests.
   const clock = createManualClock(1_000);
   const monitor = createEventLoopMonitor(clock, PERIOD_MS);
   monitor.tick();
--- a/src/entry/platform_view.ts
+++ b/src/entry/platform_view.ts
@@ -50,7 +50,7 @@
   random(): number;
   log(decision: Decision): void;
   onFetched(table: string, outcome: FetchOutcome): void;
-  /** The platform was restored from an older backup. */
+  /** Called when the platform was restored from an older backup. */
   onPlatformRestored(): void;
   /** Peer addresses of the hosts that are alive, including this one. */
   getHosts(): readonly string[];
@@ -75,7 +75,7 @@
   receive(fact: Fact): void;
   /**
    * Records that an upstream announced to this host that it is leaving, and
-   * tells the other hosts.
+   * reports this to the other hosts.
    */
   markLeaving(instance: UpstreamInstance): void;
   /**
--- a/src/entry/platform_view_soak_test.ts
+++ b/src/entry/platform_view_soak_test.ts
@@ -22,7 +22,8 @@
   // of one or all tables, rejected hosts, lost history, killed hosts,
   // partitions and lost datagrams. Tests of single cases do not cover the
   // combinations. In one of them the platform answered again for one table
-  // while each reader left the other table to the others, and no host read it.
+  // while each reader relied on the other hosts to read the other table, and no
+  // host read it.
   const results = await runSeeds(SEEDS);
   const broken = results.flatMap(({ seed, broken }) =>
     broken.slice(0, 2).map((each) => `seed ${seed}, ${each}`)
--- a/src/entry/platform_view_test.ts
+++ b/src/entry/platform_view_test.ts
@@ -113,11 +113,11 @@
 });
 
 test("after an outage a change is in force as fast as without one", async () => {
-  // Guards against routes that callers are refused on for another second,
-  // although the platform has been back for longer than a call's time-out. Each
-  // previous reader excluded itself for five seconds after its last failure,
-  // while the other hosts had received only the report of its first failure and
-  // relied on it again. So no host read the table.
+  // Guards against refusing callers on a new route for another second, although
+  // the platform has been back for longer than a call's time-out. Each previous
+  // reader excluded itself for five seconds after its last failure, while the
+  // other hosts had received only the report of its first failure and relied on
+  // it again. So no host read the table.
   for (let outageMs = 6_000; outageMs <= 10_000; outageMs += 170) {
     const tookMs = await measureChange((fleet) =>
       simulateOutage(fleet, outageMs).pipe(Effect.andThen(fleet.run(2_500)))
@@ -149,9 +149,9 @@
 test("a change to one table does not make hosts fetch the other", async () => {
   // The platform has one version counter for all tables. When an upstream
   // registers, readers know the configuration up to a newer version, without
-  // any change in it. Hosts used to mistake that for a newer configuration and
-  // fetched it after each report until a configuration was published, which
-  // wasted processor time and bandwidth.
+  // any change in it. Hosts that mistake that for a newer configuration fetch
+  // it after each report until a configuration is published, which wastes
+  // processor time and bandwidth.
   const fleet = createKnowledgeFleet({ hosts: 9 });
   await runFleet(Effect.gen(function* () {
     fleet.tables.put(1);
@@ -189,13 +189,13 @@
   // Guards against 404 answers of healthy hosts on a route that operators have
   // added. The platform answers no host for six to ten seconds. When it
   // returns, the upstream entries that expired are missing from its list, and
-  // operators add the route. One host read the list of upstreams and reported
-  // it. That counted as a read of both tables, so for two seconds at a time no
-  // host read the configuration, and this repeated. In addition, each previous
-  // reader left the configuration to the other hosts, and these left it to the
-  // reader. In the logs, the age of the last confirmed read fell from two
-  // seconds to zero at all hosts whenever the list arrived, while no host
-  // logged a new configuration.
+  // operators add the route. One host reads the list of upstreams and reports
+  // it. If that counted as a read of both tables, no host would read the
+  // configuration for two seconds, again and again. Each previous reader would
+  // also leave the configuration to the other hosts, and these would leave it
+  // to the reader. The logs would then show that the age of the last confirmed
+  // read falls from two seconds to zero at all hosts whenever the list arrives,
+  // while no host logs a new configuration.
   for (let outageMs = 6_000; outageMs <= 10_000; outageMs += 170) {
     const tookMs = await measureChange((fleet) =>
       simulateOutage(fleet, outageMs)
--- a/src/entry/servers.ts
+++ b/src/entry/servers.ts
@@ -62,12 +62,12 @@
 
 /**
  * The length of the accept queue for callers: the connections that the host
- * accepts in half a second, since callers give up if nothing is read for a
- * second.
+ * accepts in half a second, since callers abandon a connection if nothing is
+ * read from it for a second.
  *
  * Load: a burst of new connections at a host with an eighth of a core. Failure
  * prevented: with a queue of 1,000, each connection was accepted 20 s late, the
- * callers had given up all requests on them, and hardly any other caller was
+ * callers had abandoned all requests on them, and hardly any other caller was
  * served while the burst lasted (2 of 100 requests of a team within its share).
  */
 export function getBacklog(processorShare: number): number {
