--- a/src/discovery/reader_selection.ts
+++ b/src/discovery/reader_selection.ts
@@ -17,8 +17,8 @@
 
 /**
  * Number of hosts that read a table at the same time. With three readers, two
- * can lose the platform in the same second and the other hosts still receive
- * changes without waiting for a new reader.
+ * can lose contact with the platform in the same second, and the other hosts
+ * still receive changes without waiting for a new reader.
  */
 export const READER_COUNT = 3;
 
--- a/src/discovery/table_distribution_test.ts
+++ b/src/discovery/table_distribution_test.ts
@@ -39,8 +39,8 @@
 });
 
 test("hosts that know another report format ignore this one", () => {
-  // During a rolling upgrade, hosts with both report formats are running.
-  // Reports with one age for all tables used the prefix below. A host that
+  // During a rolling upgrade, hosts with both report formats are running. The
+  // prefix below belongs to a format with one age for all tables. A host that
   // parses such a report as one per table, or the other way round, throws on
   // each datagram.
   const reader = createHost("a:1");
--- a/src/discovery/table_follower.ts
+++ b/src/discovery/table_follower.ts
@@ -20,11 +20,12 @@
   readonly table: TableReplica<T>;
   isReader(): boolean;
   /**
-   * The platform answered; `changed` tells whether the replica's rows changed.
+   * Called when the platform has answered; `changed` tells whether the
+   * replica's rows changed.
    */
   onAnswer(changed: boolean): void;
   onFailure(err: TableError): void;
-  /** An unexpected exception, for example from `onAnswer`. */
+  /** Called with an unexpected exception, for example from `onAnswer`. */
   onDefect(defect: unknown): void;
   /** A random number in [0, 1); spreads the retries of many hosts over time. */
   random(): number;
@@ -95,11 +96,11 @@
 ): Effect.Effect<never> {
   const startedMs = host.clock.monotonicMs();
   let needsFullRead = true;
-  /** No poll has succeeded since the last full read. */
+  /** Whether no poll has succeeded since the last full read. */
   let hasJustRead = false;
   /**
-   * A call has failed since the last successful poll. The platform may have
-   * been restored meanwhile, so the next poll must return immediately.
+   * Whether a call has failed since the last successful poll. The platform may
+   * have been restored meanwhile, so the next poll must return immediately.
    */
   let hasFailed = false;
 
--- a/src/discovery/table_follower_test.ts
+++ b/src/discovery/table_follower_test.ts
@@ -102,9 +102,9 @@
 
 test("starting a fleet does not cost one call per upstream and host", async () => {
   // Eighty hosts start while sixty upstreams register, and no host knows yet
-  // that others are readers. Each host used to make one call for each upstream:
-  // 2,508 calls before the first caller arrived, each of them charged, and
-  // close to the platform's rate limits.
+  // that others are readers. Without a pause after each answer, every host
+  // makes one call for each upstream: 2,508 calls before the first caller
+  // arrives, each of them charged, and close to the platform's rate limits.
   const fixture = createFixture();
   await fixture.play(Effect.gen(function* () {
     const calls = yield* fixture.run(3_000);
@@ -114,9 +114,9 @@
 
 test("a host that replaces another reader receives changes without delay", async () => {
   // Guards against start-up pauses in a host that becomes a reader a minute
-  // after its start. It had made few calls and paused like a host that had just
-  // started, so routes that operators added were refused for almost another
-  // second.
+  // after its start. Such a host has made few calls. If it paused like a host
+  // that has just started, routes that operators add would be refused for
+  // almost another second.
   const fixture = createFixture();
   await fixture.play(Effect.gen(function* () {
     fixture.setReader(false);
@@ -128,8 +128,8 @@
 });
 
 test("a follower continues after an exception in its host's callback", async () => {
-  // Sending a report to the other hosts throws once. The follower used to end
-  // without a log line, and the host kept its last replica for good.
+  // Sending a report to the other hosts throws once. If the follower ended
+  // there, without a log line, the host would keep its last replica for good.
   const fixture = createFixture();
   await fixture.play(Effect.gen(function* () {
     yield* fixture.run(10_000);
--- a/src/discovery/upstream_directory.ts
+++ b/src/discovery/upstream_directory.ts
@@ -51,7 +51,8 @@
   /** Whether the platform was unavailable within the last `ms` milliseconds. */
   hadOutageWithin(ms: number): boolean;
   /**
-   * An upstream was added or removed, is leaving, or is kept after an outage.
+   * Called when an upstream was added or removed, is leaving, or is kept after
+   * an outage.
    */
   onChange(
     entry: UpstreamEntry,
