--- a/src/queue/shared_capacity_test.ts
+++ b/src/queue/shared_capacity_test.ts
@@ -226,8 +226,8 @@
 
 test("a team with small demand gets half of it whatever capacity is stated", () => {
   // Guards against shares computed from more capacity than the upstreams have.
-  // No team exceeds such a share, so the team with the most hosts takes all real
-  // capacity.
+  // No team exceeds such a share, so the team with the most hosts takes all of
+  // the real capacity.
   for (const promptTokens of [2_800, 8_000, 17_000]) {
     for (const statedCapacityFactor of [1, 3, 10]) {
       const [steady, overloading] = simulate({
