--- a/src/requests/end.ts
+++ b/src/requests/end.ts
@@ -60,7 +60,7 @@
   res.end(`event: end\ndata: ${JSON.stringify(end)}\n\n`);
 }
 
-/** Records the end of the request in the time line, the metrics and the log. */
+/** Records the end of the request in the timeline, the metrics and the log. */
 export function recordEnd(
   host: ServeHost,
   admitted: AdmittedRequest,
