--- a/src/requests/run_suspect.ts
+++ b/src/requests/run_suspect.ts
@@ -58,7 +58,7 @@
     if (quarantine.getCrashes(fingerprint) === 0) return yield* run;
     yield* waitForTrial(host, input);
     input.progress.hasTrial = true;
-    return yield* host.occupancy.runSerialized(run).pipe(
+    return yield* host.locks.runSerialized(run).pipe(
       Effect.ensuring(
         Effect.sync(() => host.runDetached(quarantine.endTrial(fingerprint))),
       ),
@@ -113,11 +113,11 @@
     if (isSuspect && !progress.hasTrial) yield* failHeldBack();
     progress.hasExclusiveUse = false;
     if (isSuspect) yield* enterExclusively(host, upstream.id, progress);
-    else yield* host.occupancy.acquireShared(upstream.id);
+    else yield* host.locks.acquireShared(upstream.id);
     return yield* checkDeadline(host, input).pipe(
       Effect.flatMap(() => run),
       Effect.ensuring(
-        Effect.sync(() => host.occupancy.release(upstream.id, isSuspect)),
+        Effect.sync(() => host.locks.release(upstream.id, isSuspect)),
       ),
     );
   });
@@ -135,7 +135,7 @@
   progress: Progress,
 ): Effect.Effect<void, RequestRejected> {
   return Effect.gen(function* () {
-    progress.hasExclusiveUse = yield* host.occupancy.acquireExclusive(upstream);
+    progress.hasExclusiveUse = yield* host.locks.acquireExclusive(upstream);
     if (progress.hasExclusiveUse) return;
     const options = { retryAfterMs: 5_000 };
     yield* reject(
--- a/src/requests/types.ts
+++ b/src/requests/types.ts
@@ -31,7 +31,7 @@
   readonly claims: Claims;
   readonly upstreams: UpstreamClient;
   readonly health: UpstreamHealth;
-  readonly occupancy: UpstreamLocks;
+  readonly locks: UpstreamLocks;
   readonly quarantine: Quarantine;
   readonly recorder: Recorder;
   readonly backlog: Backlog;
--- a/src/router/serving.ts
+++ b/src/router/serving.ts
@@ -114,7 +114,7 @@
       onRegionalBytes: metrics.addRegionalPayload,
     }),
     health: createUpstreamHealth(clock),
-    occupancy: createUpstreamLocks(),
+    locks: createUpstreamLocks(),
     quarantine,
     recorder: parts.recorder,
     backlog,
--- a/src/testing/fake_request_host.ts
+++ b/src/testing/fake_request_host.ts
@@ -134,7 +134,7 @@
     upstreams: options.createUpstreams?.(io) ??
       createFakeUpstreams(world, io),
     health: createUpstreamHealth(clock),
-    occupancy: createUpstreamLocks(),
+    locks: createUpstreamLocks(),
     quarantine: noCrashes,
     recorder: { record() {}, getSince: () => [] },
     backlog: createBacklog({ clock, random: () => 0 }),
