--- a/src/discovery/table_distribution.ts
+++ b/src/discovery/table_distribution.ts
@@ -57,9 +57,9 @@
   /** Wall-clock start time of this process, in ms. */
   readonly incarnation: number;
   /** Sends the fact directly to all hosts, one datagram each. */
-  pushFact(fact: Fact): void;
+  broadcast(fact: Fact): void;
   /** Spreads the fact to all hosts by gossip. */
-  spreadFact(fact: Fact): void;
+  gossip(fact: Fact): void;
   countHosts(): number;
   /** The position up to which this host's replica is current. */
   getPosition(table: TableName): TablePosition;
@@ -108,7 +108,7 @@
  * reach 80 hosts, which is 1.8 s of the 2 s after which a host reads the
  * platform itself. Larger fleets use gossip to bound the traffic.
  */
-const MAX_PUSH_HOSTS = 100;
+const MAX_DIRECT_HOSTS = 100;
 
 /**
  * What this host knows about the reads of one table; times are monotonic ms.
@@ -179,8 +179,8 @@
     for (const table of TABLE_NAMES) {
       states[table].reportedMs = states[table].readMs;
     }
-    if (isUrgent || host.countHosts() <= MAX_PUSH_HOSTS) host.pushFact(fact);
-    else host.spreadFact(fact);
+    if (isUrgent || host.countHosts() <= MAX_DIRECT_HOSTS) host.broadcast(fact);
+    else host.gossip(fact);
   }
 
   function setLastFailure(
--- a/src/entry/entry.ts
+++ b/src/entry/entry.ts
@@ -108,8 +108,8 @@
     else platformView.receive(fact);
   }
 
-  const workingClock = createStallTolerantClock(clock);
-  const health = createHealthWatch(workingClock);
+  const stallTolerantClock = createStallTolerantClock(clock);
+  const health = createHealthWatch(stallTolerantClock);
   const loopMonitor = createEventLoopMonitor(clock, QUEUE_TICK_MS);
   const fullHosts = createFullHosts({
     clock,
@@ -130,7 +130,7 @@
     },
   });
   const load = createLoadView({
-    clock: workingClock,
+    clock: stallTolerantClock,
     getDigest: getNameDigest,
     isAlive: (address) => peers.membership.isUsable(address),
     getStatedCapacity: () =>
@@ -199,8 +199,8 @@
     onPlatformRestored: () => registration.refresh(),
     onFetched: (table, outcome) => metrics.observeFetch(table, outcome),
     getHosts: () => getAlive().map((each) => each.peerAddress),
-    pushFact: (fact) => peers.membership.pushFact(fact),
-    spreadFact: (fact) => peers.membership.spreadFact(fact),
+    broadcastFact: (fact) => peers.membership.pushFact(fact),
+    gossipFact: (fact) => peers.membership.spreadFact(fact),
     fetchTable: (name, peer) => peers.fetchTable(name, peer),
   });
   const drain = createDrain({
@@ -326,7 +326,7 @@
   }
 
   function measureIterations(): void {
-    workingClock.tick();
+    stallTolerantClock.tick();
     loopMonitor.tick();
     intake.tick();
   }
@@ -349,7 +349,7 @@
       log({ event: "platform-lost", table: "hosts", reason }),
   });
   const loadExchange = await openLoadExchange({
-    clock: workingClock,
+    clock: stallTolerantClock,
     self: { peerAddress, dataCentre: settings.dataCentre },
     view: load,
     getHosts: getAlive,
--- a/src/entry/platform_view.ts
+++ b/src/entry/platform_view.ts
@@ -54,8 +54,8 @@
   onPlatformRestored(): void;
   /** Peer addresses of the hosts that are alive, including this one. */
   getHosts(): readonly string[];
-  pushFact(fact: Fact): void;
-  spreadFact(fact: Fact): void;
+  broadcastFact(fact: Fact): void;
+  gossipFact(fact: Fact): void;
   fetchTable(name: string, peer: string): Promise<Uint8Array | undefined>;
 }
 
@@ -109,8 +109,8 @@
     clock: host.clock,
     peerAddress: host.peerAddress,
     incarnation: host.incarnation,
-    pushFact: host.pushFact,
-    spreadFact: host.spreadFact,
+    broadcast: host.broadcastFact,
+    gossip: host.gossipFact,
     countHosts: () => host.getHosts().length,
     getPosition: (table) => tables[table].getPosition(),
     getChangedPosition: (table) => tables[table].getChangedPosition(),
@@ -262,7 +262,7 @@
     },
     markLeaving(instance) {
       if (!directory.markLeaving(instance, "answer")) return;
-      host.pushFact(createLeavingFact(instance));
+      host.broadcastFact(createLeavingFact(instance));
     },
     tryGetTable(name) {
       const table = tables[name as TableName];
--- a/src/router/leaving_upstreams.ts
+++ b/src/router/leaving_upstreams.ts
@@ -19,7 +19,7 @@
 /** Dependencies of the module, supplied by the process. */
 export interface LeavingUpstreamsHost {
   readonly clock: Clock;
-  spreadFact(fact: Fact): void;
+  gossipFact(fact: Fact): void;
   /** Called after a change, so that slots are granted or withheld. */
   onChange(upstream: string, leaving: boolean): void;
 }
@@ -69,7 +69,7 @@
     const version = Math.max(seconds, (facts.get(key)?.version ?? 0) + 1);
     const fact = { key, version, value: isLeavingNow ? "1" : "0" };
     store(fact);
-    host.spreadFact(fact);
+    host.gossipFact(fact);
   }
 
   return {
--- a/src/router/leaving_upstreams_test.ts
+++ b/src/router/leaving_upstreams_test.ts
@@ -26,7 +26,7 @@
   const changes: string[] = [];
   const leaving = createLeavingUpstreams({
     clock,
-    spreadFact: (fact) => spread.push(fact),
+    gossipFact: (fact) => spread.push(fact),
     onChange: (upstream, isLeaving) => changes.push(`${upstream} ${isLeaving}`),
   });
   return { clock, spread, changes, leaving };
--- a/src/router/router.ts
+++ b/src/router/router.ts
@@ -123,7 +123,7 @@
 
   const leavingUpstreams = createLeavingUpstreams({
     clock,
-    spreadFact: (fact) => membership.spreadFact(fact),
+    gossipFact: (fact) => membership.spreadFact(fact),
     onChange(upstream, isLeaving) {
       reporter.upstreamLeaving(upstream, isLeaving);
       fleet.reconcile();
--- a/src/testing/knowledge_fleet.ts
+++ b/src/testing/knowledge_fleet.ts
@@ -155,8 +155,8 @@
       onFetched: (_, outcome) => fetches.push(outcome),
       onPlatformRestored: () => {},
       getHosts: () => getAlive(host),
-      pushFact: send,
-      spreadFact: send,
+      broadcastFact: send,
+      gossipFact: send,
       fetchTable: (name, peer) => fetchTable(host, peer, name),
     });
   }
