--- a/src/fleet/ownership.ts
+++ b/src/fleet/ownership.ts
@@ -52,8 +52,10 @@
     dataCentre: string,
   ): readonly string[] {
     const usable = host.membership.getUsable();
-    const near = usable.filter((each) => each.dataCentre === dataCentre);
-    if (near.length > 0) return near.map((each) => each.host);
+    const inDataCentre = usable.filter((each) =>
+      each.dataCentre === dataCentre
+    );
+    if (inDataCentre.length > 0) return inDataCentre.map((each) => each.host);
     const region = getRegion(deployment, dataCentre);
     const inRegion = usable.filter((each) =>
       getRegion(deployment, each.dataCentre) === region
--- a/src/measure/fairness.ts
+++ b/src/measure/fairness.ts
@@ -5,7 +5,7 @@
  * @module
  */
 
-import { FAR_PENALTY_REQUESTS } from "../fleet/mod.ts";
+import { CROSS_REGION_PENALTY_REQUESTS } from "../fleet/mod.ts";
 import { baselines, createOurs, type CreatePolicy } from "./baselines.ts";
 import {
   createContendedFleet,
@@ -42,7 +42,7 @@
     slots: FLEET_SLOTS,
     servicePerSecond: ours.servicePerSecond,
     lagSeconds: LAG_SECONDS,
-    farPenaltyRequests: FAR_PENALTY_REQUESTS,
+    farPenaltyRequests: CROSS_REGION_PENALTY_REQUESTS,
   });
   return {
     scenario: "fairness",
--- a/src/measure/fairness_test.ts
+++ b/src/measure/fairness_test.ts
@@ -9,7 +9,7 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import fc from "fast-check";
-import { FAR_PENALTY_REQUESTS } from "../fleet/mod.ts";
+import { CROSS_REGION_PENALTY_REQUESTS } from "../fleet/mod.ts";
 import { createOurs } from "./baselines.ts";
 import {
   createContendedFleet,
@@ -30,7 +30,7 @@
   slots: FLEET_SLOTS,
   servicePerSecond: FLEET_SLOTS * 1_000 / defaultFixtureTimes.tokenMs,
   lagSeconds: 3,
-  farPenaltyRequests: FAR_PENALTY_REQUESTS,
+  farPenaltyRequests: CROSS_REGION_PENALTY_REQUESTS,
 });
 
 /**
