--- a/src/config/store_test.ts
+++ b/src/config/store_test.ts
@@ -205,7 +205,7 @@
   await scheduler.waitFor(Promise.all(runs));
   platform.control.pass = () => Promise.resolve();
   const rows = await Effect.runPromise(store.getHistory());
-  return { rows, told: results };
+  return { rows, outcomes: results };
 }
 
 const raceInput = [
@@ -222,8 +222,8 @@
   // none.
   await fc.assert(
     fc.asyncProperty(...raceInput, async (scheduler, faults) => {
-      const { rows, told } = await runRace(scheduler, faults);
-      assert.equal(findContradiction(rows, told), undefined);
+      const { rows, outcomes } = await runRace(scheduler, faults);
+      assert.equal(findContradiction(rows, outcomes), undefined);
       assert.deepEqual(
         rows.map((row) => row.version),
         rows.map((_, index) => index + 1),
@@ -255,12 +255,12 @@
   };
   const checked = await fc.check(
     fc.asyncProperty(...raceInput, async (scheduler, faults) => {
-      const { rows, told } = await runRace(
+      const { rows, outcomes } = await runRace(
         scheduler,
         faults,
         createStoreWithoutAttempts,
       );
-      assert.equal(findContradiction(rows, told), undefined);
+      assert.equal(findContradiction(rows, outcomes), undefined);
     }),
     { seed: 5, numRuns: 300 },
   );
--- a/src/load/load_test.ts
+++ b/src/load/load_test.ts
@@ -156,14 +156,14 @@
   // Guards against a host that, after a long event-loop iteration, takes full
   // upstreams for free because the reports of other hosts seem to be too old.
   const a = createView("a");
-  const working = createStallTolerantClock(a.clock);
-  const b = createView("b", a.clock, working);
+  const tolerantClock = createStallTolerantClock(a.clock);
+  const b = createView("b", a.clock, tolerantClock);
   a.view.beginPrefill("engine-1", 9_000);
   b.view.receive(a.createReport());
   a.clock.advance(1_600);
   strictEqual(b.view.getReadingTokens("engine-1"), 9_000);
   for (let turn = 0; turn < 160; turn++) {
-    working.tick();
+    tolerantClock.tick();
     a.clock.advance(10);
   }
   strictEqual(b.view.getReadingTokens("engine-1"), 0);
--- a/src/placement/placement_choices_test.ts
+++ b/src/placement/placement_choices_test.ts
@@ -60,9 +60,9 @@
   // Responses of fifty events would be sent over the link between regions
   // although upstreams in the caller's region could have prefilled the prompt
   // as well.
-  const isNear = (id: string) => id === "up-1" || id === "up-3";
+  const isSameRegion = (id: string) => id === "up-1" || id === "up-3";
   deepStrictEqual(
-    putSameRegionFirst(["up-0", "up-1", "up-2", "up-3"], isNear),
+    putSameRegionFirst(["up-0", "up-1", "up-2", "up-3"], isSameRegion),
     ["up-1", "up-3", "up-0", "up-2"],
   );
 });
--- a/src/requests/parse_test.ts
+++ b/src/requests/parse_test.ts
@@ -120,9 +120,9 @@
   const s = createScheduler();
   const { body, req } = createRequest();
   body.write("{");
-  const told = parse(s, req);
-  await s.waitFor(told);
-  assert.equal(await told, "not-run slowBody");
+  const outcome = parse(s, req);
+  await s.waitFor(outcome);
+  assert.equal(await outcome, "not-run slowBody");
   body.destroy();
 });
 
