--- a/scripts/bundle.mjs
+++ b/scripts/bundle.mjs
@@ -1,9 +1,10 @@
-// Bundles the entry host's program into one file, so that a start reads one file
-// and not some five hundred.
+// Bundles the entry host's program into one file, so that the process reads one
+// file at its start instead of about five hundred.
 import { build } from "esbuild";
 
-// Packages that still use `require` find it here; one of them is optional.
-const REQUIRE =
+// Defines `require` for the bundled packages that are CommonJS modules. One of
+// the packages that they load is optional (see `external`).
+const REQUIRE_BANNER =
   "import { createRequire } from 'node:module'; const require = createRequire(import.meta.url);";
 
 await build({
@@ -15,6 +16,6 @@
   minifySyntax: true,
   minifyWhitespace: true,
   external: ["dtrace-provider"],
-  banner: { js: REQUIRE },
+  banner: { js: REQUIRE_BANNER },
   logLevel: "warning",
 });
--- a/scripts/test.mjs
+++ b/scripts/test.mjs
@@ -1,47 +1,48 @@
-// Runs every test with Node's own runner, without the given documents. The list
-// comes from the sources: a compiled test whose source is gone must not run.
-// Tests that KNOWN-RED.txt names are passed over, by their exact names, and
-// printed; nothing else is.
+// Runs all tests with Node's test runner; none of them needs files from outside
+// the repository. The list of tests is derived from the source files, so that a
+// compiled test whose source file was deleted does not run. Only the tests that
+// KNOWN-RED.txt lists by their exact names are skipped, and each is printed.
 import { spawnSync } from "node:child_process";
 import { readdirSync, readFileSync } from "node:fs";
 import { join } from "node:path";
 
-function findTests(sources, built) {
-  return readdirSync(sources, { recursive: true })
+function findTests(sourceDir, outputDir) {
+  return readdirSync(sourceDir, { recursive: true })
     .filter((name) => name.endsWith("_test.ts"))
-    .map((name) => join(built, name.replace(/\.ts$/, ".js")))
+    .map((name) => join(outputDir, name.replace(/\.ts$/, ".js")))
     .sort();
 }
 
-/** Names in lines of the form: test "NAME" in FILE: what was seen. */
-function findKnownRed() {
+/** Returns the names in lines of the form `test "NAME" in FILE: SYMPTOM`. */
+function readKnownFailures() {
   const text = readFileSync("KNOWN-RED.txt", "utf8");
   return [...text.matchAll(/^test "(.+?)" in \S+:/gm)].map(([, name]) => name);
 }
 
 /**
- * Matches every name but those given and `<root>`, the runner's own test around
- * each file: where that matches, all tests of the file run.
+ * Returns a pattern that matches all test names except the skipped ones and
+ * `<root>`, the test that the runner wraps around each file. If `<root>`
+ * matched, the runner would run all tests of the file.
  */
-function createNamePattern(passedOver) {
-  const escaped = passedOver
+function createNamePattern(skippedNames) {
+  const escaped = skippedNames
     .map((name) => name.replace(/[.*+?^${}()|[\]\\]/g, "\\$&"));
   return `^(?!(?:<root>|${escaped.join("|")})$).`;
 }
 
-const knownRed = findKnownRed();
-for (const name of knownRed) console.log(`Known red, passed over: "${name}"`);
-const namePattern = knownRed.length === 0
+const skipped = readKnownFailures();
+for (const name of skipped) console.log(`Skipped, known to fail: "${name}"`);
+const namePattern = skipped.length === 0
   ? []
-  : [`--test-name-pattern=${createNamePattern(knownRed)}`];
+  : [`--test-name-pattern=${createNamePattern(skipped)}`];
 
 const tests = [
   ...findTests("src", "dist"),
   ...findTests("platform", "target/platform"),
 ];
-const res = spawnSync(
+const result = spawnSync(
   process.execPath,
   ["--test", "--test-reporter=spec", ...namePattern, ...tests],
   { stdio: "inherit" },
 );
-process.exit(res.status ?? 1);
+process.exit(result.status ?? 1);
