--- a/src/commands/status.ts
+++ b/src/commands/status.ts
@@ -175,8 +175,8 @@
   ], rows);
 }
 
-function formatShare(part: number, whole: number): string {
-  return whole === 0 ? "-" : `${(100 * part / whole).toFixed(1)}%`;
+function formatShare(part: number, total: number): string {
+  return total === 0 ? "-" : `${(100 * part / total).toFixed(1)}%`;
 }
 
 function sum(values: readonly number[]): number {
--- a/src/diagnostics/request_trace.ts
+++ b/src/diagnostics/request_trace.ts
@@ -187,16 +187,16 @@
 }
 
 function describeUpstreamSignal(
-  said: Extract<Decision, { readonly event: "upstream-said" }>,
+  signal: Extract<Decision, { readonly event: "upstream-said" }>,
 ): string {
-  const from = `Upstream ${said.upstream} with status ${said.status}`;
-  switch (said.said) {
+  const from = `Upstream ${signal.upstream} with status ${signal.status}`;
+  switch (signal.said) {
     case "leaving":
       return `${from}: it is leaving`;
     case "rest":
-      return `${from}: it asked this host to back off for ${said.restMs} ms`;
+      return `${from}: it asked this host to back off for ${signal.restMs} ms`;
     case "unreadable-rest":
-      return `${from}: a back-off that can't be read, "${said.text}"`;
+      return `${from}: a back-off that can't be read, "${signal.text}"`;
   }
 }
 
--- a/src/discovery/table_follower_test.ts
+++ b/src/discovery/table_follower_test.ts
@@ -60,7 +60,8 @@
     defects,
     throwOnce: () => void (mustThrow = true),
     setReader: (value: boolean) => void (isReader = value),
-    play: (steps: Effect.Effect<void>) => play(follower, steps),
+    runInVirtualTime: (steps: Effect.Effect<void>) =>
+      runInVirtualTime(follower, steps),
   };
 }
 
@@ -87,7 +88,7 @@
 }
 
 /** Runs the follower in virtual time until the steps have completed. */
-function play(
+function runInVirtualTime(
   follower: Effect.Effect<never>,
   steps: Effect.Effect<void>,
 ): Promise<void> {
@@ -106,7 +107,7 @@
   // 2,508 calls before the first caller arrived, each of them charged, and
   // close to the platform's rate limits.
   const fixture = createFixture();
-  await fixture.play(Effect.gen(function* () {
+  await fixture.runInVirtualTime(Effect.gen(function* () {
     const calls = yield* fixture.run(3_000);
     ok(calls >= 3 && calls <= 5, `${calls} calls in three seconds`);
   }));
@@ -118,7 +119,7 @@
   // started, so routes that operators added were refused for almost another
   // second.
   const fixture = createFixture();
-  await fixture.play(Effect.gen(function* () {
+  await fixture.runInVirtualTime(Effect.gen(function* () {
     fixture.setReader(false);
     yield* fixture.run(60_000);
     fixture.setReader(true);
@@ -131,7 +132,7 @@
   // Sending a report to the other hosts throws once. The follower used to end
   // without a log line, and the host kept its last replica for good.
   const fixture = createFixture();
-  await fixture.play(Effect.gen(function* () {
+  await fixture.runInVirtualTime(Effect.gen(function* () {
     yield* fixture.run(10_000);
     fixture.throwOnce();
     yield* fixture.run(1_000);
@@ -161,7 +162,7 @@
     },
     table: createTableReplica<string>(),
   });
-  await play(
+  await runInVirtualTime(
     follower,
     Effect.gen(function* () {
       yield* advance(clock, 20_000);
@@ -201,7 +202,7 @@
     },
     table,
   });
-  await play(follower, advance(clock, 9_000));
+  await runInVirtualTime(follower, advance(clock, 9_000));
   deepStrictEqual(table.getPosition(), { era: 2, version: 23 });
   deepStrictEqual(table.getRows().get("a")?.value, "leaving");
   ok(follows > 3);
--- a/src/discovery/upstream_directory.ts
+++ b/src/discovery/upstream_directory.ts
@@ -92,7 +92,7 @@
   let ready: ReadonlyMap<string, readonly UpstreamEntry[]> = new Map();
   const leaving = createLeavingInstances();
   const removedRows = createRemovedRows();
-  const keptUntilMs = new Map<string, number>();
+  const retainedUntilMs = new Map<string, number>();
   let nextExpiryMs = Infinity;
 
   function rebuildReady(): void {
@@ -104,7 +104,7 @@
       getOrCreate(next, entry.service, () => []).push(entry);
     }
     ready = next;
-    nextExpiryMs = Math.min(Infinity, ...keptUntilMs.values());
+    nextExpiryMs = Math.min(Infinity, ...retainedUntilMs.values());
   }
 
   function acceptsWork(entry: UpstreamEntry): boolean {
@@ -115,7 +115,7 @@
     const nowMs = host.clock.monotonicMs();
     if (nowMs < nextExpiryMs) return;
     const next = new Map(rows);
-    for (const [id, untilMs] of keptUntilMs) {
+    for (const [id, untilMs] of retainedUntilMs) {
       if (nowMs < untilMs) continue;
       remove(next.get(id)!);
       next.delete(id);
@@ -125,7 +125,7 @@
   }
 
   function remove(row: TableRow<UpstreamEntry>): void {
-    keptUntilMs.delete(row.key);
+    retainedUntilMs.delete(row.key);
     removedRows.add(row, position);
     host.onChange(row.value, "removed", "table");
   }
@@ -146,8 +146,8 @@
       remove(row);
       return false;
     }
-    if (!keptUntilMs.has(row.key)) {
-      keptUntilMs.set(row.key, host.clock.monotonicMs() + LAPSE_GRACE_MS);
+    if (!retainedUntilMs.has(row.key)) {
+      retainedUntilMs.set(row.key, host.clock.monotonicMs() + LAPSE_GRACE_MS);
       host.onChange(row.value, "kept", "table");
     }
     return true;
@@ -179,7 +179,7 @@
       if (isLaterEra(at, position)) eraStart = at;
       for (const [id, row] of tableRows) {
         if (removedRows.isStale(row, eraStart)) continue;
-        keptUntilMs.delete(id);
+        retainedUntilMs.delete(id);
         reportChange(id, row.value);
         next.set(id, row);
       }
--- a/src/fairness/counters_test.ts
+++ b/src/fairness/counters_test.ts
@@ -177,9 +177,12 @@
       exchange(hereRoot, children[0]!);
       here!.setParent("root");
       settle(nodes, nodes.root);
-      const apart = here!.get("alder") - here!.get("birch");
-      assert.ok(apart >= 0);
-      assert.ok(apart <= MAX_SPREAD_REQUESTS * largest + 1e-6, `${apart}`);
+      const difference = here!.get("alder") - here!.get("birch");
+      assert.ok(difference >= 0);
+      assert.ok(
+        difference <= MAX_SPREAD_REQUESTS * largest + 1e-6,
+        `${difference}`,
+      );
       assert.equal(there!.get("alder"), here!.get("alder"));
     },
   ));
--- a/src/requests/types.ts
+++ b/src/requests/types.ts
@@ -145,6 +145,6 @@
   host: ServeHost,
   admitted: AdmittedRequest,
 ): number {
-  const leftMs = admitted.deadlineMs - host.clock.monotonicMs();
-  return Math.max(1, Math.floor(leftMs));
+  const remainingMs = admitted.deadlineMs - host.clock.monotonicMs();
+  return Math.max(1, Math.floor(remainingMs));
 }
