--- a/src/discovery/table_follower_test.ts
+++ b/src/discovery/table_follower_test.ts
@@ -103,9 +103,9 @@
 
 test("starting a fleet does not cost one call per upstream and host", async () => {
   // Eighty hosts start while sixty upstreams register, and no host knows yet
-  // that others are readers. Each host used to make one call for each upstream:
-  // 2,508 calls before the first caller arrived, each of them charged, and
-  // close to the platform's rate limits.
+  // that others are readers. Guards against hosts that make one call each for
+  // every upstream: that took 2,508 calls before the first caller arrived, each
+  // of them charged, and came close to the platform's rate limits.
   const fixture = createFixture();
   await fixture.runInVirtualTime(Effect.gen(function* () {
     const calls = yield* fixture.run(3_000);
@@ -129,8 +129,9 @@
 });
 
 test("a follower continues after an exception in its host's callback", async () => {
-  // Sending a report to the other hosts throws once. The follower used to end
-  // without a log line, and the host kept its last replica for good.
+  // Sending a report to the other hosts throws once. Guards against a follower
+  // that then ends without a log line, so that the host keeps an outdated
+  // replica until it is restarted.
   const fixture = createFixture();
   await fixture.runInVirtualTime(Effect.gen(function* () {
     yield* fixture.run(10_000);
--- a/src/entry/platform_view_test.ts
+++ b/src/entry/platform_view_test.ts
@@ -149,9 +149,9 @@
 test("a change to one table does not make hosts fetch the other", async () => {
   // The platform has one version counter for all tables. When an upstream
   // registers, readers know the configuration up to a newer version, without
-  // any change in it. Hosts used to mistake that for a newer configuration and
-  // fetched it after each report until a configuration was published, which
-  // wasted processor time and bandwidth.
+  // any change in it. Guards against hosts that mistake this for a newer
+  // configuration and fetch it after each report until a configuration is
+  // published, which wastes processor time and bandwidth.
   const fleet = createKnowledgeFleet({ hosts: 9 });
   await runFleet(Effect.gen(function* () {
     fleet.tables.put(1);
--- a/src/fleet/ownership.ts
+++ b/src/fleet/ownership.ts
@@ -35,7 +35,7 @@
   get(upstream: string): string | undefined;
   /** Upstreams that the host owns. */
   getOwnedBy(host: string): readonly string[];
-  /** Determines the owners anew and returns the changes. */
+  /** Determines the owners again and returns those that changed. */
   update(): readonly OwnerChange[];
 }
 
--- a/src/forwarding/forward_test.ts
+++ b/src/forwarding/forward_test.ts
@@ -241,8 +241,8 @@
 });
 
 test("a prompt whose caller leaves as it is picked leaves no load behind", async () => {
-  // If its tokens stayed in the load sums, the upstream would look busy to all
-  // hosts forever.
+  // If its tokens stayed in this host's load reports, the upstream would look
+  // busy to all hosts forever.
   await using fixture = await createForwardFixture([() => {}], {
     hasPrompts: true,
   });
