--- a/src/discovery/table_follower_test.ts
+++ b/src/discovery/table_follower_test.ts
@@ -130,8 +130,8 @@
 
 test("a follower continues after an exception in its host's callback", async () => {
   // Sending a report to the other hosts throws once. Guards against a follower
-  // that then ends without a log line, so that the host keeps an outdated
-  // replica until it is restarted.
+  // that then ends without a log line, so that the host never updates its
+  // replica again.
   const fixture = createFixture();
   await fixture.runInVirtualTime(Effect.gen(function* () {
     yield* fixture.run(10_000);
--- a/src/forwarding/pause_sampler.ts
+++ b/src/forwarding/pause_sampler.ts
@@ -4,10 +4,10 @@
  *
  * Load: responses of a few events beside responses of hundreds.
  *
- * Failure prevented: a response counted once for each second it lasted, and at
- * once when it paused too long, so that a short response counted only if it was
- * late. Nearly all counted responses were then late, and the prefill limit fell
- * to its minimum.
+ * Failure prevented: if a response is counted once for each second that it
+ * lasts, and immediately when it pauses too long, a short response is counted
+ * only if it is late. Nearly all counted responses are then late, and the
+ * prefill limit falls to its minimum.
  *
  * @module
  */
