--- a/src/measure/admitted_load.ts
+++ b/src/measure/admitted_load.ts
@@ -1,6 +1,6 @@
 /**
- * Callers in front of the fleet's fixture with the real admission, backlog and
- * retry budget of each host, as the router joins them.
+ * Callers of the fleet fixture. Each host has the real admission, backlog and
+ * retry budget, connected as in the router.
  *
  * @module
  */
@@ -16,12 +16,12 @@
   FixtureRequest,
   FleetFixture,
 } from "./fleet_fixture.ts";
-import { pickHomes } from "./contended.ts";
+import { pickEntryHosts } from "./contended.ts";
 import type { Random } from "./random.ts";
 import { pickMixedCost, SERVICE } from "./workload.ts";
 
-/** How a call ended for its caller. */
-export interface CallEnd {
+/** Outcome of a call for its caller. */
+export interface CallOutcome {
   readonly arrivedMs: number;
   readonly endedMs: number;
   readonly deadlineMs: number;
@@ -30,7 +30,7 @@
   readonly result: "answered" | "refused" | "given-up" | "timed-out" | "failed";
 }
 
-/** A call of a team at a host. */
+/** A call of a team through a host. */
 export interface Call {
   readonly team: string;
   readonly host: FixtureHost;
@@ -38,45 +38,47 @@
   readonly timeoutMs: number;
 }
 
-/** Callers and hosts. */
+/** Sends calls through the hosts' admission and records their outcomes. */
 export interface AdmittedLoad {
   send(call: Call): void;
-  getEnds(): readonly CallEnd[];
-  /** Most requests, and bytes of them, that waited at one host at once. */
-  getMostWaiting(): { readonly requests: number; readonly bytes: number };
+  getOutcomes(): readonly CallOutcome[];
+  /**
+   * Largest number of requests, and of their bytes, that waited at one host.
+   */
+  getPeakWaiting(): { readonly requests: number; readonly bytes: number };
 }
 
-/** What a load is made from. */
+/** Options of the callers. */
 export interface AdmittedLoadOptions {
   readonly random: Random;
   readonly bodyBytes: number;
-  /** False: all are let in and wait until their deadlines. */
-  readonly refuses: boolean;
+  /** If false, every call is admitted and waits until its deadline. */
+  readonly refusesCalls: boolean;
 }
 
 const SWEEP_MS = 200;
-const MAX_RUNS = 3;
+const MAX_ATTEMPTS = 3;
 
-/** Makes the admission of each host of the fixture. */
+/** Creates the admission of each host of the fixture. */
 export function createAdmittedLoad(
   fixture: FleetFixture,
-  { random, bodyBytes, refuses }: AdmittedLoadOptions,
+  { random, bodyBytes, refusesCalls }: AdmittedLoadOptions,
 ): AdmittedLoad {
-  const { agenda } = fixture;
-  const { clock } = agenda;
-  const ends: CallEnd[] = [];
-  const most = { requests: 0, bytes: 0 };
+  const { scheduler } = fixture;
+  const { clock } = scheduler;
+  const outcomes: CallOutcome[] = [];
+  const peak = { requests: 0, bytes: 0 };
   const backlogs = new Map<string, Backlog>();
   const budgets = new Map<string, RetryBudget>();
   for (const { id } of fixture.hosts) {
     const backlog = createBacklog({ clock, random });
     backlogs.set(id, backlog);
     budgets.set(id, createRetryBudget(clock));
-    if (refuses) agenda.every(SWEEP_MS, backlog.sweep);
+    if (refusesCalls) scheduler.every(SWEEP_MS, backlog.sweep);
   }
 
-  function end(call: Call, deadlineMs: number, result: CallEnd["result"]) {
-    ends.push({
+  function end(call: Call, deadlineMs: number, result: CallOutcome["result"]) {
+    outcomes.push({
       arrivedMs: deadlineMs - call.timeoutMs,
       endedMs: clock.monotonicMs(),
       deadlineMs,
@@ -86,13 +88,13 @@
     });
   }
 
-  function noteMost(backlog: Backlog): void {
+  function recordPeak(backlog: Backlog): void {
     const use = backlog.getUse();
-    most.requests = Math.max(most.requests, use.requests);
-    most.bytes = Math.max(most.bytes, use.bytes);
+    peak.requests = Math.max(peak.requests, use.requests);
+    peak.bytes = Math.max(peak.bytes, use.bytes);
   }
 
-  function wait(call: Call, deadlineMs: number, runs: number): void {
+  function startAttempt(call: Call, deadlineMs: number, attempt: number): void {
     const backlog = backlogs.get(call.host.id)!;
     const timeoutMs = deadlineMs - clock.monotonicMs();
     const req = call.host.submit({
@@ -101,7 +103,7 @@
       cost: call.cost,
       timeoutMs,
       onStart: (started) => backlog.dequeue(started, "started"),
-      onEnd: (ended) => endRun(call, ended, { deadlineMs, runs }),
+      onEnd: (ended) => endAttempt(call, ended, { deadlineMs, attempt }),
     });
     if (req.state !== "waiting") return;
     backlog.enqueue(req, bodyBytes, () => {
@@ -109,13 +111,13 @@
       req.state = "cancelled";
       end(call, deadlineMs, "given-up");
     });
-    noteMost(backlog);
+    recordPeak(backlog);
   }
 
-  function endRun(
+  function endAttempt(
     call: Call,
     req: FixtureRequest,
-    { deadlineMs, runs }: { deadlineMs: number; runs: number },
+    { deadlineMs, attempt }: { deadlineMs: number; attempt: number },
   ): void {
     const budget = budgets.get(call.host.id)!;
     const backlog = backlogs.get(call.host.id)!;
@@ -129,10 +131,10 @@
       backlog.dequeue(req, "gave-up");
       end(call, deadlineMs, "timed-out");
     } else if (
-      runs < MAX_RUNS && clock.monotonicMs() < deadlineMs &&
+      attempt < MAX_ATTEMPTS && clock.monotonicMs() < deadlineMs &&
       budget.tryTake(call.team, SERVICE)
     ) {
-      wait(call, deadlineMs, runs + 1);
+      startAttempt(call, deadlineMs, attempt + 1);
     } else {
       end(call, deadlineMs, "failed");
     }
@@ -160,23 +162,26 @@
         maxQueued: team.maxQueued,
         isDraining: false,
       });
-      if (refuses && decision.kind === "refused") {
+      if (refusesCalls && decision.kind === "refused") {
         end(call, deadlineMs, "refused");
       } else {
-        wait(call, deadlineMs, 1);
+        startAttempt(call, deadlineMs, 1);
       }
     },
-    getEnds: () => ends,
-    getMostWaiting: () => most,
+    getOutcomes: () => outcomes,
+    getPeakWaiting: () => peak,
   };
 }
 
-/** Tokens a second of answers that came in time, of calls in the window. */
+/**
+ * Returns the tokens per second of the answers that ended in the window and
+ * before their deadlines.
+ */
 export function getGoodput(
   load: AdmittedLoad,
   window: { readonly fromMs: number; readonly toMs: number },
 ): number {
-  const tokens = load.getEnds()
+  const tokens = load.getOutcomes()
     .filter((end) => end.result === "answered" && end.endedMs <= end.deadlineMs)
     .filter((end) => end.endedMs >= window.fromMs && end.endedMs < window.toMs)
     .reduce((sum, end) => sum + end.cost, 0);
@@ -184,8 +189,8 @@
 }
 
 /**
- * Lets every team send at its share of the rate by weight, at random times and
- * through the few hosts that its callers use.
+ * Sends calls of every team as a Poisson process, at the team's share of the
+ * total rate by weight and through the few hosts that its callers use.
  */
 export function sendByWeight(
   load: AdmittedLoad,
@@ -193,19 +198,19 @@
   options: { perSecond: number; timeoutMs: number; random: Random },
 ): void {
   const { random, timeoutMs } = options;
-  const { agenda, hosts } = fixture;
+  const { scheduler, hosts } = fixture;
   const { teams } = fixture.deployment;
   const totalWeight = teams.reduce((sum, team) => sum + team.weight, 0);
   for (const team of teams) {
-    const homes = pickHomes(hosts.length, random);
+    const entryHosts = pickEntryHosts(hosts.length, random);
     const perSecond = options.perSecond * team.weight / totalWeight;
     const sendNext = () => {
       const gapMs = -Math.log(1 - random()) * 1000 / perSecond;
-      agenda.after(gapMs, () => {
-        const home = homes[Math.floor(random() * homes.length)]!;
+      scheduler.after(gapMs, () => {
+        const at = entryHosts[Math.floor(random() * entryHosts.length)]!;
         load.send({
           team: team.id,
-          host: hosts[home]!,
+          host: hosts[at]!,
           cost: pickMixedCost(random),
           timeoutMs,
         });
--- a/src/measure/baselines.ts
+++ b/src/measure/baselines.ts
@@ -1,7 +1,7 @@
 /**
- * What the router's decisions are measured against, as policies for the same
- * fixture. Each is given the best it could have: a baseline that needs facts
- * from other hosts gets them at once and free of charge.
+ * Policies that the router's decisions are compared with, run on the same
+ * fixture. Each baseline works under ideal conditions: facts that it needs from
+ * other hosts are available immediately and cost no traffic.
  *
  * @module
  */
@@ -19,74 +19,77 @@
 import type { ServiceCounters } from "../fairness/mod.ts";
 import type { GrantTarget, PickInput } from "../slots/mod.ts";
 
-/** What a policy may know of the whole fixture. */
-export interface PolicyWorld {
-  /** Arrival of the oldest request of the team that waits at the host. */
+/** Fleet-wide facts that a baseline may use. */
+export interface FleetState {
+  /** Arrival time of the team's oldest request that waits at the host. */
   tryGetOldestMs(host: string, team: string): number | undefined;
-  /** Service that the team got by way of the host, divided by its weight. */
+  /** Service that the team received through the host, divided by its weight. */
   getHostService(host: string, team: string): number;
 }
 
-/** Makes a policy for the fixture's world. */
-export type CreatePolicy = (world: PolicyWorld) => FleetPolicy;
+/** Creates a policy for a fixture. */
+export type CreatePolicy = (fleetState: FleetState) => FleetPolicy;
 
-/** The baselines by the names that reports use. */
+/** The baselines, by their names in reports. */
 export const baselines: Readonly<Record<string, CreatePolicy>> = {
-  firstCome: createFirstCome,
-  hostAlone: createHostAlone,
+  firstCome: createFirstComeFirstServed,
+  hostAlone: createRoundRobinOverHosts,
   broadcast: createBroadcast,
 };
 
-/** The decisions as the router runs them. */
-export function createOurs(): FleetPolicy {
+/** Creates the policy that the router uses. */
+export function createRouterPolicy(): FleetPolicy {
   return defaultFleetPolicy;
 }
 
-/** First come, first served, over all hosts and teams. */
-function createFirstCome(world: PolicyWorld): FleetPolicy {
+/** Grants slots first come, first served over all hosts and teams. */
+function createFirstComeFirstServed(fleetState: FleetState): FleetPolicy {
   return {
     ...defaultFleetPolicy,
     createExchange: createNoExchange,
     tryPick: (input) =>
-      tryPickLeast(
+      tryPickMinimum(
         input,
         ({ entryHost, team }) =>
-          world.tryGetOldestMs(entryHost, team) ?? Infinity,
+          fleetState.tryGetOldestMs(entryHost, team) ?? Infinity,
       ),
   };
 }
 
-/** Hosts take turns, and each is fair among its own teams alone. */
-function createHostAlone(world: PolicyWorld): FleetPolicy {
-  const lastTurn = new Map<string, number>();
-  let turn = 0;
+/**
+ * Grants slots to hosts round robin; each host is fair only among its own
+ * teams.
+ */
+function createRoundRobinOverHosts(fleetState: FleetState): FleetPolicy {
+  const lastGrant = new Map<string, number>();
+  let grants = 0;
   return {
     ...defaultFleetPolicy,
     createExchange: createNoExchange,
     tryPick(input) {
-      const next = tryPickLeast(
+      const next = tryPickMinimum(
         input,
-        ({ entryHost }) => lastTurn.get(entryHost) ?? 0,
+        ({ entryHost }) => lastGrant.get(entryHost) ?? 0,
       );
       if (next === undefined) return undefined;
-      lastTurn.set(next.entryHost, ++turn);
-      return tryPickLeast(
+      lastGrant.set(next.entryHost, ++grants);
+      return tryPickMinimum(
         input,
         ({ entryHost, team }) =>
           entryHost === next.entryHost
-            ? world.getHostService(entryHost, team)
+            ? fleetState.getHostService(entryHost, team)
             : Infinity,
       );
     },
   };
 }
 
-/** Every host tells its own sums to every other host. */
+/** Every host sends the service of its teams to every other host. */
 function createBroadcast(): FleetPolicy {
   return { ...defaultFleetPolicy, createExchange: createBroadcastExchange };
 }
 
-function tryPickLeast(
+function tryPickMinimum(
   input: PickInput,
   getKey: (pick: GrantTarget) => number,
 ): GrantTarget | undefined {
--- a/src/measure/fairness.ts
+++ b/src/measure/fairness.ts
@@ -1,12 +1,18 @@
 /**
- * Scenario `fairness`: every team is backlogged, spread unevenly over the hosts,
- * with unequal weights, costs known only at the end and hints wrong by ten.
+ * Scenario `fairness`: measures the gap between teams while all are backlogged.
+ * The teams have unequal weights and are spread unevenly over the hosts, costs
+ * are known only at the end of a request, and cost hints are wrong by a factor
+ * of ten.
  *
  * @module
  */
 
 import { CROSS_REGION_PENALTY_REQUESTS } from "../fleet/mod.ts";
-import { baselines, createOurs, type CreatePolicy } from "./baselines.ts";
+import {
+  baselines,
+  type CreatePolicy,
+  createRouterPolicy,
+} from "./baselines.ts";
 import {
   createContendedFleet,
   FLEET_SLOTS,
@@ -22,7 +28,10 @@
 const END_MS = 130_000;
 const SAMPLE_MS = 250;
 
-/** Three exchanges up and three down, of 500 ms each. */
+/**
+ * Longest time until a charge is known to every owner: three exchanges up the
+ * tree and three down, of 500 ms each.
+ */
 const LAG_SECONDS = 3;
 
 interface Result {
@@ -31,18 +40,21 @@
   readonly servicePerSecond: number;
 }
 
-/** Runs the scenario with the router's decisions and with each baseline. */
+/** Runs the scenario with the router's policy and with each baseline. */
 export function measureFairness(options: ScenarioOptions): Report {
-  const ours = run(options, createOurs);
-  const others = mapValues(baselines, (policy) => run(options, policy));
-  const gaps = mapValues(others, (result) => result.gap);
+  const routerResult = run(options, createRouterPolicy);
+  const baselineResults = mapValues(
+    baselines,
+    (policy) => run(options, policy),
+  );
+  const gaps = mapValues(baselineResults, (result) => result.gap);
   const derived = getGapBound({
     weights: TEAM_WEIGHTS,
     largestCost: LARGEST_COST,
     slots: FLEET_SLOTS,
-    servicePerSecond: ours.servicePerSecond,
+    servicePerSecond: routerResult.servicePerSecond,
     lagSeconds: LAG_SECONDS,
-    farPenaltyRequests: CROSS_REGION_PENALTY_REQUESTS,
+    crossRegionPenaltyRequests: CROSS_REGION_PENALTY_REQUESTS,
   });
   return {
     scenario: "fairness",
@@ -50,20 +62,23 @@
     figures: [
       {
         name: "fairness_gap_tokens",
-        value: ours.gap,
+        value: routerResult.gap,
         baselines: gaps,
         bound: { kind: "at-most", value: gaps.hostAlone! / 5 },
       },
       {
         name: "fairness_gap_against_derived_bound_tokens",
-        value: ours.gap,
+        value: routerResult.gap,
         baselines: {},
         bound: { kind: "at-most", value: derived },
       },
       {
         name: "control_bytes_per_request",
-        value: ours.bytesPerRequest,
-        baselines: mapValues(others, (result) => result.bytesPerRequest),
+        value: routerResult.bytesPerRequest,
+        baselines: mapValues(
+          baselineResults,
+          (result) => result.bytesPerRequest,
+        ),
       },
     ],
   };
@@ -79,7 +94,7 @@
   });
   const meter = createGapMeter(fixture.deployment.teams);
   for (let ms = WARM_UP_MS; ms <= END_MS; ms += SAMPLE_MS) {
-    fixture.agenda.runUntil(ms);
+    fixture.scheduler.runUntil(ms);
     meter.sample(fixture.getService(SERVICE));
   }
   const answered = fixture.getRequests()
@@ -88,7 +103,7 @@
     .reduce((sum, each) => sum + each, 0);
   return {
     gap: meter.getGap(),
-    bytesPerRequest: fixture.getControl().bytes / answered,
+    bytesPerRequest: fixture.getControlTraffic().bytes / answered,
     servicePerSecond: service * 1_000 / END_MS,
   };
 }
--- a/src/measure/fake_upstream.ts
+++ b/src/measure/fake_upstream.ts
@@ -1,23 +1,25 @@
 /**
- * A fake upstream in virtual time: each request in it gets tokens at one rate,
- * whatever the number of others, up to its batch; above that all slow down. It
- * can be made slow, be stalled or fail.
+ * A fake upstream in virtual time. Each request generates tokens at a fixed
+ * rate that does not depend on the number of concurrent requests. The upstream
+ * can be made slow, stalled or failing.
  *
  * @module
  */
 
-import type { Agenda } from "./agenda.ts";
+import type { VirtualScheduler } from "./virtual_scheduler.ts";
 
-/** Times of a fake upstream in milliseconds. */
+/** Scheduler and times of a fake upstream; times in milliseconds. */
 export interface FakeUpstreamOptions {
-  readonly agenda: Agenda;
+  readonly scheduler: VirtualScheduler;
   readonly firstTokenMs: number;
   readonly tokenMs: number;
-  /** A request held by a stalled upstream fails after so long; never if absent. */
-  readonly silenceMs?: number;
+  /**
+   * Time after which a request at a stalled upstream fails; without it, never.
+   */
+  readonly stallTimeoutMs?: number;
 }
 
-/** What the fake needs to know of a request. */
+/** A request as the fake upstream sees it. */
 export interface ServedRequest {
   readonly team: string;
   readonly cost: number;
@@ -26,40 +28,45 @@
 /** A fake upstream. */
 export interface FakeUpstream {
   readonly id: string;
-  /** Serves the request; `done` is called once, at its end. */
+  /** Serves the request and calls `done` once, when the request ends. */
   serve(
     req: ServedRequest,
     done: (result: "answered" | "failed", firstByteMs: number) => void,
   ): void;
   getInFlight(): number;
-  /** Most requests in flight at once so far. */
-  getPeak(): number;
-  /** Milliseconds of slots in use, summed over all requests so far. */
+  /** Largest number of concurrent requests so far. */
+  getPeakInFlight(): number;
+  /** Time that slots were in use, summed over all requests so far. */
   getBusyMs(): number;
-  /** Requests that start from now take so many times as long. */
+  /** Multiplies the duration of requests that start from now on. */
   setSlowFactor(factor: number): void;
-  /** While true, requests that start end never, or when it turns false. */
+  /**
+   * While stalled, new requests do not start. They start when the stall ends,
+   * unless they have failed after `stallTimeoutMs`.
+   */
   setStalled(isStalled: boolean): void;
-  /** While true, requests that start fail after the first-token time. */
+  /** While failing, new requests fail after the time to the first token. */
   setFailing(isFailing: boolean): void;
-  /** Adds the service so far by team, as tokens stream. */
+  /**
+   * Adds the service so far to the sum of each team, running requests included.
+   */
   addService(sums: Map<string, number>): void;
 }
 
-interface Running {
+interface RunningRequest {
   readonly req: ServedRequest;
   readonly startMs: number;
   readonly firstByteMs: number;
   readonly endMs: number;
 }
 
-/** Makes an idle upstream. */
+/** Creates an idle upstream. */
 export function createFakeUpstream(
   id: string,
   options: FakeUpstreamOptions,
 ): FakeUpstream {
-  const { agenda } = options;
-  const running = new Set<Running>();
+  const { scheduler } = options;
+  const running = new Set<RunningRequest>();
   const served = new Map<string, number>();
   let stalled: (() => void)[] = [];
   let slowFactor = 1;
@@ -68,7 +75,7 @@
   let peak = 0;
   let busyMs = 0;
 
-  function getStreamed(each: Running, nowMs: number): number {
+  function getStreamedCost(each: RunningRequest, nowMs: number): number {
     const streamMs = each.endMs - each.startMs - each.firstByteMs;
     const doneMs = nowMs - each.startMs - each.firstByteMs;
     if (streamMs <= 0) return 0;
@@ -78,13 +85,13 @@
   function run(
     req: ServedRequest,
     done: (result: "answered" | "failed", firstByteMs: number) => void,
-    heldMs: number,
+    stalledMs: number,
   ): void {
-    const startMs = agenda.clock.monotonicMs();
+    const startMs = scheduler.clock.monotonicMs();
     const ownFirstMs = options.firstTokenMs * slowFactor;
-    const firstByteMs = heldMs + ownFirstMs;
+    const firstByteMs = stalledMs + ownFirstMs;
     const streamMs = isFailing ? 0 : req.cost * options.tokenMs * slowFactor;
-    const each: Running = {
+    const each: RunningRequest = {
       req,
       startMs,
       firstByteMs: ownFirstMs,
@@ -93,9 +100,9 @@
     const result = isFailing ? "failed" : "answered";
     running.add(each);
     peak = Math.max(peak, running.size + stalled.length);
-    agenda.after(ownFirstMs + streamMs, () => {
+    scheduler.after(ownFirstMs + streamMs, () => {
       running.delete(each);
-      busyMs += agenda.clock.monotonicMs() - startMs;
+      busyMs += scheduler.clock.monotonicMs() - startMs;
       if (result === "answered") {
         served.set(req.team, (served.get(req.team) ?? 0) + req.cost);
       }
@@ -110,12 +117,12 @@
         run(req, done, 0);
         return;
       }
-      const heldFromMs = agenda.clock.monotonicMs();
+      const stalledFromMs = scheduler.clock.monotonicMs();
       const start = () =>
-        run(req, done, agenda.clock.monotonicMs() - heldFromMs);
+        run(req, done, scheduler.clock.monotonicMs() - stalledFromMs);
       stalled.push(start);
-      if (options.silenceMs !== undefined) {
-        agenda.after(options.silenceMs, () => {
+      if (options.stallTimeoutMs !== undefined) {
+        scheduler.after(options.stallTimeoutMs, () => {
           if (!stalled.includes(start)) return;
           stalled = stalled.filter((each) => each !== start);
           done("failed", 0);
@@ -124,9 +131,9 @@
       peak = Math.max(peak, running.size + stalled.length);
     },
     getInFlight: () => running.size + stalled.length,
-    getPeak: () => peak,
+    getPeakInFlight: () => peak,
     getBusyMs() {
-      const nowMs = agenda.clock.monotonicMs();
+      const nowMs = scheduler.clock.monotonicMs();
       let sum = busyMs;
       for (const each of running) sum += nowMs - each.startMs;
       return sum;
@@ -145,13 +152,13 @@
       isFailing = value;
     },
     addService(sums) {
-      const nowMs = agenda.clock.monotonicMs();
+      const nowMs = scheduler.clock.monotonicMs();
       for (const [team, cost] of served) {
         sums.set(team, (sums.get(team) ?? 0) + cost);
       }
       for (const each of running) {
         const { team } = each.req;
-        const streamed = getStreamed(each, nowMs);
+        const streamed = getStreamedCost(each, nowMs);
         sums.set(team, (sums.get(team) ?? 0) + streamed);
       }
     },
--- a/src/measure/fleet_fixture.ts
+++ b/src/measure/fleet_fixture.ts
@@ -1,11 +1,12 @@
 /**
- * A fleet in virtual time for measurements and tests: the real fleet part of
- * each host (slot client, slot owners, counters, queues) over an agenda, with
- * frames delivered in memory after a fixed delay. Upstreams are fakes that
- * serve each slot at a token rate; membership is a view set by hand.
+ * A fleet in virtual time, for measurements and tests. Each host runs the real
+ * fleet part of the router (slot client, slot owners, counters, queues); frames
+ * are delivered in memory after a fixed delay. Upstreams are fakes that
+ * generate tokens at a fixed rate. The fixture sets the membership view of each
+ * host.
  *
- * It decides nothing by itself and simulates no network: delay and cuts are
- * all that happens to a frame.
+ * The fixture makes no decisions of its own and simulates no other properties
+ * of a network: a frame is delayed, or lost by a partition or a broken link.
  *
  * @module
  */
@@ -19,8 +20,8 @@
 import { createFleet, type Fleet, type FleetPolicy } from "../fleet/mod.ts";
 import type { SlotHandle } from "../slots/mod.ts";
 
-import { createOurs } from "./baselines.ts";
-import { createAgenda } from "./agenda.ts";
+import { createRouterPolicy } from "./baselines.ts";
+import { createVirtualScheduler } from "./virtual_scheduler.ts";
 import { createRandom } from "./random.ts";
 import { createFakeUpstream } from "./fake_upstream.ts";
 import {
@@ -34,10 +35,10 @@
 
 export * from "./fleet_fixture_types.ts";
 
-/** A link that broke is dialed again after so long. */
+/** Time until a broken link is dialed again. */
 const REDIAL_MS = 200;
 
-/** Hosts with the same view pick the same owner; hashing it once will do. */
+/** Caches owners: hosts with the same view pick the same owner. */
 function memoizeOwners(policy: FleetPolicy): FleetPolicy {
   const owners = new Map<string, string | undefined>();
   return {
@@ -57,41 +58,47 @@
   readonly usable: readonly Member[];
 }
 
-/** Makes the fleet; every host knows all others from the start. */
+/** Creates a fleet in which every host knows all others from the start. */
 export function createFleetFixture(options: FleetFixtureOptions): FleetFixture {
   const { deployment } = options;
-  const agenda = createAgenda();
+  const scheduler = createVirtualScheduler();
   const random = createRandom(options.seed ?? 1);
   const queued = new Map<string, FixtureRequest[]>();
   const hostService = new Map<string, number>();
-  const createPolicy = options.createPolicy ?? createOurs;
+  const createPolicy = options.createPolicy ?? createRouterPolicy;
   const policy = memoizeOwners(createPolicy({
     tryGetOldestMs: (host, team) =>
       queued.get(`${host}/${team}`)?.[0]?.arrivedMs,
     getHostService: (host, team) => hostService.get(`${host}/${team}`) ?? 0,
   }));
-  const regionOf = new Map(
+  const regionByDataCentre = new Map(
     deployment.dataCentres.map((each) => [each.id, each.region]),
   );
   const members = new Map<string, Member>();
-  const live = new Map<string, LiveHost>();
+  const processes = new Map<string, HostProcess>();
   const requests: FixtureRequest[] = [];
   const sentBytes = new Map<string, number>();
   const byKind = new Map<string, number>();
-  const totals = { bytes: 0, frames: 0, farBytes: 0 };
-  /** Hosts none of whose links work now, and how often links broke. */
-  const broken = new Set<string>();
-  const breaks = new Map<string, number>();
+  const totals = { bytes: 0, frames: 0, crossRegionBytes: 0 };
+  /**
+   * Hosts whose links are all broken, and how often each host's links broke.
+   */
+  const disconnected = new Set<string>();
+  const breakCounts = new Map<string, number>();
+  /** Callbacks that run when the paused host goes on, by host. */
   const paused = new Map<string, (() => void)[]>();
-  /** Views by region during a cut, one for all otherwise; until a change. */
+  /**
+   * Cached views, cleared by each change: by region during a partition, else
+   * one for all hosts under the empty key.
+   */
   const views = new Map<string, View>();
-  let isCut = false;
+  let isPartitioned = false;
   let lastRequest = 0;
 
-  interface LiveHost {
+  interface HostProcess {
     readonly fleet: Fleet;
     readonly incarnation: number;
-    /** Links dialed by this host, by the peer's id. */
+    /** Links that this host dialed, by the id of the peer. */
     readonly dialed: Map<string, PeerLinkHost>;
     isUp: boolean;
   }
@@ -99,57 +106,67 @@
   const upstreams = new Map(
     deployment.upstreams.map((each) => [
       each.id,
-      createFakeUpstream(each.id, { ...options, agenda }),
+      createFakeUpstream(each.id, { ...options, scheduler }),
     ]),
   );
 
   function getRegionOf(host: string): string {
-    return regionOf.get(members.get(host)!.dataCentre) ?? "";
+    return regionByDataCentre.get(members.get(host)!.dataCentre) ?? "";
   }
 
-  function isFar(a: string, b: string): boolean {
+  function isInOtherRegion(a: string, b: string): boolean {
     return getRegionOf(a) !== getRegionOf(b);
   }
 
   function canReach(from: string, to: string): boolean {
-    if (live.get(to)?.isUp !== true || live.get(from)?.isUp !== true) {
+    if (
+      processes.get(to)?.isUp !== true || processes.get(from)?.isUp !== true
+    ) {
       return false;
     }
-    if (broken.has(from) || broken.has(to)) return false;
-    return !(isCut && isFar(from, to));
+    if (disconnected.has(from) || disconnected.has(to)) return false;
+    return !(isPartitioned && isInOtherRegion(from, to));
   }
 
   function countBytes(from: string, to: string, bytes: number): void {
     totals.frames++;
     totals.bytes += bytes;
-    if (isFar(from, to)) totals.farBytes += bytes;
+    if (isInOtherRegion(from, to)) totals.crossRegionBytes += bytes;
     sentBytes.set(from, (sentBytes.get(from) ?? 0) + bytes);
   }
 
-  /** Delivers the bytes, unless the way is cut when they would arrive. */
+  /**
+   * Delivers the frame, unless its link breaks before it arrives or the hosts
+   * can't reach each other on its arrival.
+   */
   function deliver(
     from: string,
     to: string,
-    options2: { frame: Frame; receive: (frame: Frame) => void },
+    delivery: { frame: Frame; receive: (frame: Frame) => void },
   ): void {
-    const bytes = toBinary(FrameSchema, options2.frame);
+    const bytes = toBinary(FrameSchema, delivery.frame);
     countBytes(from, to, bytes.length + PACKET_BYTES);
-    const target = live.get(to);
-    const countBreaks = () => (breaks.get(from) ?? 0) + (breaks.get(to) ?? 0);
+    const target = processes.get(to);
+    const countBreaks = () =>
+      (breakCounts.get(from) ?? 0) + (breakCounts.get(to) ?? 0);
     const breaksBefore = countBreaks();
-    const delayMs = isFar(from, to) ? options.farMs : options.nearMs;
-    agenda.after(delayMs, () => {
-      if (!canReach(from, to) || live.get(to) !== target) return;
+    const delayMs = isInOtherRegion(from, to)
+      ? options.crossRegionDelayMs
+      : options.sameRegionDelayMs;
+    scheduler.after(delayMs, () => {
+      if (!canReach(from, to) || processes.get(to) !== target) return;
       if (countBreaks() !== breaksBefore) return;
-      options2.receive(fromBinary(FrameSchema, bytes));
+      delivery.receive(fromBinary(FrameSchema, bytes));
     });
   }
 
   function createLink(from: string, to: string, linkHost: PeerLinkHost) {
-    live.get(from)?.dialed.set(to, linkHost);
+    processes.get(from)?.dialed.set(to, linkHost);
     let isOpen = false;
-    agenda.after(
-      isFar(from, to) ? options.farMs * 2 : options.nearMs * 2,
+    scheduler.after(
+      isInOtherRegion(from, to)
+        ? options.crossRegionDelayMs * 2
+        : options.sameRegionDelayMs * 2,
       () => {
         isOpen = true;
         if (canReach(from, to)) linkHost.onOpen();
@@ -160,7 +177,7 @@
         if (!isOpen || !canReach(from, to)) return;
         deliver(from, to, {
           frame,
-          receive: (each) => live.get(to)?.fleet.receiveFrame(from, each),
+          receive: (each) => processes.get(to)?.fleet.receiveFrame(from, each),
         });
       },
       isOpen: () => isOpen && canReach(from, to),
@@ -169,17 +186,17 @@
   }
 
   function trySendBack(from: string, to: string, frame: Frame): boolean {
-    const dialer = live.get(to)?.dialed.get(from);
+    const dialer = processes.get(to)?.dialed.get(from);
     if (dialer === undefined || !canReach(from, to)) return false;
     deliver(from, to, { frame, receive: (each) => dialer.onFrame(each) });
     return true;
   }
 
-  /** The members as the host sees them; a cut region looks dead. */
+  /** Members as the host sees them; those in a partitioned region are dead. */
   function getView(host: string): View {
-    return getOrCreate(views, isCut ? getRegionOf(host) : "", () => {
+    return getOrCreate(views, isPartitioned ? getRegionOf(host) : "", () => {
       const all = [...members.values()].map((member) =>
-        isCut && isFar(host, member.host)
+        isPartitioned && isInOtherRegion(host, member.host)
           ? { ...member, state: "dead" as const }
           : member
       );
@@ -188,8 +205,8 @@
   }
 
   function startHost(id: string, dataCentre: string): void {
-    const incarnation = (live.get(id)?.incarnation ?? 0) + 1;
-    const { clock } = agenda;
+    const incarnation = (processes.get(id)?.incarnation ?? 0) + 1;
+    const { clock } = scheduler;
     const fleet = createFleet({
       id,
       incarnation,
@@ -207,26 +224,26 @@
       policy,
       random,
       createLink: (address, linkHost) => createLink(id, address, linkHost),
-      defer: (run) => agenda.after(0, run),
+      defer: (run) => scheduler.after(0, run),
       isDialedBy: (peer) =>
-        live.get(peer)?.dialed.has(id) === true && canReach(id, peer),
+        processes.get(peer)?.dialed.has(id) === true && canReach(id, peer),
       trySendBack: (peer, frame) => trySendBack(id, peer, frame),
       onPeerLost() {},
       onControlSent: (kind, bytes) =>
         void byKind.set(kind, (byKind.get(kind) ?? 0) + bytes),
     });
-    const host: LiveHost = {
+    const host: HostProcess = {
       fleet,
       incarnation,
       dialed: new Map(),
       isUp: true,
     };
-    live.set(id, host);
+    processes.set(id, host);
     const whileUp = (run: () => void) => () => {
-      if (host.isUp && live.get(id) === host && !paused.has(id)) run();
+      if (host.isUp && processes.get(id) === host && !paused.has(id)) run();
     };
-    agenda.every(options.flushMs, whileUp(fleet.flush));
-    agenda.every(options.exchangeMs, whileUp(fleet.exchangeCounters));
+    scheduler.every(options.flushMs, whileUp(fleet.flush));
+    scheduler.every(options.exchangeMs, whileUp(fleet.exchangeCounters));
   }
 
   function setMember(id: string, state: Member["state"]): void {
@@ -234,26 +251,26 @@
     members.set(id, {
       ...members.get(id)!,
       state,
-      incarnation: live.get(id)?.incarnation ?? 1,
+      incarnation: processes.get(id)?.incarnation ?? 1,
     });
   }
 
   function reconcileAll(): void {
     views.clear();
-    for (const host of live.values()) {
+    for (const host of processes.values()) {
       if (host.isUp) host.fleet.reconcile();
     }
   }
 
   function breakLinks(id: string): void {
-    broken.add(id);
-    breaks.set(id, (breaks.get(id) ?? 0) + 1);
+    disconnected.add(id);
+    breakCounts.set(id, (breakCounts.get(id) ?? 0) + 1);
   }
 
-  /** Both ends of each link of the host dial anew. */
+  /** Reconnects each link of the host, whichever end dialed it. */
   function reopenLinks(id: string): void {
-    broken.delete(id);
-    for (const [from, host] of live) {
+    disconnected.delete(id);
+    for (const [from, host] of processes) {
       for (const [to, linkHost] of host.dialed) {
         const isOfHost = from === id || to === id;
         if (isOfHost && canReach(from, to)) linkHost.onOpen();
@@ -261,15 +278,15 @@
     }
   }
 
-  /** Runs now, or when the host goes on after a pause. */
-  function runAt(id: string, run: () => void): void {
-    const held = paused.get(id);
-    if (held === undefined) run();
-    else held.push(run);
+  /** Runs the callback now, or when the paused host goes on. */
+  function runWhenResumed(id: string, run: () => void): void {
+    const deferred = paused.get(id);
+    if (deferred === undefined) run();
+    else deferred.push(run);
   }
 
   function submit(host: string, call: FixtureCall): FixtureRequest {
-    const nowMs = agenda.clock.monotonicMs();
+    const nowMs = scheduler.clock.monotonicMs();
     const service = deployment.services.find((each) =>
       each.id === call.service
     )!;
@@ -281,7 +298,7 @@
       operation: "",
       arrivedMs: nowMs,
       deadlineMs: nowMs + timeoutMs,
-      expectedCost: call.hint ?? service.expectedCost,
+      expectedCost: call.costHint ?? service.expectedCost,
       fingerprint: "",
       host,
       cost: call.cost,
@@ -289,18 +306,18 @@
     };
     requests.push(req);
     getOrCreate(queued, `${host}/${req.team}`, () => []).push(req);
-    const entry = live.get(host)!;
+    const entry = processes.get(host)!;
     entry.fleet.slots.acquire(req, (slot) => start(entry, req, { slot, call }));
-    agenda.after(timeoutMs, () => {
+    scheduler.after(timeoutMs, () => {
       if (req.state !== "waiting" || !entry.isUp) return;
       entry.fleet.slots.cancel(req);
-      leaveQueue(req);
+      removeFromQueue(req);
       end(req, "cancelled", call);
     });
     return req;
   }
 
-  function leaveQueue(req: FixtureRequest): void {
+  function removeFromQueue(req: FixtureRequest): void {
     const waiting = queued.get(`${req.host}/${req.team}`)!;
     waiting.splice(waiting.indexOf(req), 1);
   }
@@ -310,20 +327,20 @@
   }
 
   function start(
-    entry: LiveHost,
+    entry: HostProcess,
     req: FixtureRequest,
     { slot, call }: { slot: SlotHandle; call: FixtureCall },
   ): void {
-    leaveQueue(req);
+    removeFromQueue(req);
     const key = `${req.host}/${req.team}`;
     const share = req.cost / getWeight(req.team);
     hostService.set(key, (hostService.get(key) ?? 0) + share);
     req.state = "running";
-    req.startedMs = agenda.clock.monotonicMs();
+    req.startedMs = scheduler.clock.monotonicMs();
     req.upstream = slot.upstream.id;
     call.onStart?.(req);
     upstreams.get(slot.upstream.id)!.serve(req, (result, firstByteMs) => {
-      runAt(req.host, () => {
+      runWhenResumed(req.host, () => {
         if (!entry.isUp) return;
         end(req, result, call);
         const cost = result === "answered" ? req.cost : 0;
@@ -338,11 +355,11 @@
     call: FixtureCall,
   ): void {
     req.state = state;
-    req.endedMs = agenda.clock.monotonicMs();
+    req.endedMs = scheduler.clock.monotonicMs();
     call.onEnd?.(req);
   }
 
-  const places = Array.from({ length: options.hosts }, (_, index) => {
+  const hostPlacements = Array.from({ length: options.hosts }, (_, index) => {
     const at = index % deployment.dataCentres.length;
     const dataCentre = deployment.dataCentres[at]!.id;
     const id = `entry-${index + 1}`;
@@ -357,21 +374,21 @@
     });
     return { id, dataCentre };
   });
-  for (const place of places) startHost(place.id, place.dataCentre);
+  for (const each of hostPlacements) startHost(each.id, each.dataCentre);
   reconcileAll();
 
-  const hosts = places.map(({ id, dataCentre }): FixtureHost => ({
+  const hosts = hostPlacements.map(({ id, dataCentre }): FixtureHost => ({
     id,
     dataCentre,
     get fleet() {
-      return live.get(id)!.fleet;
+      return processes.get(id)!.fleet;
     },
     submit: (call) => submit(id, call),
-    isUp: () => live.get(id)!.isUp && !paused.has(id),
+    isUp: () => processes.get(id)!.isUp && !paused.has(id),
   }));
 
   return {
-    agenda,
+    scheduler,
     deployment,
     hosts,
     getHost: (id) => hosts.find((each) => each.id === id)!,
@@ -385,47 +402,47 @@
       }
       return sums;
     },
-    getControl: () => ({ ...totals, byKind }),
+    getControlTraffic: () => ({ ...totals, byKind }),
     getSentBytes: (host) => sentBytes.get(host) ?? 0,
-    setCut(value) {
-      isCut = value;
+    setPartitioned(value) {
+      isPartitioned = value;
       reconcileAll();
     },
-    kill(id, seenMs) {
-      live.get(id)!.isUp = false;
-      agenda.after(seenMs, () => {
-        if (live.get(id)!.isUp) return;
+    kill(id, detectionMs) {
+      processes.get(id)!.isUp = false;
+      scheduler.after(detectionMs, () => {
+        if (processes.get(id)!.isUp) return;
         setMember(id, "dead");
         reconcileAll();
       });
     },
-    restart(id, seenMs) {
+    restart(id, detectionMs) {
       startHost(id, members.get(id)!.dataCentre);
-      live.get(id)!.fleet.reconcile();
-      agenda.after(REDIAL_MS, () => reopenLinks(id));
-      agenda.after(seenMs, () => {
+      processes.get(id)!.fleet.reconcile();
+      scheduler.after(REDIAL_MS, () => reopenLinks(id));
+      scheduler.after(detectionMs, () => {
         setMember(id, "alive");
         reconcileAll();
       });
     },
     breakLinks(id) {
       breakLinks(id);
-      agenda.after(REDIAL_MS, () => {
+      scheduler.after(REDIAL_MS, () => {
         if (!paused.has(id)) reopenLinks(id);
       });
     },
-    pause(id, { forMs, seenMs }) {
+    pause(id, { forMs, detectionMs }) {
       paused.set(id, []);
       breakLinks(id);
-      agenda.after(seenMs, () => {
+      scheduler.after(detectionMs, () => {
         if (!paused.has(id)) return;
         setMember(id, "dead");
         reconcileAll();
       });
-      agenda.after(forMs, () => {
-        const held = paused.get(id)!;
+      scheduler.after(forMs, () => {
+        const deferred = paused.get(id)!;
         paused.delete(id);
-        for (const run of held) run();
+        for (const run of deferred) run();
         reopenLinks(id);
         setMember(id, "alive");
         reconcileAll();
--- a/src/measure/fleet_fixture_test.ts
+++ b/src/measure/fleet_fixture_test.ts
@@ -1,5 +1,5 @@
 /**
- * Tests of the fixture: the real parts run on it to an end.
+ * Tests that the fleet fixture serves requests from arrival to answer.
  *
  * @module
  */
@@ -23,13 +23,13 @@
     deployment,
     hosts: 4,
   });
-  fixture.agenda.runUntil(1_000);
+  fixture.scheduler.runUntil(1_000);
   for (const host of fixture.hosts) {
     host.submit({ team: "team-1", service: SERVICE, cost: 10 });
   }
-  fixture.agenda.runUntil(10_000);
+  fixture.scheduler.runUntil(10_000);
   const states = fixture.getRequests().map((each) => each.state);
   assert.deepEqual(states, Array(4).fill("answered"));
   assert.equal(fixture.getService(SERVICE).get("team-1"), 40);
-  assert.ok(fixture.getControl().bytes > 0);
+  assert.ok(fixture.getControlTraffic().bytes > 0);
 });
--- a/src/measure/membership_fixture.ts
+++ b/src/measure/membership_fixture.ts
@@ -1,6 +1,6 @@
 /**
- * The real membership protocol of many hosts over a lossy network in virtual
- * time, for tests and measurements. Datagrams pass through the real codec.
+ * Many hosts that run the real membership protocol over a lossy network in
+ * virtual time, for tests and measurements.
  *
  * @module
  */
@@ -16,49 +16,55 @@
   type Seed,
 } from "../membership/mod.ts";
 import { createDatagramCodec } from "../peers/mod.ts";
-import { type Agenda, createAgenda } from "./agenda.ts";
+import {
+  createVirtualScheduler,
+  type VirtualScheduler,
+} from "./virtual_scheduler.ts";
 import { createRandom } from "./random.ts";
 
-/** What a fixture is made from. */
+/** Options of a fixture. */
 export interface MembershipFixtureOptions {
   readonly hosts: number;
   readonly seed: number;
-  /** Share of datagrams that are lost. */
+  /** Share of datagrams that are lost, from 0 to 1; 0 if absent. */
   readonly loss?: number;
   readonly options?: MembershipOptions;
-  /** Passes datagrams through the real codec; else they go as they are. */
-  readonly encodes?: boolean;
-  /** Hosts know all others from the start, as long after the last change. */
-  readonly areJoined?: boolean;
+  /** Passes datagrams through the real codec, otherwise as objects. */
+  readonly encodesDatagrams?: boolean;
+  /**
+   * Hosts know all others from the start, and no update is queued any more;
+   * true if absent.
+   */
+  readonly startsConverged?: boolean;
 }
 
-/** A change that one host has noted. */
-export interface NotedChange {
+/** A change of a member that one host has seen. */
+export interface RecordedChange {
   readonly atMs: number;
   readonly by: string;
   readonly member: Member;
 }
 
-/** The hosts and their network. */
+/** Hosts and the network between them. */
 export interface MembershipFixture {
-  readonly agenda: Agenda;
+  readonly scheduler: VirtualScheduler;
   readonly names: readonly string[];
-  /** All changes noted so far, in order. */
-  readonly changes: NotedChange[];
+  /** All changes that hosts have seen so far, in order. */
+  readonly changes: RecordedChange[];
   get(name: string): Membership;
-  /** Hosts whose view of the member is in one of the states. */
-  countViews(member: string, states: readonly string[]): number;
-  /** Live hosts that hold the fact. */
-  countFacts(key: string): number;
+  /** Counts the live hosts that see the member in one of the states. */
+  countHostsSeeing(member: string, states: readonly string[]): number;
+  /** Counts the live hosts that hold the fact. */
+  countHostsWithFact(key: string): number;
   kill(name: string): void;
-  /** Stops the process for so long, as SIGSTOP does. */
+  /** Pauses the process for `ms`, like SIGSTOP. */
   pause(name: string, ms: number): void;
-  /** Starts the host anew and empty, with the incarnation given. */
+  /** Restarts the host without state, with the incarnation. */
   restart(name: string, incarnation: number): void;
-  /** Cuts or heals the regions. */
-  setCut(isCut: boolean): void;
-  /** What the platform lists from now on. */
-  setListed(names: readonly string[]): void;
+  /** Partitions the regions or heals the partition. */
+  setPartitioned(isPartitioned: boolean): void;
+  /** Sets the hosts that the platform lists from now on. */
+  setRegisteredHosts(names: readonly string[]): void;
   /** Datagrams and bytes sent so far, IP and UDP headers included. */
   getTraffic(): {
     readonly datagrams: number;
@@ -70,39 +76,51 @@
 /** IP and UDP headers of a datagram. */
 const HEADER_BYTES = 28;
 
-const NEAR_MS = 1.5;
-const FAR_MS = 20;
+const SAME_REGION_DELAY_MS = 1.5;
+const CROSS_REGION_DELAY_MS = 20;
 const SECRET = "secret-of-the-measured-fleet";
 
-/** Datagrams that the socket of a stopped process holds; more are lost. */
+/**
+ * Datagrams that the socket of a paused process holds; further ones are lost.
+ */
 const SOCKET_BUFFER = 200;
 
 interface Node {
   readonly membership: Membership;
   readonly facts: Set<string>;
-  readonly held: (() => void)[];
+  /** Datagrams in the socket of the paused process. */
+  readonly unread: (() => void)[];
   pausedUntilMs: number;
   isUp: boolean;
 }
 
-/** Makes the hosts; those with an odd number lie in the first region. */
+/**
+ * Creates the hosts; those with odd numbers are in one region, the rest in
+ * another.
+ */
 export function createMembershipFixture(
-  { hosts, seed, loss = 0, options, encodes = false, areJoined = true }:
-    MembershipFixtureOptions,
+  {
+    hosts,
+    seed,
+    loss = 0,
+    options,
+    encodesDatagrams = false,
+    startsConverged = true,
+  }: MembershipFixtureOptions,
 ): MembershipFixture {
-  const agenda = createAgenda();
-  const { clock } = agenda;
+  const scheduler = createVirtualScheduler();
+  const { clock } = scheduler;
   const random = createRandom(seed);
   const codec = createDatagramCodec(SECRET);
   const periodMs = (options ?? defaultMembershipOptions).periodMs;
   const nodes = new Map<string, Node>();
-  const changes: NotedChange[] = [];
+  const changes: RecordedChange[] = [];
   const traffic = { datagrams: 0, bytes: 0, largestBytes: 0 };
   const names = Array.from({ length: hosts }, (_, at) => `entry-${at + 1}`);
-  let listed = names;
-  let isCut = false;
+  let registered = names;
+  let isPartitioned = false;
 
-  function isFar(a: string, b: string): boolean {
+  function isInOtherRegion(a: string, b: string): boolean {
     return Number(a.split("-")[1]) % 2 !== Number(b.split("-")[1]) % 2;
   }
 
@@ -120,7 +138,7 @@
   }
 
   function getSeeds(): readonly Seed[] {
-    return listed.map((name) => createMember(name, 0));
+    return registered.map((name) => createMember(name, 0));
   }
 
   const addressOf = new Map(
@@ -130,10 +148,10 @@
     [...addressOf].map(([name, address]) => [address, name]),
   );
 
-  /** Gives what the receiver reads. */
+  /** Counts the datagram and returns a function that decodes it. */
   function encode(message: MembershipMessage): () => MembershipMessage {
     traffic.datagrams++;
-    if (!encodes) return () => message;
+    if (!encodesDatagrams) return () => message;
     const bytes = codec.encode(message);
     traffic.bytes += bytes.length + HEADER_BYTES;
     traffic.largestBytes = Math.max(traffic.largestBytes, bytes.length);
@@ -148,14 +166,19 @@
     const decode = encode(message);
     const to = nameOf.get(address)!;
     const isLost = random() < loss;
-    agenda.after(isFar(from, to) ? FAR_MS : NEAR_MS, () => {
-      const node = nodes.get(to);
-      if (isLost || !node?.isUp || (isCut && isFar(from, to))) return;
-      const receive = () =>
-        node.membership.receive(decode(), addressOf.get(from)!);
-      if (node.pausedUntilMs <= clock.monotonicMs()) receive();
-      else if (node.held.length < SOCKET_BUFFER) node.held.push(receive);
-    });
+    scheduler.after(
+      isInOtherRegion(from, to) ? CROSS_REGION_DELAY_MS : SAME_REGION_DELAY_MS,
+      () => {
+        const node = nodes.get(to);
+        if (
+          isLost || !node?.isUp || (isPartitioned && isInOtherRegion(from, to))
+        ) return;
+        const receive = () =>
+          node.membership.receive(decode(), addressOf.get(from)!);
+        if (node.pausedUntilMs <= clock.monotonicMs()) receive();
+        else if (node.unread.length < SOCKET_BUFFER) node.unread.push(receive);
+      },
+    );
   }
 
   function start(name: string, incarnation: number): void {
@@ -174,7 +197,7 @@
     const node: Node = {
       membership,
       facts,
-      held: [],
+      unread: [],
       pausedUntilMs: 0,
       isUp: true,
     };
@@ -183,21 +206,22 @@
       if (!node.isUp) return;
       const pausedMs = node.pausedUntilMs - clock.monotonicMs();
       if (pausedMs > 0) {
-        agenda.after(pausedMs, tick);
+        scheduler.after(pausedMs, tick);
         return;
       }
       membership.tick();
-      for (const receive of node.held.splice(0)) receive();
-      agenda.after(periodMs, tick);
+      for (const receive of node.unread.splice(0)) receive();
+      scheduler.after(periodMs, tick);
     };
-    agenda.after(random() * periodMs, tick);
+    scheduler.after(random() * periodMs, tick);
   }
 
   for (const name of names) start(name, 1);
-  if (areJoined) {
+  if (startsConverged) {
     const all = names.map((name) => createMember(name, 1));
     for (const { membership } of nodes.values()) {
-      // As all that another host knows: old news, which is not told on.
+      // Sequence 0 belongs to no probe and marks a full sync: the receiver adds
+      // the members, but does not gossip them.
       membership.receive({
         from: "",
         incarnation: 0,
@@ -211,18 +235,18 @@
         facts: [],
       }, "");
     }
-    // The news of this is over before anything is measured.
-    agenda.runUntil(60_000 + hosts * 100);
+    // Lets the updates that this causes finish before a measurement starts.
+    scheduler.runUntil(60_000 + hosts * 100);
     changes.length = 0;
     Object.assign(traffic, { datagrams: 0, bytes: 0, largestBytes: 0 });
   }
 
   return {
-    agenda,
+    scheduler,
     names,
     changes,
     get: (name) => nodes.get(name)!.membership,
-    countViews(member, states) {
+    countHostsSeeing(member, states) {
       let count = 0;
       for (const [name, { membership, isUp }] of nodes) {
         if (!isUp || name === member) continue;
@@ -233,7 +257,7 @@
       }
       return count;
     },
-    countFacts: (key) =>
+    countHostsWithFact: (key) =>
       [...nodes.values()].filter((node) => node.isUp && node.facts.has(key))
         .length,
     kill(name) {
@@ -246,11 +270,11 @@
       nodes.get(name)!.isUp = false;
       start(name, incarnation);
     },
-    setCut(value) {
-      isCut = value;
+    setPartitioned(value) {
+      isPartitioned = value;
     },
-    setListed(value) {
-      listed = [...value];
+    setRegisteredHosts(value) {
+      registered = [...value];
       for (const { membership } of nodes.values()) {
         membership.setSeeds(getSeeds());
       }
--- a/src/measure/prompt_kinds.ts
+++ b/src/measure/prompt_kinds.ts
@@ -1,33 +1,36 @@
 /**
- * The prompts of the deployments, as their sheets state them: kinds, sizes and how
- * much sizes vary.
+ * Kinds of prompts in the deployments, with their sizes, the variation of the
+ * sizes and their rates, as the data sheets of the deployments state them.
  *
  * @module
  */
 
 import type { Random } from "./random.ts";
 
-/** A kind of prompt; sizes are means. */
+/** A kind of prompt. */
 export interface PromptKind {
   readonly name: "survey" | "summary" | "chat";
-  /** Requests a second of a heavy day. */
+  /** Requests per second on a heavy day. */
   readonly perSecond: number;
+  /** Tokens of the prefix that prompts share; the same for all of a kind. */
   readonly sharedTokens: number;
-  /** Shared parts, each asked for as often. */
-  readonly parts: number;
+  /** Number of shared prefixes, each used equally often. */
+  readonly sharedPrefixes: number;
+  /** Mean tokens of the unshared suffix. */
   readonly ownTokens: number;
+  /** Mean tokens of the answer. */
   readonly outputTokens: number;
-  /** Time to the first event that is on time, in ms. */
+  /** Target time to the first event of the answer, in ms. */
   readonly targetMs: number;
 }
 
-/** The kinds of the deployments with their heavy days' rates. */
+/** Kinds of prompts, with their rates on a heavy day. */
 export const promptKinds: readonly PromptKind[] = [
   {
     name: "survey",
     perSecond: 23,
     sharedTokens: 13_300,
-    parts: 51,
+    sharedPrefixes: 51,
     ownTokens: 3_720,
     outputTokens: 120,
     targetMs: 800,
@@ -36,7 +39,7 @@
     name: "summary",
     perSecond: 21,
     sharedTokens: 6_300,
-    parts: 47,
+    sharedPrefixes: 47,
     ownTokens: 2_890,
     outputTokens: 50,
     targetMs: 800,
@@ -45,40 +48,43 @@
     name: "chat",
     perSecond: 44,
     sharedTokens: 350,
-    parts: 97,
+    sharedPrefixes: 97,
     ownTokens: 1_110,
     outputTokens: 170,
     targetMs: 600,
   },
 ];
 
-/** A prompt as it is drawn. */
+/** A prompt with a random shared prefix and random sizes. */
 export interface DrawnPrompt {
   readonly kind: PromptKind;
-  readonly part: string;
+  /** Id of the shared prefix. */
+  readonly sharedPrefix: string;
   readonly ownTokens: number;
   readonly outputTokens: number;
 }
 
-/** Spread of the logarithm of sizes, and the largest in means. */
+/** Standard deviation of the logarithm of sizes. */
 const SIZE_SPREAD = 1.05;
-const MAX_OWN = 14;
-const MAX_OUTPUT = 4;
 
-/** Draws a prompt of the kind. */
+/** Largest sizes of suffixes and answers, as multiples of the mean. */
+const MAX_OWN_FACTOR = 14;
+const MAX_OUTPUT_FACTOR = 4;
+
+/** Draws a random prompt of the kind. */
 export function drawPrompt(kind: PromptKind, random: Random): DrawnPrompt {
   return {
     kind,
-    part: `${kind.name}/${Math.floor(random() * kind.parts)}`,
-    ownTokens: drawSize(kind.ownTokens, MAX_OWN, random),
-    outputTokens: drawSize(kind.outputTokens, MAX_OUTPUT, random),
+    sharedPrefix: `${kind.name}/${Math.floor(random() * kind.sharedPrefixes)}`,
+    ownTokens: drawSize(kind.ownTokens, MAX_OWN_FACTOR, random),
+    outputTokens: drawSize(kind.outputTokens, MAX_OUTPUT_FACTOR, random),
   };
 }
 
-/** A size around the mean, by a logarithmic normal distribution. */
-function drawSize(mean: number, most: number, random: Random): number {
+/** Draws a size from a log-normal distribution with the mean, cut off above. */
+function drawSize(mean: number, maxFactor: number, random: Random): number {
   const normal = Math.sqrt(-2 * Math.log(1 - random())) *
     Math.cos(2 * Math.PI * random());
   const factor = Math.exp(SIZE_SPREAD * normal - SIZE_SPREAD ** 2 / 2);
-  return Math.ceil(mean * Math.min(most, factor));
+  return Math.ceil(mean * Math.min(maxFactor, factor));
 }
--- a/src/measure/prompt_load.ts
+++ b/src/measure/prompt_load.ts
@@ -1,7 +1,8 @@
 /**
- * Scenario `prompt-load`: a heavy day's prompts, half of them from one team, before
- * six engines. Compares the queue's policy with earlier ones and with hosts that
- * know only their own load, in the same run.
+ * Scenario `prompt-load`: the prompts of a heavy day, half of them from one
+ * team, on six engines. Compares the policy of the queue with variants of it,
+ * with a policy that serves the oldest prompt first, and with hosts that know
+ * only their own load.
  *
  * @module
  */
@@ -14,29 +15,37 @@
 import { getReadingMs, wideEngine } from "../testing/emulated_engine.ts";
 import type { ScenarioOptions } from "./main.ts";
 import { getMeans, type PromptResult } from "./prompt_result.ts";
-import { playPrompts } from "./prompt_world.ts";
+import { simulatePrompts } from "./prompt_simulation.ts";
 import { mapValues, type Report } from "./report.ts";
 
-const FACTOR = 1;
-const FLOOD_SHARE = 0.5;
+/** Load, relative to a heavy day. */
+const LOAD_FACTOR = 1;
+/** Share of the prompts that one team sends. */
+const OVERLOADING_TEAM_SHARE = 0.5;
 
-/** Runs with seeds after the one given; one run's figures differ by 0.03. */
+/**
+ * Number of runs with consecutive seeds: figures of single runs differ by 0.03.
+ */
 const RUNS = 4;
 
-/** Longest pause that is on time beside the engines played, in ms. */
+/** Target for the pauses between events with the simulated engines, in ms. */
 const PAUSE_TARGET_MS = 400;
 
-/** A queue's policy, for comparison. */
+/** A policy to compare. */
 export interface PromptPolicy {
   readonly queue: PromptQueueOptions;
+  /** Whether hosts report their load to each other. */
   readonly isLoadShared: boolean;
-  /** What an upstream may have to read at once, if it isn't learned. */
+  /** Fixed prefill limit of an upstream; learned if absent. */
   readonly limitTokens?: number;
-  /** What a prompt counts for, if not its tokens. */
-  readonly getReading?: (tokens: number, keptTokens: number) => number;
+  /** Weight of a prompt in the prefill limit; the router's count if absent. */
+  readonly countPrefillTokens?: (
+    tokens: number,
+    cachedTokens: number,
+  ) => number;
 }
 
-const ours: PromptPolicy = {
+const routerPolicy: PromptPolicy = {
   queue: defaultPromptQueueOptions,
   isLoadShared: true,
 };
@@ -45,26 +54,32 @@
   return a.arrivedMs - b.arrivedMs;
 }
 
-/** A prompt counts for all that it has to read. */
-const countedWhole: PromptQueueOptions = {
+/** Counts all tokens of a prompt, however long it is. */
+const withoutCountLimit: PromptQueueOptions = {
   ...defaultPromptQueueOptions,
   maxCountedShare: Infinity,
 };
 
-/** Counts ms of reading, by the sheet of one deployment's engines. */
-const countedByOneSheet: PromptPolicy = {
-  queue: { ...countedWhole, negligibleTokens: 15 },
+/**
+ * Counts prompts in ms of prefill and limits them to 150 ms, a value that fits
+ * the engines of one deployment.
+ */
+const countedInPrefillMs: PromptPolicy = {
+  queue: { ...withoutCountLimit, negligibleTokens: 15 },
   isLoadShared: true,
   limitTokens: 150,
-  getReading: (tokens, keptTokens) =>
-    Math.ceil(getReadingMs(wideEngine, tokens, keptTokens)),
+  countPrefillTokens: (tokens, cachedTokens) =>
+    Math.ceil(getReadingMs(wideEngine, tokens, cachedTokens)),
 };
 
-/** Twice as much being read at an upstream, the oldest first. */
+/**
+ * Serves the oldest prompt first, with twice the fixed limit, and refuses no
+ * prompt early.
+ */
 export const earlierPolicy: PromptPolicy = {
-  ...countedByOneSheet,
+  ...countedInPrefillMs,
   queue: {
-    ...countedByOneSheet.queue,
+    ...countedInPrefillMs.queue,
     spilloverShare: 0.25,
     refusesEarly: false,
     yieldsToUnderserved: false,
@@ -73,63 +88,67 @@
   limitTokens: 300,
 };
 
-/** A limit fixed for the engines of one deployment. */
-export const fixedPolicy: PromptPolicy = countedByOneSheet;
+/** Uses the fixed limit for the engines of one deployment. */
+export const fixedLimitPolicy: PromptPolicy = countedInPrefillMs;
 
+/** Policies to compare with, by their names in reports. */
 const baselines: Readonly<Record<string, PromptPolicy>> = {
   earlier: earlierPolicy,
-  fixed: fixedPolicy,
-  counted_whole: { ...ours, queue: countedWhole },
+  fixed: fixedLimitPolicy,
+  counted_whole: { ...routerPolicy, queue: withoutCountLimit },
   oldest_first: {
-    ...ours,
+    ...routerPolicy,
     queue: { ...defaultPromptQueueOptions, compare: compareOldestFirst },
   },
   floods_yield_nothing: {
-    ...ours,
+    ...routerPolicy,
     queue: {
       ...defaultPromptQueueOptions,
       overShareLimit: defaultPromptQueueOptions.limit,
     },
   },
   sparse_yield_nothing: {
-    ...ours,
+    ...routerPolicy,
     queue: {
       ...defaultPromptQueueOptions,
       inefficientLimit: defaultPromptQueueOptions.limit,
     },
   },
   never_elsewhere: {
-    ...ours,
+    ...routerPolicy,
     queue: { ...defaultPromptQueueOptions, spilloverShare: Infinity },
   },
   never_refused_early: {
-    ...ours,
+    ...routerPolicy,
     queue: { ...defaultPromptQueueOptions, refusesEarly: false },
   },
   nothing_left_to_underserved: {
-    ...ours,
+    ...routerPolicy,
     queue: { ...defaultPromptQueueOptions, yieldsToUnderserved: false },
   },
   all_slots: {
-    ...ours,
+    ...routerPolicy,
     queue: {
       ...defaultPromptQueueOptions,
       limit: { slotShare: 1, prefillShare: 1 },
     },
   },
-  fixed_half: { ...ours, limitTokens: 7_000 },
-  fixed_wide: { ...ours, limitTokens: 56_000 },
-  each_host_alone: { ...ours, isLoadShared: false },
+  fixed_half: { ...routerPolicy, limitTokens: 7_000 },
+  fixed_wide: { ...routerPolicy, limitTokens: 56_000 },
+  each_host_alone: { ...routerPolicy, isLoadShared: false },
 };
 
-/** Runs the scenario with the queue's policy and with each baseline. */
+/** Runs the scenario with the policy of the queue and with each baseline. */
 export function measurePromptLoad(options: ScenarioOptions): Report {
-  const result = playAll(options, ours);
-  const others = mapValues(baselines, (policy) => playAll(options, policy));
+  const routerResult = simulateAll(options, routerPolicy);
+  const baselineResults = mapValues(
+    baselines,
+    (policy) => simulateAll(options, policy),
+  );
   const getFigure = (name: keyof PromptResult) => ({
     name: `${name}_share`,
-    value: result[name],
-    baselines: mapValues(others, (each) => each[name]),
+    value: routerResult[name],
+    baselines: mapValues(baselineResults, (each) => each[name]),
   });
   return {
     scenario: "prompt-load",
@@ -137,27 +156,27 @@
     figures: [
       {
         ...getFigure("onTime"),
-        bound: { kind: "at-least", value: others.earlier!.onTime },
+        bound: { kind: "at-least", value: baselineResults.earlier!.onTime },
       },
       getFigure("calmOnTime"),
       getFigure("served"),
       {
         ...getFigure("longServed"),
-        bound: { kind: "at-least", value: result.served / 2 },
+        bound: { kind: "at-least", value: routerResult.served / 2 },
       },
     ],
   };
 }
 
-function playAll({ seed, hosts }: ScenarioOptions, policy: PromptPolicy) {
+function simulateAll({ seed, hosts }: ScenarioOptions, policy: PromptPolicy) {
   const seeds = Array.from({ length: RUNS }, (_, at) => seed + at);
   return getMeans(seeds.map((each) =>
-    playPrompts({
+    simulatePrompts({
       ...policy,
       seed: each,
       hosts,
-      factor: FACTOR,
-      floodShare: FLOOD_SHARE,
+      factor: LOAD_FACTOR,
+      overloadingTeamShare: OVERLOADING_TEAM_SHARE,
       engine: wideEngine,
       pauseTargetMs: PAUSE_TARGET_MS,
     })
--- a/src/measure/scale.ts
+++ b/src/measure/scale.ts
@@ -1,12 +1,12 @@
 /**
- * Scenario `scale`: what the membership of a host costs at four sizes of the
- * fleet up to the goal of 390 hosts, with the real protocol and codec, and how
- * soon news is everywhere. Baseline: every host tells every other each second
- * that it lives.
+ * Scenario `scale`: measures the cost of the membership of a host at four fleet
+ * sizes up to the target of 390 hosts, with the real protocol and codec, and
+ * the time until an update has reached every host. Baseline: a full mesh, in
+ * which every host sends a heartbeat to every other host each second.
  *
- * Processor times are those of this machine and take in sending and receiving;
- * they vary by a tenth or two from run to run. Bytes are the same in each run of
- * a seed.
+ * Processor times depend on the machine, include sending and receiving, and
+ * vary by 10% to 20% from run to run. Bytes are the same in each run with a
+ * seed.
  *
  * @module
  */
@@ -30,23 +30,23 @@
 import type { Figure, Report } from "./report.ts";
 
 const SIZES = [9, 48, 130, 390];
-const GOAL_UPSTREAMS = 600;
-const GOAL_DATA_CENTRES = 6;
-const LOSS = 0.01;
-const QUIET_MS = 30_000;
+const TARGET_UPSTREAMS = 600;
+const TARGET_DATA_CENTRES = 6;
+const DATAGRAM_LOSS = 0.01;
+const IDLE_MS = 30_000;
 const HEADER_BYTES = 28;
 
-/** Budget of all control of a daemon, of which membership is a part. */
-const BUDGET_BYTES_PER_S = 3_000;
-const BUDGET_CORE_PERCENT = 2.3;
-const MAX_DETECTION_MS = 10_000;
+/** Budget of all control traffic of a host, of which membership is a part. */
+const MAX_BYTES_PER_S = 3_000;
+const MAX_CORE_PERCENT = 2.3;
+const MAX_PROPAGATION_MS = 10_000;
 
 interface Cost {
   readonly bytesPerS: number;
   readonly corePercent: number;
 }
 
-/** Measures each size and fits the slopes. */
+/** Measures each size, and the slopes of heap and bytes per member. */
 export function measureScale({ seed, hosts }: ScenarioOptions): Report {
   const figures: Figure[] = [];
   const heap: [number, number][] = [];
@@ -55,11 +55,11 @@
     const fixture = createMembershipFixture({
       hosts: size,
       seed,
-      loss: LOSS,
-      encodes: true,
+      loss: DATAGRAM_LOSS,
+      encodesDatagrams: true,
     });
-    const cost = measureQuiet(fixture);
-    const mesh = measureMesh(size);
+    const cost = measureIdle(fixture);
+    const fullMesh = measureFullMesh(size);
     const heapBytes = measureHeap(size);
     heap.push([size, heapBytes]);
     bytes.push([size, cost.bytesPerS]);
@@ -67,14 +67,14 @@
       {
         name: `bytes_per_s_sent_by_a_host_of_${size}`,
         value: cost.bytesPerS,
-        baselines: { fullMesh: mesh.bytesPerS },
-        bound: { kind: "at-most", value: BUDGET_BYTES_PER_S },
+        baselines: { fullMesh: fullMesh.bytesPerS },
+        bound: { kind: "at-most", value: MAX_BYTES_PER_S },
       },
       {
         name: `core_percent_of_a_host_of_${size}`,
         value: cost.corePercent,
-        baselines: { fullMesh: mesh.corePercent },
-        bound: { kind: "at-most", value: BUDGET_CORE_PERCENT },
+        baselines: { fullMesh: fullMesh.corePercent },
+        bound: { kind: "at-most", value: MAX_CORE_PERCENT },
       },
       {
         name: `heap_kb_of_members_of_${size}`,
@@ -85,17 +85,17 @@
         name: `death_known_everywhere_of_${size}_ms`,
         value: measureDetection(fixture),
         baselines: {},
-        bound: { kind: "at-most", value: MAX_DETECTION_MS },
+        bound: { kind: "at-most", value: MAX_PROPAGATION_MS },
       },
       {
         name: `fact_known_everywhere_of_${size}_ms`,
-        value: measureFact(fixture),
+        value: measureFactPropagation(fixture),
         baselines: {},
-        bound: { kind: "at-most", value: MAX_DETECTION_MS },
+        bound: { kind: "at-most", value: MAX_PROPAGATION_MS },
       },
       {
         name: `owners_of_all_upstreams_of_${size}_ms`,
-        value: measureOwners(size),
+        value: measureOwnerSelection(size),
         baselines: {},
       },
     );
@@ -112,23 +112,26 @@
   return { scenario: "scale", seed, hosts, figures };
 }
 
-/** Half a minute in which nothing happens but loss. */
-function measureQuiet(fixture: MembershipFixture): Cost {
-  const { agenda, names } = fixture;
+/** Measures 30 s in which no host changes and datagrams are lost. */
+function measureIdle(fixture: MembershipFixture): Cost {
+  const { scheduler, names } = fixture;
   const before = fixture.getTraffic();
   const cpu = process.cpuUsage();
-  agenda.runUntil(agenda.clock.monotonicMs() + QUIET_MS);
+  scheduler.runUntil(scheduler.clock.monotonicMs() + IDLE_MS);
   const { user, system } = process.cpuUsage(cpu);
   const sent = fixture.getTraffic().bytes - before.bytes;
-  const hostSeconds = names.length * QUIET_MS / 1000;
+  const hostSeconds = names.length * IDLE_MS / 1000;
   return {
     bytesPerS: sent / hostSeconds,
     corePercent: (user + system) / 1e6 / hostSeconds * 100,
   };
 }
 
-/** One second of one host that tells all others, and hears all others. */
-function measureMesh(size: number): Cost {
+/**
+ * Measures one second of a full mesh at one host, which sends a datagram to
+ * every other host and decodes one from each.
+ */
+function measureFullMesh(size: number): Cost {
   const codec = createDatagramCodec("secret-of-the-measured-fleet");
   const message: MembershipMessage = {
     from: "entry-100",
@@ -165,20 +168,20 @@
     incarnation: 1_764_000_000_000 + at,
     revision: 1,
     state: "alive",
-    dataCentre: `lagos-dc-${at % GOAL_DATA_CENTRES + 1}`,
+    dataCentre: `lagos-dc-${at % TARGET_DATA_CENTRES + 1}`,
     peerAddress: `10.20.${at >> 8}.${at & 255}:21051`,
     publicAddress: `10.20.${at >> 8}.${at & 255}:21001`,
   };
 }
 
-/** Heap of one host's knowledge of all others, as the mean of many copies. */
+/** Measures the heap of one host's member table, as the mean of many copies. */
 function measureHeap(size: number): number {
   setFlagsFromString("--expose-gc");
   const collect = runInNewContext("gc") as () => void;
   const copies = Math.ceil(20_000 / size);
   collect();
   const before = process.memoryUsage().heapUsed;
-  const kept = Array.from({ length: copies }, () => {
+  const memberships = Array.from({ length: copies }, () => {
     const membership = createMembership(createMember(0), {
       clock: createManualClock(),
       random: Math.random,
@@ -194,45 +197,52 @@
   });
   collect();
   const used = process.memoryUsage().heapUsed - before;
-  return kept.length === copies ? used / copies : 0;
+  return memberships.length === copies ? used / copies : 0;
 }
 
-/** Longest of three deaths, until every other host knows. */
+/** Measures the time until all hosts see a death, as the longest of three. */
 function measureDetection(fixture: MembershipFixture): number {
-  const { agenda, names } = fixture;
+  const { scheduler, names } = fixture;
   let longestMs = 0;
   for (const name of names.slice(0, 3)) {
-    const startMs = agenda.clock.monotonicMs();
+    const startMs = scheduler.clock.monotonicMs();
     fixture.kill(name);
-    const live = () => fixture.countViews(name, ["alive", "suspect"]);
-    while (live() > 0 && agenda.clock.monotonicMs() - startMs < 60_000) {
-      agenda.runUntil(agenda.clock.monotonicMs() + 100);
+    const countHostsUnaware = () =>
+      fixture.countHostsSeeing(name, ["alive", "suspect"]);
+    while (
+      countHostsUnaware() > 0 &&
+      scheduler.clock.monotonicMs() - startMs < 60_000
+    ) {
+      scheduler.runUntil(scheduler.clock.monotonicMs() + 100);
     }
-    longestMs = Math.max(longestMs, agenda.clock.monotonicMs() - startMs);
+    longestMs = Math.max(longestMs, scheduler.clock.monotonicMs() - startMs);
   }
   return longestMs;
 }
 
-/** Until every live host has a fact that one host spreads. */
-function measureFact(fixture: MembershipFixture): number {
-  const { agenda, names } = fixture;
-  const startMs = agenda.clock.monotonicMs();
-  fixture.get(names.at(-1)!).spreadFact({ key: "a", version: 1, value: "x" });
+/** Measures the time until every live host has a fact that one host gossips. */
+function measureFactPropagation(fixture: MembershipFixture): number {
+  const { scheduler, names } = fixture;
+  const startMs = scheduler.clock.monotonicMs();
+  fixture.get(names.at(-1)!).gossipFact({ key: "a", version: 1, value: "x" });
   const others = names.length - 3 - 1;
   while (
-    fixture.countFacts("a") < others &&
-    agenda.clock.monotonicMs() - startMs < 60_000
+    fixture.countHostsWithFact("a") < others &&
+    scheduler.clock.monotonicMs() - startMs < 60_000
   ) {
-    agenda.runUntil(agenda.clock.monotonicMs() + 100);
+    scheduler.runUntil(scheduler.clock.monotonicMs() + 100);
   }
-  return agenda.clock.monotonicMs() - startMs;
+  return scheduler.clock.monotonicMs() - startMs;
 }
 
-/** Time to pick the owner of every upstream anew, after a change of member. */
-function measureOwners(size: number): number {
-  const count = Math.max(1, Math.round(size / GOAL_DATA_CENTRES));
+/**
+ * Measures the processor time in which a host selects the owner of every
+ * upstream after a change of members.
+ */
+function measureOwnerSelection(size: number): number {
+  const count = Math.max(1, Math.round(size / TARGET_DATA_CENTRES));
   const hosts = Array.from({ length: count }, (_, at) => `entry-${at}`);
-  const upstreams = Math.round(GOAL_UPSTREAMS * size / 390);
+  const upstreams = Math.round(TARGET_UPSTREAMS * size / 390);
   const rounds = 20;
   const cpu = process.cpuUsage();
   for (let round = 0; round < rounds; round++) {
@@ -244,7 +254,7 @@
   return (user + system) / 1000 / rounds;
 }
 
-/** Slope of the least-squares line through the points. */
+/** Returns the slope of the least-squares line through the points. */
 function getSlope(points: readonly (readonly [number, number])[]): number {
   const meanX = points.reduce((sum, [x]) => sum + x, 0) / points.length;
   const meanY = points.reduce((sum, [, y]) => sum + y, 0) / points.length;
--- a/src/measure/slow_upstream.ts
+++ b/src/measure/slow_upstream.ts
@@ -1,7 +1,7 @@
 /**
  * Scenario `slow-upstream`: one of eight engines becomes ten times slower, then
- * stalls, then recovers, while the fleet has 80% of the load that it can serve.
- * Baseline: the configured number of slots as a static limit.
+ * stalls, then recovers, while the load is 80% of the capacity of all engines.
+ * Baseline: a static limit, the configured number of slots.
  *
  * @module
  */
@@ -12,14 +12,14 @@
   createAdmittedLoad,
   sendByWeight,
 } from "./admitted_load.ts";
-import { createOurs, type CreatePolicy } from "./baselines.ts";
-import { createTodaysFleet, FLEET_SLOTS } from "./contended.ts";
+import { type CreatePolicy, createRouterPolicy } from "./baselines.ts";
+import { createReferenceFleet, FLEET_SLOTS } from "./contended.ts";
 import { defaultFixtureTimes, type FleetFixture } from "./fleet_fixture.ts";
 import type { ScenarioOptions } from "./main.ts";
 import { createRandom } from "./random.ts";
 import type { Report } from "./report.ts";
 
-/** 80% of what eight engines serve; 91% of what seven do. */
+/** Requests per second: 80% of the capacity of eight engines, 91% of seven. */
 const PER_SECOND = 0.8 * FLEET_SLOTS / 1.76;
 
 const TIMEOUT_MS = 20_000;
@@ -29,32 +29,35 @@
 const RECOVERED_MS = 190_000;
 const END_MS = 220_000;
 const SLOW_ENGINE = "engine-1";
-const SILENCE_MS = 5_000;
+const STALL_TIMEOUT_MS = 5_000;
 
-/** Its 12 slots, in case it stalls at its full limit, and five probes. */
-const MAX_TAKEN = 17;
+/**
+ * Most requests that may start at the stalled engine: 12 if it stalls at its
+ * full limit of 12 slots, and five probes.
+ */
+const MAX_STARTS_WHILE_STALLED = 17;
 
 interface Run {
   readonly load: AdmittedLoad;
   readonly fixture: FleetFixture;
-  /** Requests that the engine took while it was stalled. */
-  readonly takenByStalled: number;
-  /** Share of the engine's slots in use after it recovered. */
-  readonly useAfterRecovery: number;
+  /** Number of requests that started at the engine while it was stalled. */
+  readonly startsWhileStalled: number;
+  /** Share of the engine's slots in use after it has recovered. */
+  readonly utilisationAfterRecovery: number;
 }
 
-/** Runs the course with the adaptive limit and with a static one. */
+/** Runs the scenario with the adaptive limit and with the static one. */
 export function measureSlowUpstream(options: ScenarioOptions): Report {
-  const ours = runCourse(options, createOurs);
-  const fixed = runCourse(options, createStatic);
+  const adaptiveLimit = runCase(options, createRouterPolicy);
+  const staticLimit = runCase(options, createStaticLimitPolicy);
   const figure = (
     name: string,
     get: (run: Run) => number,
     bound?: { kind: "at-most" | "at-least"; value: number },
   ) => ({
     name,
-    value: get(ours),
-    baselines: { staticLimit: get(fixed) },
+    value: get(adaptiveLimit),
+    baselines: { staticLimit: get(staticLimit) },
     bound,
   });
   return {
@@ -85,21 +88,21 @@
       ),
       figure(
         "requests_taken_by_stalled_engine",
-        (run) => run.takenByStalled,
-        { kind: "at-most", value: MAX_TAKEN },
+        (run) => run.startsWhileStalled,
+        { kind: "at-most", value: MAX_STARTS_WHILE_STALLED },
       ),
       figure(
         "use_of_engine_after_recovery_share",
-        (run) => run.useAfterRecovery,
+        (run) => run.utilisationAfterRecovery,
         { kind: "at-least", value: 0.5 },
       ),
     ],
   };
 }
 
-/** The slots of the configuration, whatever happens. */
-const createStatic: CreatePolicy = () => ({
-  ...createOurs(),
+/** Limits requests to the configured slots, whatever the engine's state is. */
+const createStaticLimitPolicy: CreatePolicy = () => ({
+  ...createRouterPolicy(),
   createLimit: ({ maxSlots }): AdaptiveLimit => ({
     get: () => maxSlots,
     getState: () => "closed",
@@ -111,44 +114,44 @@
   }),
 });
 
-function runCourse(
+function runCase(
   { seed, hosts }: ScenarioOptions,
   createPolicy: CreatePolicy,
 ): Run {
   const random = createRandom(seed);
-  const fixture = createTodaysFleet({
+  const fixture = createReferenceFleet({
     seed,
     hosts,
     createPolicy,
-    silenceMs: SILENCE_MS,
+    stallTimeoutMs: STALL_TIMEOUT_MS,
   });
   const load = createAdmittedLoad(fixture, {
     random,
     bodyBytes: 20_000,
-    refuses: true,
+    refusesCalls: true,
   });
-  const { agenda } = fixture;
+  const { scheduler } = fixture;
   sendByWeight(load, fixture, {
     perSecond: PER_SECOND,
     timeoutMs: TIMEOUT_MS,
     random,
   });
   const engine = fixture.getUpstream(SLOW_ENGINE);
-  agenda.runUntil(SLOW_MS);
+  scheduler.runUntil(SLOW_MS);
   engine.setSlowFactor(10);
-  agenda.runUntil(STALL_MS);
+  scheduler.runUntil(STALL_MS);
   engine.setStalled(true);
-  agenda.runUntil(RECOVER_MS);
-  const takenByStalled = countStarts(fixture, STALL_MS, RECOVER_MS);
+  scheduler.runUntil(RECOVER_MS);
+  const startsWhileStalled = countStarts(fixture, STALL_MS, RECOVER_MS);
   engine.setSlowFactor(1);
   engine.setStalled(false);
-  agenda.runUntil(RECOVERED_MS);
+  scheduler.runUntil(RECOVERED_MS);
   const busyMs = engine.getBusyMs();
-  agenda.runUntil(END_MS);
+  scheduler.runUntil(END_MS);
   const slots = fixture.deployment.upstreams[0]!.maxSlots;
   const usedMs = engine.getBusyMs() - busyMs;
-  const useAfterRecovery = usedMs / slots / (END_MS - RECOVERED_MS);
-  return { load, fixture, takenByStalled, useAfterRecovery };
+  const utilisationAfterRecovery = usedMs / slots / (END_MS - RECOVERED_MS);
+  return { load, fixture, startsWhileStalled, utilisationAfterRecovery };
 }
 
 function countStarts(
@@ -162,13 +165,15 @@
   ).length;
 }
 
-/** Of the calls that arrived then, those answered before their deadlines. */
+/**
+ * Returns the share answered in time among the calls that arrived in a period.
+ */
 function getInTimeShare(
   load: AdmittedLoad,
   fromMs: number,
   toMs: number,
 ): number {
-  const calls = load.getEnds().filter((end) =>
+  const calls = load.getOutcomes().filter((end) =>
     end.arrivedMs >= fromMs && end.arrivedMs < toMs
   );
   const inTime = calls.filter((end) =>
@@ -177,14 +182,17 @@
   return inTime.length / calls.length;
 }
 
-/** Time from arrival to end over the time that the answer takes alone. */
+/**
+ * Returns the 99th percentile of the stretch: the time from arrival to end,
+ * divided by the duration of the answer on an idle engine at normal speed.
+ */
 function getP99Stretch(
   load: AdmittedLoad,
   fromMs: number,
   toMs: number,
 ): number {
   const { firstTokenMs, tokenMs } = defaultFixtureTimes;
-  const ratios = load.getEnds()
+  const ratios = load.getOutcomes()
     .filter((end) => end.result === "answered")
     .filter((end) => end.arrivedMs >= fromMs && end.arrivedMs < toMs)
     .map((end) =>
--- a/src/membership/membership_test.ts
+++ b/src/membership/membership_test.ts
@@ -44,7 +44,7 @@
 }
 
 function run(fixture: MembershipFixture, ms: number): void {
-  fixture.agenda.runUntil(fixture.agenda.clock.monotonicMs() + ms);
+  fixture.scheduler.runUntil(fixture.scheduler.clock.monotonicMs() + ms);
 }
 
 /** Number of times that a live host declared another live host dead. */
@@ -73,13 +73,13 @@
       hosts: 40,
       seed,
       loss: 0.05,
-      areJoined: false,
+      startsConverged: false,
     });
     getTimeUntil(
       fixture,
       () =>
         fixture.names.every((name) =>
-          fixture.countViews(name, ["alive"]) >= 39
+          fixture.countHostsSeeing(name, ["alive"]) >= 39
         ),
       30_000,
     );
@@ -94,16 +94,16 @@
       hosts: 100,
       seed,
       loss: 0.01,
-      areJoined: false,
-      encodes: true,
+      startsConverged: false,
+      encodesDatagrams: true,
     });
-    fixture.setListed(fixture.names.slice(0, 3));
+    fixture.setRegisteredHosts(fixture.names.slice(0, 3));
     let version = 0;
-    fixture.agenda.every(700, () => {
+    fixture.scheduler.every(700, () => {
       version++;
       for (const name of fixture.names.slice(0, 10)) {
         const fact = { key: `report/${name}`, version, value: "r".repeat(150) };
-        fixture.get(name).spreadFact(fact);
+        fixture.get(name).gossipFact(fact);
       }
     });
     getTimeUntil(
@@ -126,7 +126,7 @@
     fixture.kill("entry-3");
     const tookMs = getTimeUntil(
       fixture,
-      () => fixture.countViews("entry-3", ["dead"]) === 59,
+      () => fixture.countHostsSeeing("entry-3", ["dead"]) === 59,
       12_000,
     );
     assert.ok(tookMs >= 2_500);
@@ -154,19 +154,19 @@
     const fixture = createMembershipFixture({ hosts: 30, seed, loss: 0.02 });
     fixture.pause("entry-5", 30_000);
     run(fixture, 20_000);
-    assert.equal(fixture.countViews("entry-5", ["dead"]), 29);
+    assert.equal(fixture.countHostsSeeing("entry-5", ["dead"]), 29);
     run(fixture, 10_000);
     getTimeUntil(
       fixture,
-      () => fixture.countViews("entry-5", ["alive"]) === 29,
+      () => fixture.countHostsSeeing("entry-5", ["alive"]) === 29,
       10_000,
     );
     run(fixture, 10_000);
     assert.equal(countFalseDeaths(fixture, ["entry-5"]), 0);
-    const blamed = fixture.changes.filter(({ by, member }) =>
+    const declaredDead = fixture.changes.filter(({ by, member }) =>
       by === "entry-5" && member.state === "dead"
     );
-    assert.deepEqual(blamed, []);
+    assert.deepEqual(declaredDead, []);
   }
 });
 
@@ -196,7 +196,7 @@
   const fixture = createMembershipFixture({ hosts: 10, seed: 1 });
   fixture.restart("entry-7", 0.5);
   run(fixture, 10_000);
-  assert.equal(fixture.countViews("entry-7", ["alive"]), 9);
+  assert.equal(fixture.countHostsSeeing("entry-7", ["alive"]), 9);
   const views = fixture.names.map((name) =>
     fixture.get(name).getMembers().find((each) => each.host === "entry-7")!
       .incarnation
@@ -205,23 +205,23 @@
 });
 
 test("regions rejoin after a network partition of an hour", () => {
-  // Guards against regions that hold each other for dead and never probe each
+  // Guards against regions that consider each other dead and never probe each
   // other again, so that they stay two fleets until every host is restarted. Of
   // 50 seeds, with these one host stayed out, because of the fault that the
   // next test guards against.
   for (const seed of [26, 27, 46]) {
     const fixture = createMembershipFixture({ hosts: 16, seed, loss: 0.01 });
-    fixture.setCut(true);
+    fixture.setPartitioned(true);
     run(fixture, 30_000);
-    assert.equal(fixture.countViews("entry-1", ["dead"]), 8);
-    assert.equal(fixture.countViews("entry-2", ["alive"]), 7);
+    assert.equal(fixture.countHostsSeeing("entry-1", ["dead"]), 8);
+    assert.equal(fixture.countHostsSeeing("entry-2", ["alive"]), 7);
     run(fixture, 3_600_000 - 30_000);
-    fixture.setCut(false);
+    fixture.setPartitioned(false);
     getTimeUntil(
       fixture,
       () =>
         fixture.names.every((name) =>
-          fixture.countViews(name, ["alive"]) === 15
+          fixture.countHostsSeeing(name, ["alive"]) === 15
         ),
       40_000,
     );
@@ -263,17 +263,17 @@
   fixture.kill("entry-4");
   run(fixture, 15_000);
   fixture.changes.length = 0;
-  fixture.setListed(fixture.names);
+  fixture.setRegisteredHosts(fixture.names);
   run(fixture, DEAD_RETENTION_MS + 60_000);
   assert.deepEqual(fixture.changes, []);
-  assert.equal(fixture.countViews("entry-4", ["dead"]), 11);
+  assert.equal(fixture.countHostsSeeing("entry-4", ["dead"]), 11);
 });
 
 test("replaced hosts are removed from the member table", () => {
   // 88 hosts are replaced a day, each by a host with another name.
   const fixture = createMembershipFixture({ hosts: 12, seed: 3 });
   for (const name of ["entry-2", "entry-5", "entry-9"]) fixture.kill(name);
-  fixture.setListed(
+  fixture.setRegisteredHosts(
     fixture.names.filter((name) =>
       !["entry-2", "entry-5", "entry-9"].includes(name)
     ),
@@ -291,7 +291,7 @@
     fixture.get("entry-6").leave();
     getTimeUntil(
       fixture,
-      () => fixture.countViews("entry-6", ["leaving"]) === 29,
+      () => fixture.countHostsSeeing("entry-6", ["leaving"]) === 29,
       6_000,
     );
     fixture.changes.length = 0;
@@ -303,16 +303,16 @@
     assert.deepEqual(revivals, []);
     fixture.kill("entry-6");
     run(fixture, 20_000);
-    assert.equal(fixture.countViews("entry-6", ["dead"]), 29);
+    assert.equal(fixture.countHostsSeeing("entry-6", ["dead"]), 29);
   }
 });
 
 test("a fact reaches all of 390 hosts", () => {
   const fixture = createMembershipFixture({ hosts: 390, seed: 1, loss: 0.02 });
-  fixture.get("entry-9").spreadFact({ key: "a", version: 1, value: "x" });
+  fixture.get("entry-9").gossipFact({ key: "a", version: 1, value: "x" });
   const tookMs = getTimeUntil(
     fixture,
-    () => fixture.countFacts("a") === 389,
+    () => fixture.countHostsWithFact("a") === 389,
     10_000,
   );
   assert.ok(tookMs <= 10_000);
@@ -320,11 +320,11 @@
 
 test("a host that starts later gets the known facts", () => {
   const fixture = createMembershipFixture({ hosts: 20, seed: 1, loss: 0.02 });
-  fixture.get("entry-9").spreadFact({ key: "a", version: 1, value: "x" });
+  fixture.get("entry-9").gossipFact({ key: "a", version: 1, value: "x" });
   run(fixture, 60_000);
   fixture.restart("entry-2", 2);
   run(fixture, 10_000);
-  assert.equal(fixture.countFacts("a"), 19);
+  assert.equal(fixture.countHostsWithFact("a"), 19);
 });
 
 test("every datagram fits into one packet", () => {
@@ -332,15 +332,15 @@
     const fixture = createMembershipFixture({
       hosts: 40,
       seed,
-      encodes: true,
+      encodesDatagrams: true,
     });
     for (let each = 0; each < 30; each++) {
       const value = "x".repeat(200);
-      fixture.get("entry-1").spreadFact({ key: `f${each}`, version: 1, value });
+      fixture.get("entry-1").gossipFact({ key: `f${each}`, version: 1, value });
     }
-    fixture.setCut(true);
+    fixture.setPartitioned(true);
     run(fixture, 10_000);
-    fixture.setCut(false);
+    fixture.setPartitioned(false);
     fixture.restart("entry-4", 2);
     run(fixture, 20_000);
     const { largestBytes } = fixture.getTraffic();
