--- a/src/fleet/ownership.ts
+++ b/src/fleet/ownership.ts
@@ -35,7 +35,7 @@
   get(upstream: string): string | undefined;
   /** Upstreams that the host owns. */
   getOwnedBy(host: string): readonly string[];
-  /** Determines the owners anew and returns the changes. */
+  /** Determines the owners again and returns those that changed. */
   update(): readonly OwnerChange[];
 }
 
@@ -52,8 +52,10 @@
     dataCentre: string,
   ): readonly string[] {
     const usable = host.membership.getUsable();
-    const near = usable.filter((each) => each.dataCentre === dataCentre);
-    if (near.length > 0) return near.map((each) => each.host);
+    const inDataCentre = usable.filter((each) =>
+      each.dataCentre === dataCentre
+    );
+    if (inDataCentre.length > 0) return inDataCentre.map((each) => each.host);
     const region = getRegion(deployment, dataCentre);
     const inRegion = usable.filter((each) =>
       getRegion(deployment, each.dataCentre) === region
--- a/src/measure/fairness.ts
+++ b/src/measure/fairness.ts
@@ -7,7 +7,7 @@
  * @module
  */
 
-import { FAR_PENALTY_REQUESTS } from "../fleet/mod.ts";
+import { CROSS_REGION_PENALTY_REQUESTS } from "../fleet/mod.ts";
 import {
   baselines,
   type CreatePolicy,
@@ -54,7 +54,7 @@
     slots: FLEET_SLOTS,
     servicePerSecond: routerResult.servicePerSecond,
     lagSeconds: LAG_SECONDS,
-    crossRegionPenaltyRequests: FAR_PENALTY_REQUESTS,
+    crossRegionPenaltyRequests: CROSS_REGION_PENALTY_REQUESTS,
   });
   return {
     scenario: "fairness",
--- a/src/measure/fairness_test.ts
+++ b/src/measure/fairness_test.ts
@@ -10,7 +10,7 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import fc from "fast-check";
-import { FAR_PENALTY_REQUESTS } from "../fleet/mod.ts";
+import { CROSS_REGION_PENALTY_REQUESTS } from "../fleet/mod.ts";
 import { createRouterPolicy } from "./baselines.ts";
 import {
   createContendedFleet,
@@ -31,7 +31,7 @@
   slots: FLEET_SLOTS,
   servicePerSecond: FLEET_SLOTS * 1_000 / defaultFixtureTimes.tokenMs,
   lagSeconds: 3,
-  crossRegionPenaltyRequests: FAR_PENALTY_REQUESTS,
+  crossRegionPenaltyRequests: CROSS_REGION_PENALTY_REQUESTS,
 });
 
 /**
--- a/src/requests/types.ts
+++ b/src/requests/types.ts
@@ -31,7 +31,7 @@
   readonly claims: Claims;
   readonly upstreams: UpstreamClient;
   readonly health: UpstreamHealth;
-  readonly occupancy: UpstreamLocks;
+  readonly locks: UpstreamLocks;
   readonly quarantine: Quarantine;
   readonly recorder: Recorder;
   readonly backlog: Backlog;
@@ -145,6 +145,6 @@
   host: ServeHost,
   admitted: AdmittedRequest,
 ): number {
-  const leftMs = admitted.deadlineMs - host.clock.monotonicMs();
-  return Math.max(1, Math.floor(leftMs));
+  const remainingMs = admitted.deadlineMs - host.clock.monotonicMs();
+  return Math.max(1, Math.floor(remainingMs));
 }
--- a/src/testing/fake_request_host.ts
+++ b/src/testing/fake_request_host.ts
@@ -138,7 +138,7 @@
     upstreams: options.createUpstreams?.(io) ??
       createFakeUpstreams(env, io),
     health: createUpstreamHealth(clock),
-    occupancy: createUpstreamLocks(),
+    locks: createUpstreamLocks(),
     quarantine: emptyQuarantine,
     recorder: { record() {}, getSince: () => [] },
     backlog: createBacklog({ clock, random: () => 0 }),
--- a/src/testing/platform_view_fleet.ts
+++ b/src/testing/platform_view_fleet.ts
@@ -162,8 +162,8 @@
       onFetched: (_, outcome) => fetches.push(outcome),
       onPlatformRestored: () => {},
       getHosts: () => getAlive(host),
-      pushFact: send,
-      spreadFact: send,
+      broadcastFact: send,
+      gossipFact: send,
       fetchTable: (name, peer) => fetchTable(host, peer, name),
     });
   }
